--- a/cloverrouter/daemon/control_calls.py
+++ b/cloverrouter/daemon/control_calls.py
@@ -16,7 +16,7 @@
 from cloverrouter.control.registration import instance_from
 from cloverrouter.control.updates import decoded
 from cloverrouter.daemon.plane_port import PlanePort
-from cloverrouter.messages import encode
+from cloverrouter.messages import encode, metric_labels
 
 if TYPE_CHECKING:
     from cloverrouter.control.api import RegisterReply
@@ -201,7 +201,8 @@
 
 def _labels(kind: type) -> dict[str, str]:
     """Of a kind of message; several parts may have one of the same name."""
-    return {"part": kind.__module__.rpartition(".")[2], "kind": kind.__name__}
+    part, name = metric_labels(kind)
+    return {"part": part, "kind": name}
 
 
 def _shown(instance: Instance, silent: bool) -> dict[str, Any]:
--- a/cloverrouter/messages/__init__.py
+++ b/cloverrouter/messages/__init__.py
@@ -1,6 +1,6 @@
 """The internal protocol between the proxies: typed messages, their Avro encoding, and framing."""
 
-from cloverrouter.messages.codec import Decoder, encode, message, messages_of, nested
+from cloverrouter.messages.codec import Decoder, encode, message, messages_of, metric_labels, nested
 from cloverrouter.messages.errors import FrameTooLarge, MalformedFrame, MessageError
 
 __all__ = [
@@ -11,5 +11,6 @@
     "encode",
     "message",
     "messages_of",
+    "metric_labels",
     "nested",
 ]
--- a/cloverrouter/messages/codec.py
+++ b/cloverrouter/messages/codec.py
@@ -247,6 +247,18 @@
                 yield found
 
 
+def metric_labels(cls: type) -> tuple[str, str]:
+    """Returns the metric labels `part` and `kind` of a message class.
+
+    They are the class's own `METRIC_LABELS`, or else the last part of its module's name and its own name. A
+    class that is renamed or moved keeps its labels by `METRIC_LABELS: ClassVar[tuple[str, str]]`.
+    """
+    labels: tuple[str, str] = cls.__dict__.get(
+        "METRIC_LABELS", (cls.__module__.rpartition(".")[2], cls.__name__)
+    )
+    return labels
+
+
 def messages_of(module: str) -> tuple[type, ...]:
     """The message classes that a module defines, by its full name."""
     return tuple(cls for cls in _kinds_by_class if cls.__module__ == module)
--- a/tests/system/test_codec.py
+++ b/tests/system/test_codec.py
@@ -3,13 +3,22 @@
 from __future__ import annotations
 
 from contextlib import suppress
+from typing import ClassVar
 
 import pytest
 from hypothesis import given
 from hypothesis import strategies as st
 
 import cloverrouter.daemon.control_plane  # noqa: F401  (defines all messages)
-from cloverrouter.messages import Decoder, FrameTooLarge, MalformedFrame, encode, message, nested
+from cloverrouter.messages import (
+    Decoder,
+    FrameTooLarge,
+    MalformedFrame,
+    encode,
+    message,
+    metric_labels,
+    nested,
+)
 from cloverrouter.messages.codec import _Kind, _kinds_by_class, _record_packer, _record_unpacker
 
 
@@ -28,6 +37,19 @@
     shares: dict[str, float]
 
 
+@message(65003)
+class LabelledExample:
+    """`Example` with metric labels of its own."""
+
+    METRIC_LABELS: ClassVar[tuple[str, str]] = ("old_module", "OldExample")
+
+    count: int
+    data: bytes
+    flag: bool
+    items: tuple[Inner, ...]
+    shares: dict[str, float]
+
+
 EXAMPLE = Example(-5, b"\x00\xff", True, (Inner("a", None), Inner("b", 0.5)), {"t": 1.5})
 
 
@@ -75,6 +97,18 @@
     assert repr(Inner("a", None)) == "Inner(name='a', score=None)"
 
 
+def test_metric_labels_are_module_and_class_name_unless_the_class_defines_its_own() -> None:
+    assert metric_labels(Example) == ("test_codec", "Example")
+    assert metric_labels(LabelledExample) == ("old_module", "OldExample")
+
+
+def test_metric_labels_leave_the_encoding_as_it_is() -> None:
+    labelled = LabelledExample(EXAMPLE.count, EXAMPLE.data, EXAMPLE.flag, EXAMPLE.items, EXAMPLE.shares)
+    frame = encode(EXAMPLE)
+    assert encode(labelled) == frame[:5] + (65003).to_bytes(2, "big") + frame[7:]
+    assert list(Decoder().feed(encode(labelled))) == [labelled]
+
+
 @pytest.mark.parametrize("kind", _kinds_by_class.values(), ids=lambda kind: kind.cls.__name__)
 def test_each_message_of_the_system_can_be_encoded(kind: _Kind) -> None:
     """Schemas are made when they are first needed; a field of a type that can't be sent shows here."""
