--- a/cloverrouter/messages/codec.py
+++ b/cloverrouter/messages/codec.py
@@ -1,9 +1,11 @@
-"""Messages as attrs classes, encoded by Avro schemas that are derived from their fields.
+"""Encodes messages, which are attrs classes, by Avro schemas that are derived from their fields.
 
-A frame: length of what follows (4 bytes, big-endian), protocol version (1 byte), type (2 bytes), Avro body.
+Frame format, integers big-endian: length of the rest of the frame in bytes (4 bytes), protocol version
+(1 byte), message type (2 bytes), Avro body.
 
-Version rule: a message's fields never change once released. A changed message gets a new type; a frame of an
-unknown type or of another protocol version is skipped, so that old and new processes can talk.
+Compatibility rule: the fields of a released message never change. A message with other fields gets a new type
+number. A receiver skips frames of unknown types or of other protocol versions, so that processes of different
+releases can communicate.
 """
 
 from __future__ import annotations
@@ -24,7 +26,7 @@
 PROTOCOL_VERSION = 1
 MAX_FRAME_BYTES = 64 * 1024 * 1024
 HEADER = struct.Struct(">IBH")
-_BODY_HEADER_BYTES = 3  # version and type, counted in the length
+_BODY_HEADER_BYTES = 3  # protocol version and message type, which the length field includes
 
 _PRIMITIVES = {str: "string", bytes: "bytes", int: "long", float: "double", bool: "boolean"}
 
@@ -32,226 +34,254 @@
 
 
 @attrs.define(slots=False, eq=False)
-class _Kind:
-    """One message type: how its instances become Avro data and back."""
+class _MessageType:
+    """A registered message class with its type number and Avro schema."""
 
     cls: type
     type_id: int
 
     @functools.cached_property
     def schema(self) -> Any:
-        """Avro's, parsed. Made when a message of the kind first comes or goes."""
+        """The parsed Avro schema, built when a message of this type is first encoded or decoded."""
         return parse_schema(_record_schema(self.cls, set()))
 
 
-_kinds_by_id: dict[int, _Kind] = {}
-_kinds_by_class: dict[type, _Kind] = {}
+_types_by_id: dict[int, _MessageType] = {}
+_types_by_class: dict[type, _MessageType] = {}
 
 
 @typing.dataclass_transform(frozen_default=True)
 def nested(cls: type[T]) -> type[T]:
-    """A frozen attrs class that may be a field of messages, and is none itself."""
-    return _frozen(cls)
+    """Class decorator: makes a frozen attrs class for fields of messages; it is not a message itself."""
+    return _make_frozen(cls)
 
 
-def _frozen(cls: type[T]) -> type[T]:
-    """attrs' methods are compiled anew at each start of a process, so these three are shared instead."""
-    cls.__eq__ = _equals  # type: ignore[method-assign]
+def _make_frozen(cls: type[T]) -> type[T]:
+    """Makes a frozen attrs class with shared `__eq__`, `__hash__` and `__repr__`.
+
+    attrs would generate and compile these three methods for each class at every process start.
+    """
+    cls.__eq__ = _eq  # type: ignore[method-assign]
     cls.__hash__ = _hash  # type: ignore[method-assign]
-    cls.__repr__ = _shown  # type: ignore[method-assign]
+    cls.__repr__ = _repr  # type: ignore[method-assign]
     return attrs.frozen(slots=True, eq=False, repr=False)(cls)
 
 
-def _values(instance: Any) -> tuple[Any, ...]:
+def _field_values(instance: Any) -> tuple[Any, ...]:
     return tuple(getattr(instance, name) for name in instance.__match_args__)
 
 
-def _equals(self: Any, other: object) -> Any:
+def _eq(self: Any, other: object) -> Any:
     if other.__class__ is not self.__class__:
         return NotImplemented
-    return _values(self) == _values(other)
+    return _field_values(self) == _field_values(other)
 
 
 def _hash(self: Any) -> int:
-    return hash((self.__class__, _values(self)))
+    return hash((self.__class__, _field_values(self)))
 
 
-def _shown(self: Any) -> str:
-    fields = zip(self.__match_args__, _values(self), strict=True)
+def _repr(self: Any) -> str:
+    fields = zip(self.__match_args__, _field_values(self), strict=True)
     return f"{self.__class__.__name__}({', '.join(f'{name}={value!r}' for name, value in fields)})"
 
 
 @typing.dataclass_transform(frozen_default=True)
 def message(type_id: int) -> Callable[[type[T]], type[T]]:
-    """Class decorator: makes a frozen attrs class, and registers it under a type number (1 to 65,535) that no
-    other message has.
+    """Class decorator: makes a frozen attrs class and registers it under a unique type number (1 to 65,535).
 
     Fields may be str, bytes, int, float, bool, ``T | None``, ``tuple[T, ...]``, ``dict[str, T]`` and
-    classes decorated by `nested`.
+    classes decorated by `nested`. Raises ValueError if another class has the type number.
     """
 
     def register(cls: type[T]) -> type[T]:
-        frozen = _frozen(cls)
-        if type_id in _kinds_by_id:
-            raise ValueError(f"message type {type_id} is taken by {_kinds_by_id[type_id].cls.__name__}")
-        kind = _Kind(frozen, type_id)
-        _kinds_by_id[type_id] = _kinds_by_class[frozen] = kind
+        frozen = _make_frozen(cls)
+        if type_id in _types_by_id:
+            raise ValueError(
+                f"message type {type_id} is already used by {_types_by_id[type_id].cls.__name__}"
+            )
+        message_type = _MessageType(frozen, type_id)
+        _types_by_id[type_id] = _types_by_class[frozen] = message_type
         return frozen
 
     return register
 
 
-def _record_schema(cls: type, named: set[str]) -> dict[str, Any] | str:
-    if cls.__name__ in named:
+def _record_schema(cls: type, defined_names: set[str]) -> dict[str, Any] | str:
+    if cls.__name__ in defined_names:
         return cls.__name__
-    named.add(cls.__name__)
+    defined_names.add(cls.__name__)
     hints = typing.get_type_hints(cls)
     fields = [
-        {"name": field.name, "type": _type_schema(hints[field.name], named)} for field in attrs.fields(cls)
+        {"name": field.name, "type": _type_schema(hints[field.name], defined_names)}
+        for field in attrs.fields(cls)
     ]
     return {"type": "record", "name": cls.__name__, "fields": fields}
 
 
-def _type_schema(hint: Any, named: set[str]) -> Any:
+def _type_schema(hint: Any, defined_names: set[str]) -> Any:
     if hint in _PRIMITIVES:
         return _PRIMITIVES[hint]
     origin, arguments = typing.get_origin(hint), typing.get_args(hint)
     if origin in (types.UnionType, typing.Union):
-        (inner,) = [argument for argument in arguments if argument is not type(None)]
-        return ["null", _type_schema(inner, named)]
+        (value_hint,) = [argument for argument in arguments if argument is not type(None)]
+        return ["null", _type_schema(value_hint, defined_names)]
     if origin is tuple:
-        return {"type": "array", "items": _type_schema(arguments[0], named)}
+        return {"type": "array", "items": _type_schema(arguments[0], defined_names)}
     if origin is dict:
-        return {"type": "map", "values": _type_schema(arguments[1], named)}
+        return {"type": "map", "values": _type_schema(arguments[1], defined_names)}
     if attrs.has(hint):
-        return _record_schema(hint, named)
-    raise TypeError(f"a message can't have a field of type {hint}")
+        return _record_schema(hint, defined_names)
+    raise TypeError(f"a message field cannot have the type {hint}")
 
 
 Converter = Callable[[Any], Any]
-"""From a field's value to Avro data, or back; None where both are the same."""
+"""Converts a field's value to Avro data or back. None stands for a value that needs no conversion."""
 
 _packers: dict[type, Converter] = {}
 _unpackers: dict[type, Converter] = {}
 
 
-def _fields(cls: type) -> list[tuple[str, Any]]:
+def _typed_fields(cls: type) -> list[tuple[str, Any]]:
     hints = typing.get_type_hints(cls)
     return [(field.name, hints[field.name]) for field in attrs.fields(cls)]
 
 
 def _record_packer(cls: type) -> Converter:
-    found = _packers.get(cls)
-    if found is None:
-        parts = [(name, _converter(hint, _record_packer, list)) for name, hint in _fields(cls)]
+    converter = _packers.get(cls)
+    if converter is None:
+        converters = [(name, _converter(hint, _record_packer, list)) for name, hint in _typed_fields(cls)]
 
         def pack(instance: Any) -> dict[str, Any]:
             return {
                 name: getattr(instance, name) if convert is None else convert(getattr(instance, name))
-                for name, convert in parts
+                for name, convert in converters
             }
 
-        found = _packers[cls] = pack
-    return found
+        converter = _packers[cls] = pack
+    return converter
 
 
 def _record_unpacker(cls: type) -> Converter:
-    found = _unpackers.get(cls)
-    if found is None:
-        parts = [(name, _converter(hint, _record_unpacker, tuple)) for name, hint in _fields(cls)]
+    converter = _unpackers.get(cls)
+    if converter is None:
+        converters = [(name, _converter(hint, _record_unpacker, tuple)) for name, hint in _typed_fields(cls)]
 
         def unpack(data: Any) -> Any:
-            return cls(*[data[name] if convert is None else convert(data[name]) for name, convert in parts])
+            return cls(
+                *[data[name] if convert is None else convert(data[name]) for name, convert in converters]
+            )
+
+        converter = _unpackers[cls] = unpack
+    return converter
 
-        found = _unpackers[cls] = unpack
-    return found
 
+def _converter(
+    hint: Any, record_converter: Callable[[type], Converter], sequence_type: type
+) -> Converter | None:
+    """Returns the converter of a field with the type `hint`; None if its values need no conversion.
 
-def _converter(hint: Any, of_record: Callable[[type], Converter], sequence: type) -> Converter | None:
-    """How a field of that type is converted; `sequence` is what a tuple becomes."""
+    `record_converter` makes converters of nested classes. A tuple is converted to `sequence_type`.
+    """
     if hint in _PRIMITIVES:
         return None
     origin, arguments = typing.get_origin(hint), typing.get_args(hint)
     if origin in (types.UnionType, typing.Union):
-        (present,) = [argument for argument in arguments if argument is not type(None)]
-        inner = _converter(present, of_record, sequence)
-        return None if inner is None else _for_optional(inner)
+        (value_hint,) = [argument for argument in arguments if argument is not type(None)]
+        convert = _converter(value_hint, record_converter, sequence_type)
+        return None if convert is None else _for_optional(convert)
     if origin is tuple:
-        inner = _converter(arguments[0], of_record, sequence)
-        return sequence if inner is None else _for_items(inner, sequence)
+        convert = _converter(arguments[0], record_converter, sequence_type)
+        return sequence_type if convert is None else _for_items(convert, sequence_type)
     if origin is dict:
-        inner = _converter(arguments[1], of_record, sequence)
-        return None if inner is None else _for_values(inner)
-    return of_record(hint)
+        convert = _converter(arguments[1], record_converter, sequence_type)
+        return None if convert is None else _for_values(convert)
+    return record_converter(hint)
 
 
-def _for_optional(inner: Converter) -> Converter:
-    return lambda value: None if value is None else inner(value)
+def _for_optional(convert: Converter) -> Converter:
+    return lambda value: None if value is None else convert(value)
 
 
-def _for_items(inner: Converter, sequence: type) -> Converter:
-    return lambda value: sequence([inner(item) for item in value])
+def _for_items(convert: Converter, sequence_type: type) -> Converter:
+    return lambda value: sequence_type([convert(item) for item in value])
 
 
-def _for_values(inner: Converter) -> Converter:
-    return lambda value: {key: inner(item) for key, item in value.items()}
+def _for_values(convert: Converter) -> Converter:
+    return lambda value: {key: convert(item) for key, item in value.items()}
 
 
 def encode(instance: object) -> bytes:
-    """The frame of a message."""
-    kind = _kinds_by_class[type(instance)]
+    """Returns the frame of a message.
+
+    Raises KeyError if the class is not registered by `message`.
+    """
+    message_type = _types_by_class[type(instance)]
     body = io.BytesIO()
-    schemaless_writer(body, kind.schema, _record_packer(kind.cls)(instance))
+    schemaless_writer(body, message_type.schema, _record_packer(message_type.cls)(instance))
     data = body.getvalue()
-    return HEADER.pack(len(data) + _BODY_HEADER_BYTES, PROTOCOL_VERSION, kind.type_id) + data
+    return HEADER.pack(len(data) + _BODY_HEADER_BYTES, PROTOCOL_VERSION, message_type.type_id) + data
 
 
 def _decode(type_id: int, body: bytes) -> object | None:
-    kind = _kinds_by_id.get(type_id)
-    if kind is None:
+    message_type = _types_by_id.get(type_id)
+    if message_type is None:
         return None
     stream = io.BytesIO(body)
     try:
-        instance: object = _record_unpacker(kind.cls)(schemaless_reader(stream, kind.schema, None))
-    except Exception as error:  # fastavro raises whatever its parts raise
-        raise MalformedFrame(f"{kind.cls.__name__}: {type(error).__name__}: {error}") from error
+        instance: object = _record_unpacker(message_type.cls)(
+            schemaless_reader(stream, message_type.schema, None)
+        )
+    except Exception as error:  # fastavro does not wrap the errors of its parts
+        raise MalformedFrame(f"{message_type.cls.__name__}: {type(error).__name__}: {error}") from error
     if stream.tell() != len(body):
-        raise MalformedFrame(f"{kind.cls.__name__}: {len(body) - stream.tell()} bytes too many")
+        raise MalformedFrame(
+            f"{message_type.cls.__name__}: {len(body) - stream.tell()} bytes after the message"
+        )
     return instance
 
 
 class Decoder:
-    """Frames out of a stream of bytes that may be split anywhere."""
+    """Decodes messages from a byte stream that arrives in chunks of any size.
+
+    `skipped` counts the frames that were ignored; the caller may reset it.
+    """
 
     def __init__(self, max_frame_bytes: int = MAX_FRAME_BYTES) -> None:
         self._buffer = bytearray()
         self._max_frame_bytes = max_frame_bytes
-        self.skipped = 0  # frames of unknown types, or of other versions of the protocol
+        self.skipped = 0  # frames of unknown message types or of other protocol versions
 
     def feed(self, data: bytes) -> Iterator[object]:
-        """The messages that are whole by now. Raises `MessageError`, after which nothing more may be fed."""
+        """Appends `data` and yields the messages that are complete.
+
+        Raises `MessageError`; after that the decoder must not be used any more.
+        """
         self._buffer += data
         while len(self._buffer) >= HEADER.size:
             length, version, type_id = HEADER.unpack_from(self._buffer)
             if length < _BODY_HEADER_BYTES or length > self._max_frame_bytes:
-                raise FrameTooLarge(f"a frame of {length} bytes; 3 to {self._max_frame_bytes} are allowed")
+                raise FrameTooLarge(
+                    f"frame length is {length} bytes; 3 to {self._max_frame_bytes} bytes are allowed"
+                )
             end = length + HEADER.size - _BODY_HEADER_BYTES
             if len(self._buffer) < end:
                 return
             body = bytes(self._buffer[HEADER.size : end])
             del self._buffer[:end]
-            found = _decode(type_id, body) if version == PROTOCOL_VERSION else None
-            if found is None:
+            decoded = _decode(type_id, body) if version == PROTOCOL_VERSION else None
+            if decoded is None:
                 self.skipped += 1
             else:
-                yield found
+                yield decoded
 
 
 def metric_labels(cls: type) -> tuple[str, str]:
     """Returns the metric labels `part` and `kind` of a message class.
 
-    They are the class's own `METRIC_LABELS`, or else the last part of its module's name and its own name. A
-    class that is renamed or moved keeps its labels by `METRIC_LABELS: ClassVar[tuple[str, str]]`.
+    These are the class's own `METRIC_LABELS: ClassVar[tuple[str, str]]`, or else the last part of its
+    module's name and its class name. A class that was renamed or moved defines `METRIC_LABELS` to keep its
+    labels.
     """
     labels: tuple[str, str] = cls.__dict__.get(
         "METRIC_LABELS", (cls.__module__.rpartition(".")[2], cls.__name__)
@@ -260,5 +290,5 @@
 
 
 def messages_of(module: str) -> tuple[type, ...]:
-    """The message classes that a module defines, by its full name."""
-    return tuple(cls for cls in _kinds_by_class if cls.__module__ == module)
+    """Returns the message classes that a module defines. `module` is its full dotted name."""
+    return tuple(cls for cls in _types_by_class if cls.__module__ == module)
--- a/cloverrouter/messages/errors.py
+++ b/cloverrouter/messages/errors.py
@@ -1,4 +1,4 @@
-"""What can be wrong with bytes of the internal protocol."""
+"""Errors raised while decoding the internal protocol."""
 
 from __future__ import annotations
 
@@ -6,12 +6,12 @@
 
 
 class MessageError(CypresswinchError):
-    """The bytes are not the internal protocol's. The connection that they came on is of no further use."""
+    """The received bytes violate the internal protocol. The connection must be closed."""
 
 
 class FrameTooLarge(MessageError):
-    """A frame announces more bytes than a frame may have."""
+    """The length in a frame's header is outside the allowed range."""
 
 
 class MalformedFrame(MessageError):
-    """A frame's body does not decode as the message that its type names."""
+    """A frame's body cannot be decoded as a message of the frame's type."""
--- a/cloverrouter/messages/sending.py
+++ b/cloverrouter/messages/sending.py
@@ -1,4 +1,4 @@
-"""The one effect that all pure cores share: a message that is to go to another machine."""
+"""The effect that all cores without I/O share: sending a message to another machine."""
 
 from __future__ import annotations
 
@@ -7,9 +7,9 @@
 
 @attrs.frozen(slots=True)
 class Send:
-    """Hand `message` to the link to the machine at `ip`; it is dropped where the link is down.
+    """Requests that `message` be sent to the machine at `ip`. It is dropped if the connection is down.
 
-    A send to the machine's own address comes back to its own core as a received message.
+    A message to the machine's own address is delivered to its own core as a received message.
     """
 
     ip: str
--- a/cloverrouter/store/errors.py
+++ b/cloverrouter/store/errors.py
@@ -1,4 +1,4 @@
-"""What can go wrong with a disk."""
+"""Errors of reading and writing a disk."""
 
 from __future__ import annotations
 
@@ -6,12 +6,12 @@
 
 
 class StoreError(CypresswinchError):
-    """The disk did not take or give what it was asked. What it held before is unchanged."""
+    """A read or write failed. The stored data is unchanged."""
 
 
 class StoreFull(StoreError):
-    """There is no room for a write; what is stored stays readable, and smaller writes may still succeed."""
+    """The disk or the lmdb map is full. Stored data stays readable, and smaller writes may succeed."""
 
 
 class StoreFailed(StoreError):
-    """The disk or its file refuses to work. The same call may succeed later."""
+    """The disk or the file returned an error. The same call may succeed later."""
--- a/cloverrouter/store/replica_store.py
+++ b/cloverrouter/store/replica_store.py
@@ -1,15 +1,15 @@
-"""A replica's disk: one lmdb file, each write one synced transaction.
+"""The disk of a replica: one lmdb file, in which each write is one synced transaction.
 
-What a disk means when it is opened:
+How the file is treated when it is opened:
 
-- No file, or a file that never got an identity (power went during first use): an empty disk. An identity is
-  drawn and synced before anything else.
-- A file that lmdb can't open, whose pages are not as lmdb writes them (`store/pages.py`), or in which any
-  value fails its checksum or is missing: the disk is lost. Its file is removed and a new identity is drawn,
-  so that it never votes as the machine that it was.
-- Anything else is whole: lmdb's transactions are either there or not.
+- Missing, or without an identity because of a power loss during the first use: the disk is empty. An identity
+  is generated and synced before anything else is written.
+- lmdb can't open it, its page structure is invalid (`store/pages.py`), or a value is missing or fails its
+  checksum: the disk is lost. The file is removed and a new identity is generated, so that the machine never
+  votes under its old identity after it has lost its promises.
+- Otherwise it is intact: lmdb's transactions are atomic.
 
-An object is used by one thread at a time, a directory by one process.
+An instance may be used by one thread at a time, a directory by one process.
 """
 
 from __future__ import annotations
@@ -33,33 +33,36 @@
 
 FILE_NAME = "replica.mdb"
 IDENTITY_BYTES = 8
-# Share of the room that the file may take: lmdb never shrinks it, and a full disk refuses every write.
-MAP_SHARE = 0.7
-# A state with its updates, the next state in their place, and those of before, whose pages are free only two
-# transactions later: three, and a quarter of the file for lmdb's own pages.
-STATE_PARTS = 4
-# Chunks fill whole pages with lmdb's page header: large values would need a long run of free pages.
+# Fraction of the allowed disk space that the file may use. lmdb never shrinks its file, and a full disk fails
+# every write.
+MAP_FRACTION = 0.7
+# The largest state is the map's size divided by this. Up to three copies occupy pages at once: the state with
+# its updates, the state that replaces them, and the one replaced before, whose pages lmdb reuses only two
+# transactions later. The fourth part is for lmdb's own pages.
+MAX_STATE_DIVISOR = 4
+# A chunk, its 4-byte checksum and lmdb's 16-byte page header fill 8 pages exactly. Data is split into chunks
+# because a larger value would need a longer run of contiguous free pages.
 CHUNK_BYTES = 8 * PAGE_BYTES - 16 - 4
 
 _IDENTITY = b"identity"
 _META = b"meta"
-_BALLOT = b"ballot"  # not in a store of before: nothing was said
-_NOTE = b"note"  # likewise
+_BALLOT = b"ballot"  # absent in files of older releases, which means an empty ballot
+_NOTE = b"note"  # absent in files of older releases, which means an empty note
 _PEERS = b"peers"
 _SNAPSHOT = b"snapshot"
 _UPDATE = b"update"
 _SEQ = struct.Struct(">Q")
-_CHUNK = struct.Struct(">I")
+_CHUNK_NUMBER = struct.Struct(">I")
 _CHECKSUM = struct.Struct(">I")
-_BALLOT_HEAD = struct.Struct(">QQ")
-_META_HEAD = struct.Struct(">QQQQI??B")
+_BALLOT_HEADER = struct.Struct(">QQ")
+_META_HEADER = struct.Struct(">QQQQI??B")
 
 
 class _Damaged(Exception):
-    """A stored value is not what was written."""
+    """A stored value is missing or differs from what was written."""
 
 
-_DAMAGE = (
+_DAMAGE_ERRORS = (
     _Damaged,
     PagesDamaged,
     lmdb.InvalidError,
@@ -70,21 +73,21 @@
 
 
 class ReplicaStore:
-    """The disk of one replica."""
+    """The durable storage of one replica."""
 
     def __init__(self, directory: Path, map_bytes: int) -> None:
-        """Use `open`."""
+        """Internal; use `open`."""
         self._directory = directory
         self._map_bytes = map_bytes
         self._environment: Any = None
-        self._note: bytes | None = None  # as it is on the disk, once that is known
+        self._stored_note: bytes | None = None  # the note on the disk; None until it was written
 
     @classmethod
     def open(cls, directory: Path, max_bytes: int) -> ReplicaStore:
-        """A store in a directory, which is made if need be. Its file stays under 0.7 of `max_bytes`.
+        """Returns a store in a directory, which is created if it is missing.
 
-        Raises StoreError if the disk does not even allow that."""
-        map_bytes = int(max_bytes * MAP_SHARE) // PAGE_BYTES * PAGE_BYTES
+        Its file stays below 0.7 of `max_bytes`. Raises StoreError if the directory can't be created."""
+        map_bytes = int(max_bytes * MAP_FRACTION) // PAGE_BYTES * PAGE_BYTES
         store = cls(directory, map_bytes)
         try:
             _make_directory(directory)
@@ -94,50 +97,54 @@
 
     @property
     def state_room(self) -> int:
-        """Bytes that a state and the updates on it may have together."""
-        return self._map_bytes // STATE_PARTS
+        """The largest size in bytes of a state together with the updates after it."""
+        return self._map_bytes // MAX_STATE_DIVISOR
 
     def load(self, bootstrap: bool = False) -> StoredReplica:
-        """What the disk holds; an empty or damaged disk gets an identity. `bootstrap`: this is the system's
-        first start, so an empty disk may become one of the first voters. Raises StoreError."""
+        """Returns the content of the disk. An empty or damaged disk gets a new identity.
+
+        `bootstrap`: this is the system's first start, and an empty disk may become one of the first voters.
+        Raises StoreError."""
         damage = ""
         try:
             self._open_environment()
             stored = self._read()
-        except _DAMAGE as error:
+        except _DAMAGE_ERRORS as error:
             damage = f"{type(error).__name__}: {error}"
             stored = None
-            self._empty()
+            self._remove_file()
         except (lmdb.Error, OSError) as error:
             raise _store_error(error) from error
         if stored is not None:
             return stored
-        # A disk that held something before is not one of the system's first start.
-        return self._first_use(adoptable=bootstrap and not damage, damage=damage)
+        # A damaged disk held data before, so that it must not take part in the system's bootstrap.
+        return self._initialize(adoptable=bootstrap and not damage, damage=damage)
 
     def write(self, record: Record) -> None:
-        """Store a record; when this returns, it is durable. Raises StoreError, and nothing has changed."""
+        """Stores a record durably before it returns.
+
+        Raises StoreError; the stored data is then unchanged."""
         try:
             self._open_environment()
             with self._environment.begin(write=True) as transaction:
                 _put_record(transaction, record)
-                self._put_note(transaction, record)
+                self._put_changed_note(transaction, record)
             if record.meta is not None:
-                self._note = record.meta.note
+                self._stored_note = record.meta.note
         except lmdb.PanicError as error:
-            self.close()  # lmdb takes nothing more until it is opened again
+            self.close()  # after a panic lmdb accepts no write until the environment is opened again
             raise StoreFailed(str(error)) from error
         except (lmdb.Error, OSError, _Damaged, PagesDamaged) as error:
             raise _store_error(error) from error
 
-    def _put_note(self, transaction: Any, record: Record) -> None:
-        """A note may be long, and most records only repeat it."""
-        if record.meta is not None and record.meta.note != self._note:
+    def _put_changed_note(self, transaction: Any, record: Record) -> None:
+        """Writes the note only if it has changed: it may be long, and most records repeat it."""
+        if record.meta is not None and record.meta.note != self._stored_note:
             _put(transaction, _NOTE, record.meta.note)
 
     def close(self) -> None:
-        """Let go of the file. A later call opens it again."""
-        self._note = None
+        """Closes the file. A later call opens it again."""
+        self._stored_note = None
         if self._environment is not None:
             self._environment.close()
             self._environment = None
@@ -161,18 +168,18 @@
         with self._environment.begin() as transaction:
             identity = _get(transaction, _IDENTITY)
             if identity is None and transaction.stat()["entries"]:
-                raise _Damaged("no identity")
+                raise _Damaged("the identity is missing")
             if identity is None:
                 return None
             meta = _get(transaction, _META)
             if meta is None:
-                raise _Damaged("no meta record")
+                raise _Damaged("the meta record is missing")
             snapshot = _read_snapshot(transaction)
             updates = tuple(_read_updates(transaction))
             ballot = _get(transaction, _BALLOT)
             note = _get(transaction, _NOTE) or b""
             peers = _get(transaction, _PEERS) or b""
-        _check_order(snapshot, updates)
+        _check_update_sequence(snapshot, updates)
         return StoredReplica(
             identity=identity.decode(),
             meta=attrs.evolve(_unpack_meta(meta), ballot=_unpack_ballot(ballot), note=note),
@@ -181,7 +188,7 @@
             peers=tuple(peers.decode().split()),
         )
 
-    def _first_use(self, adoptable: bool, damage: str) -> StoredReplica:
+    def _initialize(self, adoptable: bool, damage: str) -> StoredReplica:
         identity = secrets.token_hex(IDENTITY_BYTES)
         meta = Meta(adoptable=adoptable)
         try:
@@ -194,7 +201,7 @@
             raise _store_error(error) from error
         return StoredReplica(identity=identity, meta=meta, fresh=True, damage=damage)
 
-    def _empty(self) -> None:
+    def _remove_file(self) -> None:
         self.close()
         try:
             with suppress(FileNotFoundError):
@@ -212,7 +219,7 @@
 
 
 def sync_directory(directory: Path) -> None:
-    """Names in the directory that were made, replaced or removed are on the disk after this."""
+    """Makes created, replaced and removed entries of the directory durable. Raises OSError."""
     descriptor = os.open(directory, os.O_RDONLY | os.O_DIRECTORY)
     try:
         os.fsync(descriptor)
@@ -222,10 +229,10 @@
 
 def _store_error(error: Exception) -> StoreError:
     text = str(error)
-    full = isinstance(error, lmdb.MapFullError) or os.strerror(errno.ENOSPC) in text
+    is_full = isinstance(error, lmdb.MapFullError) or os.strerror(errno.ENOSPC) in text
     if isinstance(error, OSError) and error.errno in (errno.ENOSPC, errno.EDQUOT):
-        full = True
-    return StoreFull(text) if full else StoreFailed(text)
+        is_full = True
+    return StoreFull(text) if is_full else StoreFailed(text)
 
 
 def _put(transaction: Any, key: bytes, data: bytes) -> None:
@@ -235,7 +242,7 @@
 def _checked(key: bytes, value: bytes) -> bytes:
     data = value[_CHECKSUM.size :]
     if value[: _CHECKSUM.size] != _CHECKSUM.pack(zlib.crc32(data, zlib.crc32(key))):
-        raise _Damaged(f"checksum of {key!r}")
+        raise _Damaged(f"checksum mismatch of {key!r}")
     return data
 
 
@@ -260,44 +267,44 @@
 
 
 def _put_chunks(transaction: Any, kind: bytes, seq: int, data: bytes) -> None:
-    """Data in pieces under `kind`, sequence number, piece; the first piece tells how many there are."""
-    pieces = [data[start : start + CHUNK_BYTES] for start in range(0, len(data), CHUNK_BYTES)] or [b""]
+    """Stores data as chunks under `kind`, sequence number and chunk number; chunk 0 holds their count."""
+    chunks = [data[start : start + CHUNK_BYTES] for start in range(0, len(data), CHUNK_BYTES)] or [b""]
     prefix = kind + _SEQ.pack(seq)
-    _put(transaction, prefix + _CHUNK.pack(0), _CHUNK.pack(len(pieces)))
-    for number, piece in enumerate(pieces, 1):
-        _put(transaction, prefix + _CHUNK.pack(number), piece)
+    _put(transaction, prefix + _CHUNK_NUMBER.pack(0), _CHUNK_NUMBER.pack(len(chunks)))
+    for number, chunk in enumerate(chunks, 1):
+        _put(transaction, prefix + _CHUNK_NUMBER.pack(number), chunk)
 
 
 def _delete_all(transaction: Any, kind: bytes) -> None:
     cursor = transaction.cursor()
-    more = cursor.set_range(kind)
-    while more and cursor.key().startswith(kind):
-        more = cursor.delete()
+    is_found = cursor.set_range(kind)
+    while is_found and cursor.key().startswith(kind):
+        is_found = cursor.delete()
 
 
 def _read_all(transaction: Any, kind: bytes) -> Iterator[tuple[int, bytes]]:
-    """Sequence numbers and data of all values of a kind, in order."""
+    """Yields the sequence number and data of each value of a kind, in order."""
     cursor = transaction.cursor()
-    more = cursor.set_range(kind)
-    while more and cursor.key().startswith(kind):
+    is_found = cursor.set_range(kind)
+    while is_found and cursor.key().startswith(kind):
         key = cursor.key()
         prefix = key[: len(kind) + _SEQ.size]
-        if key[len(prefix) :] != _CHUNK.pack(0):
-            raise _Damaged(f"the first piece of {prefix!r} is missing")
-        (count,) = _CHUNK.unpack(_checked(key, cursor.value()))
-        pieces = [_get(transaction, prefix + _CHUNK.pack(number)) for number in range(1, count + 1)]
-        whole = [piece for piece in pieces if piece is not None]
-        if len(whole) < count:
-            raise _Damaged(f"a piece of {prefix!r} is missing")
-        yield _SEQ.unpack(prefix[len(kind) :])[0], b"".join(whole)
-        more = cursor.set_range(prefix + _CHUNK.pack(count + 1))
+        if key[len(prefix) :] != _CHUNK_NUMBER.pack(0):
+            raise _Damaged(f"the first chunk of {prefix!r} is missing")
+        (count,) = _CHUNK_NUMBER.unpack(_checked(key, cursor.value()))
+        chunks = [_get(transaction, prefix + _CHUNK_NUMBER.pack(number)) for number in range(1, count + 1)]
+        present_chunks = [chunk for chunk in chunks if chunk is not None]
+        if len(present_chunks) < count:
+            raise _Damaged(f"a chunk of {prefix!r} is missing")
+        yield _SEQ.unpack(prefix[len(kind) :])[0], b"".join(present_chunks)
+        is_found = cursor.set_range(prefix + _CHUNK_NUMBER.pack(count + 1))
 
 
 def _read_snapshot(transaction: Any) -> Snapshot | None:
-    found = [Snapshot(seq, data) for seq, data in _read_all(transaction, _SNAPSHOT)]
-    if len(found) > 1:
+    snapshots = [Snapshot(seq, data) for seq, data in _read_all(transaction, _SNAPSHOT)]
+    if len(snapshots) > 1:
         raise _Damaged("more than one snapshot")
-    return found[0] if found else None
+    return snapshots[0] if snapshots else None
 
 
 def _read_updates(transaction: Any) -> Iterator[Update]:
@@ -305,7 +312,7 @@
         yield Update(seq, data)
 
 
-def _check_order(snapshot: Snapshot | None, updates: tuple[Update, ...]) -> None:
+def _check_update_sequence(snapshot: Snapshot | None, updates: tuple[Update, ...]) -> None:
     expected = snapshot.seq if snapshot is not None else 0
     for update in updates:
         expected += 1
@@ -314,19 +321,19 @@
 
 
 def _pack_ballot(ballot: Ballot) -> bytes:
-    return _BALLOT_HEAD.pack(ballot.promised, ballot.accepted) + ballot.voters
+    return _BALLOT_HEADER.pack(ballot.promised, ballot.accepted) + ballot.voters
 
 
 def _unpack_ballot(data: bytes | None) -> Ballot:
     if data is None:
         return Ballot()
-    promised, accepted = _BALLOT_HEAD.unpack_from(data)
-    return Ballot(promised, accepted, data[_BALLOT_HEAD.size :])
+    promised, accepted = _BALLOT_HEADER.unpack_from(data)
+    return Ballot(promised, accepted, data[_BALLOT_HEADER.size :])
 
 
 def _pack_meta(meta: Meta) -> bytes:
     proposer = meta.promised_to.encode()
-    head = _META_HEAD.pack(
+    header = _META_HEADER.pack(
         meta.promised,
         meta.synced,
         meta.committed,
@@ -336,18 +343,18 @@
         meta.adoptable,
         len(proposer),
     )
-    return head + proposer + meta.view
+    return header + proposer + meta.view
 
 
 def _unpack_meta(data: bytes) -> Meta:
-    facts = _META_HEAD.unpack_from(data)
-    promised, synced, committed, view_epoch, fleet_size, settled, adoptable, size = facts
-    rest = data[_META_HEAD.size :]
+    header = _META_HEADER.unpack_from(data)
+    promised, synced, committed, view_epoch, fleet_size, settled, adoptable, proposer_bytes = header
+    rest = data[_META_HEADER.size :]
     return Meta(
         promised=promised,
-        promised_to=rest[:size].decode(),
+        promised_to=rest[:proposer_bytes].decode(),
         synced=synced,
-        view=rest[size:],
+        view=rest[proposer_bytes:],
         view_epoch=view_epoch,
         settled=settled,
         committed=committed,
--- a/cloverrouter/store/whole_file.py
+++ b/cloverrouter/store/whole_file.py
@@ -1,4 +1,4 @@
-"""A small file that is replaced as a whole: after a loss of power it holds what it held before or after."""
+"""A small file that is replaced atomically: after a power loss it holds either the old or the new content."""
 
 from __future__ import annotations
 
@@ -13,14 +13,17 @@
 
 
 class WholeFile:
-    """The file at a path. Both methods wait on the disk: not for the event loop's thread."""
+    """A file with a checksum.
+
+    Both methods block on the disk and must not be called on the event loop's thread.
+    """
 
     def __init__(self, path: Path) -> None:
         self._path = path
-        self._next = path.with_suffix(".next")
+        self._temporary_path = path.with_suffix(".next")
 
     def read(self) -> bytes | None:
-        """What was written last; None if there is nothing, or not what was written."""
+        """Returns the data written last; None if the file is missing, unreadable or fails its checksum."""
         try:
             content = self._path.read_bytes()
         except OSError:
@@ -29,13 +32,16 @@
         return data if checksum == _checksum(data) else None
 
     def write(self, data: bytes) -> None:
-        """Replace it. Raises StoreFailed if the disk does not take it; the file is then as before."""
+        """Replaces the content durably.
+
+        Raises StoreFailed if the disk fails; the file then keeps its old content.
+        """
         try:
-            with self._next.open("wb") as file:
+            with self._temporary_path.open("wb") as file:
                 file.write(_checksum(data) + data)
                 file.flush()
                 os.fsync(file.fileno())
-            self._next.replace(self._path)
+            self._temporary_path.replace(self._path)
             sync_directory(self._path.parent)
         except OSError as error:
             raise StoreFailed(str(error)) from error
--- a/tests/system/test_codec.py
+++ b/tests/system/test_codec.py
@@ -1,4 +1,4 @@
-"""The internal protocol's encoding: round trips, bytes split anywhere, and what is not a frame."""
+"""Encoding of the internal protocol: round trips, bytes split at any place, and invalid frames."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
     metric_labels,
     nested,
 )
-from cloverrouter.messages.codec import _Kind, _kinds_by_class, _record_packer, _record_unpacker
+from cloverrouter.messages.codec import _MessageType, _record_packer, _record_unpacker, _types_by_class
 
 
 @nested
@@ -39,7 +39,7 @@
 
 @message(65003)
 class LabelledExample:
-    """`Example` with metric labels of its own."""
+    """Has the fields of `Example` and its own metric labels."""
 
     METRIC_LABELS: ClassVar[tuple[str, str]] = ("old_module", "OldExample")
 
@@ -61,8 +61,10 @@
 def test_bytes_may_be_split_anywhere(size: int) -> None:
     data = encode(EXAMPLE) * 3
     decoder = Decoder()
-    found = [m for at in range(0, len(data), size) for m in decoder.feed(data[at : at + size])]
-    assert found == [EXAMPLE] * 3
+    decoded = [
+        item for start in range(0, len(data), size) for item in decoder.feed(data[start : start + size])
+    ]
+    assert decoded == [EXAMPLE] * 3
 
 
 def test_an_unknown_type_or_version_is_skipped() -> None:
@@ -88,10 +90,10 @@
 
 
 def test_messages_are_values() -> None:
-    again = Example(-5, b"\x00\xff", True, (Inner("a", None), Inner("b", 0.5)), {"t": 1.5})
-    assert again == EXAMPLE
-    assert again != Example(-4, again.data, again.flag, again.items, again.shares)
-    assert again.__eq__(Inner("a", None)) is NotImplemented
+    same = Example(-5, b"\x00\xff", True, (Inner("a", None), Inner("b", 0.5)), {"t": 1.5})
+    assert same == EXAMPLE
+    assert same != Example(-4, same.data, same.flag, same.items, same.shares)
+    assert same.__eq__(Inner("a", None)) is NotImplemented
     assert Inner("a", None) != Inner("a", 0.0)
     assert len({Inner("a", 1.0), Inner("a", 1.0), Inner("b", 1.0)}) == 2
     assert repr(Inner("a", None)) == "Inner(name='a', score=None)"
@@ -109,9 +111,11 @@
     assert list(Decoder().feed(encode(labelled))) == [labelled]
 
 
-@pytest.mark.parametrize("kind", _kinds_by_class.values(), ids=lambda kind: kind.cls.__name__)
-def test_each_message_of_the_system_can_be_encoded(kind: _Kind) -> None:
-    """Schemas are made when they are first needed; a field of a type that can't be sent shows here."""
-    assert kind.schema["name"].endswith(kind.cls.__name__)
-    assert callable(_record_packer(kind.cls))
-    assert callable(_record_unpacker(kind.cls))
+@pytest.mark.parametrize(
+    "message_type", _types_by_class.values(), ids=lambda message_type: message_type.cls.__name__
+)
+def test_each_message_of_the_system_can_be_encoded(message_type: _MessageType) -> None:
+    """Schemas are built at first use; this test finds a field whose type can't be encoded."""
+    assert message_type.schema["name"].endswith(message_type.cls.__name__)
+    assert callable(_record_packer(message_type.cls))
+    assert callable(_record_unpacker(message_type.cls))
--- a/tests/system/test_pages_disk.py
+++ b/tests/system/test_pages_disk.py
@@ -1,4 +1,4 @@
-"""What the pages say of disks and of losses: a full disk refuses every write; many processes go at once."""
+"""Documented guarantees about full disks and about the loss of all processes at once."""
 
 from __future__ import annotations
 
@@ -18,12 +18,12 @@
 SIZES = [(3, 1), (5, 2)]
 
 
-def fill(*nodes: Node) -> None:
+def fill_disks(*nodes: Node) -> None:
     for node in nodes:
         node.disk.full = True
 
 
-def reads(world: World, node: Node) -> list[Answer]:
+def start_read(world: World, node: Node) -> list[Answer]:
     answers: list[Answer] = []
     world.read(node, answers.append)
     return answers
@@ -34,16 +34,16 @@
 def test_with_every_disk_full_nothing_is_acknowledged_or_refused_until_there_is_room(
     count: int, tolerance: int, seed: int
 ) -> None:
-    """Without an answer of the head, the proxy that was asked says 503 in the end."""
+    """A proxy whose head sends no answer responds with 503 after its timeout."""
     world = World(seed, count, tolerance)
     world.run(3)
     run_to(world, order(world, leader(world), "before"), 3, "an order")
-    fill(*world.nodes)
-    heard: list[Answer] = []
+    fill_disks(*world.nodes)
+    answers: list[Answer] = []
     command = json.dumps({"id": "full", "expect": None, "value": "full"}).encode()
-    world.submit(leader(world), command, heard.append)
+    world.submit(leader(world), command, answers.append)
     world.run(8)
-    assert all(answer.outcome not in (Outcome.DONE, Outcome.TOO_LARGE) for answer in heard)
+    assert all(answer.outcome not in (Outcome.DONE, Outcome.TOO_LARGE) for answer in answers)
     for node in world.nodes:
         node.disk.full = False
     world.run(4)
@@ -56,17 +56,20 @@
 def test_while_few_disks_are_full_the_others_take_orders_and_reads_go_on(
     count: int, tolerance: int, seed: int
 ) -> None:
-    """The head's among them: another leads. Who comes back with room takes part again."""
+    """The head's disk is one of them, so another replica leads.
+
+    Replicas take part again as soon as their disks have room.
+    """
     world = World(seed, count, tolerance)
     world.run(3)
     head = leader(world)
-    fill(*[head, *[node for node in world.nodes if node is not head]][:tolerance])
+    fill_disks(*[head, *[node for node in world.nodes if node is not head]][:tolerance])
     operator = Client(world, "op")
     acknowledged = world.ledger.acknowledged
     world.run(6)
     assert world.ledger.acknowledged > acknowledged + 3
-    asked = reads(world, leader(world))
-    run_to(world, lambda: any(answer.outcome is Outcome.DONE for answer in asked), 2, "a read")
+    read_answers = start_read(world, leader(world))
+    run_to(world, lambda: any(answer.outcome is Outcome.DONE for answer in read_answers), 2, "a read")
     operator.stopped = True
     for node in world.nodes:
         node.disk.full = False
@@ -91,7 +94,7 @@
     settle(world)
 
 
-# The driver of a replica: what the disk refuses is told, and ends nothing
+# -- the replica driver: it reports a failed write to the replica and goes on --
 
 
 class FullStore:
@@ -99,12 +102,12 @@
         raise StoreFull("no room")
 
 
-class HearingReplica:
+class RecordingReplica:
     def __init__(self) -> None:
-        self.heard: list[tuple[int, str | None]] = []
+        self.persisted_calls: list[tuple[int, str | None]] = []
 
     def persisted(self, now: float, token: int, error: str | None) -> list[Any]:
-        self.heard.append((token, error))
+        self.persisted_calls.append((token, error))
         return []
 
 
@@ -115,14 +118,14 @@
 
 
 def test_a_write_that_the_disk_refuses_is_told_to_the_replica() -> None:
-    async def scene() -> None:
-        replica = HearingReplica()
+    async def run() -> None:
+        replica = RecordingReplica()
         driver = ReplicaDriver(cast(Any, replica), cast(Any, FullStore()), no_listener())
         driver.carry_out([Persist(7, Record(None, None, ()))])
         async with asyncio.timeout(20):
-            while not replica.heard:
+            while not replica.persisted_calls:
                 await asyncio.sleep(0)
-        assert replica.heard == [(7, "no room")]
+        assert replica.persisted_calls == [(7, "no room")]
         driver.close()
 
-    asyncio.run(scene())
+    asyncio.run(run())
--- a/tests/system/test_pure_cores.py
+++ b/tests/system/test_pure_cores.py
@@ -1,4 +1,4 @@
-"""The cores of membership, servers and distribution have no clock, socket or randomness of their own."""
+"""The cores of membership, server registration and distribution import no clock, socket or randomness."""
 
 from __future__ import annotations
 
@@ -40,7 +40,7 @@
             assert not names & (IMPURE | {"random"}), names
         elif isinstance(node, ast.ImportFrom):
             assert node.module not in IMPURE
-            # The type of what it is handed; never the module's own source.
+            # Only the type of the generator that is passed in, never the module's global generator.
             assert node.module != "random" or [alias.name for alias in node.names] == ["Random"]
         elif isinstance(node, ast.Call) and isinstance(node.func, ast.Name):
             assert node.func.id != "Random"
