--- a/cloverrouter/daemon/control_plane.py
+++ b/cloverrouter/daemon/control_plane.py
@@ -45,7 +45,7 @@
 from cloverrouter.daemon.transport import Transport
 from cloverrouter.daemon.trouble_news import TroubleNews
 from cloverrouter.daemon.view_notice import ViewNotice
-from cloverrouter.messages import messages_of
+from cloverrouter.messages import message_classes_in
 from cloverrouter.messages.sending import Send
 from cloverrouter.placement import placement_messages, quota_messages, trouble_messages
 from cloverrouter.store.records import Ballot
@@ -124,7 +124,7 @@
     def _take_chain_messages(self) -> None:
         from cloverrouter.coordination import messages as chain_messages
 
-        self._handlers.update(dict.fromkeys(messages_of(chain_messages.__name__), self._on_chain))
+        self._handlers.update(dict.fromkeys(message_classes_in(chain_messages.__name__), self._on_chain))
         self._handlers.update(dict.fromkeys(chain_messages.GENESIS_MESSAGES, self._on_genesis))
         if not self._settings.is_replica:
             self._handlers.update(dict.fromkeys(chain_messages.BALLOT_MESSAGES, self._on_ballot))
@@ -312,7 +312,7 @@
             (placement_messages, self._on_placement),
             (views, self._on_chain),
         ):
-            table.update(dict.fromkeys(messages_of(module.__name__), handler))
+            table.update(dict.fromkeys(message_classes_in(module.__name__), handler))
         return table
 
     def _receive(self, ip: str, message: object) -> None:
--- a/cloverrouter/daemon/replica_role.py
+++ b/cloverrouter/daemon/replica_role.py
@@ -57,7 +57,7 @@
         self._published_at_latest_s = 0.0
         self._unconfirmed_s = UNCONFIRMED_PARTS * settings.bounds.connectivity_s
         me = Member(stored.identity, settings.ip, settings.name, settings.zone)
-        config = ReplicaConfig(settings.tolerated_machines, max_state_bytes=store.state_room)
+        config = ReplicaConfig(settings.tolerated_machines, max_state_bytes=store.max_state_bytes)
         self._machine = ConfigurationMachine()
         self.replica = Replica(me, stored, self._machine, config, random)
         self._desk = HeadDesk(self.replica, ports.send)
--- a/cloverrouter/daemon/servers_copy.py
+++ b/cloverrouter/daemon/servers_copy.py
@@ -11,8 +11,8 @@
 from cloverrouter.control.kept_servers import KeptServers, pack, unpack
 from cloverrouter.control.registry import Effect, Registry
 from cloverrouter.control.registry_messages import InstanceRecord
+from cloverrouter.store.atomic_file import AtomicFile
 from cloverrouter.store.errors import StoreError
-from cloverrouter.store.whole_file import WholeFile
 
 FILE_NAME = "servers.copy"
 
@@ -21,7 +21,7 @@
     """One machine's copy. The disk may be slow, or stand still: it is waited for on a thread."""
 
     def __init__(self, directory: Path, registry: Registry, log_error: Callable[..., None]) -> None:
-        self._file = WholeFile(directory / FILE_NAME)
+        self._file = AtomicFile(directory / FILE_NAME)
         self._kept = KeptServers(registry)
         self._log_error = log_error
         self._loop = asyncio.get_running_loop()
--- a/cloverrouter/daemon/transport.py
+++ b/cloverrouter/daemon/transport.py
@@ -68,8 +68,8 @@
             with self._owner.batch():
                 for message in self._decoder.feed(data):
                     self._owner.deliver(self._ip, message)
-            self._owner.messages_skipped += self._decoder.skipped
-            self._decoder.skipped = 0
+            self._owner.messages_skipped += self._decoder.skipped_frames
+            self._decoder.skipped_frames = 0
         except MessageError as error:
             self._owner.on_error(self._ip, error)
             if self._transport is not None:
--- a/cloverrouter/fuzz/node_messages.py
+++ b/cloverrouter/fuzz/node_messages.py
@@ -17,7 +17,7 @@
 from cloverrouter.fuzz.mutation import FRACTIONS, INTEGERS, TEXTS, mutate_bytes, pieces
 from cloverrouter.fuzz.target import expect
 from cloverrouter.messages import Decoder, MessageError, encode
-from cloverrouter.messages.codec import HEADER, PROTOCOL_VERSION, messages_of
+from cloverrouter.messages.codec import FRAME_HEADER, PROTOCOL_VERSION, message_classes_in
 
 # Where the messages between nodes are defined.
 MODULES = (
@@ -38,7 +38,7 @@
 )
 LONGS = tuple(number for number in INTEGERS if -(2**63) <= number < 2**63)
 HEADERS = tuple(
-    HEADER.pack(length, version, kind)
+    FRAME_HEADER.pack(length, version, kind)
     for length in (0, 2, 3, 4, 2**26, 2**32 - 1)
     for version, kind in ((PROTOCOL_VERSION, 1), (PROTOCOL_VERSION, 65535), (0, 300))
 )
@@ -47,7 +47,7 @@
 def message_classes() -> tuple[type, ...]:
     """All messages that nodes send, in an order that stays."""
     modules = [importlib.import_module(f"cloverrouter.{name}") for name in MODULES]
-    return tuple(cls for module in modules for cls in messages_of(module.__name__))
+    return tuple(cls for module in modules for cls in message_classes_in(module.__name__))
 
 
 def example(hint: Any, random: Random) -> Any:
@@ -197,9 +197,9 @@
 
 def _with_other_body(data: bytes, random: Random) -> bytes:
     """The first frame's body changed, its length right."""
-    if len(data) < HEADER.size:
+    if len(data) < FRAME_HEADER.size:
         return mutate_bytes(data, random, HEADERS)
-    length, version, kind = HEADER.unpack_from(data)
+    length, version, kind = FRAME_HEADER.unpack_from(data)
     end = min(len(data), length + 4)
-    body = mutate_bytes(data[HEADER.size : end], random)
-    return HEADER.pack(len(body) + 3, version, kind) + body + data[end:]
+    body = mutate_bytes(data[FRAME_HEADER.size : end], random)
+    return FRAME_HEADER.pack(len(body) + 3, version, kind) + body + data[end:]
--- a/cloverrouter/fuzz/store_files.py
+++ b/cloverrouter/fuzz/store_files.py
@@ -148,7 +148,7 @@
     def _judged(self, stored: StoredReplica) -> Result:
         if stored == self._states[-1]:
             return Result.SAME
-        if stored.fresh:
+        if stored.is_new_identity:
             lost = stored.snapshot is None and not stored.updates and stored.damage
             return Result.DAMAGED if lost and stored.identity != self._states[-1].identity else Result.OTHER
         return Result.EARLIER if stored in self._states else Result.OTHER
--- a/cloverrouter/messages/__init__.py
+++ b/cloverrouter/messages/__init__.py
@@ -1,6 +1,6 @@
 """The internal protocol between the proxies: typed messages, their Avro encoding, and framing."""
 
-from cloverrouter.messages.codec import Decoder, encode, message, messages_of, metric_labels, nested
+from cloverrouter.messages.codec import Decoder, encode, message, message_classes_in, metric_labels, nested
 from cloverrouter.messages.errors import FrameTooLarge, MalformedFrame, MessageError
 
 __all__ = [
@@ -10,7 +10,7 @@
     "MessageError",
     "encode",
     "message",
-    "messages_of",
+    "message_classes_in",
     "metric_labels",
     "nested",
 ]
--- a/cloverrouter/messages/codec.py
+++ b/cloverrouter/messages/codec.py
@@ -25,7 +25,7 @@
 
 PROTOCOL_VERSION = 1
 MAX_FRAME_BYTES = 64 * 1024 * 1024
-HEADER = struct.Struct(">IBH")
+FRAME_HEADER = struct.Struct(">IBH")
 _BODY_HEADER_BYTES = 3  # protocol version and message type, which the length field includes
 
 _PRIMITIVES = {str: "string", bytes: "bytes", int: "long", float: "double", bool: "boolean"}
@@ -220,7 +220,7 @@
     body = io.BytesIO()
     schemaless_writer(body, message_type.schema, _record_packer(message_type.cls)(instance))
     data = body.getvalue()
-    return HEADER.pack(len(data) + _BODY_HEADER_BYTES, PROTOCOL_VERSION, message_type.type_id) + data
+    return FRAME_HEADER.pack(len(data) + _BODY_HEADER_BYTES, PROTOCOL_VERSION, message_type.type_id) + data
 
 
 def _decode(type_id: int, body: bytes) -> object | None:
@@ -244,13 +244,13 @@
 class Decoder:
     """Decodes messages from a byte stream that arrives in chunks of any size.
 
-    `skipped` counts the frames that were ignored; the caller may reset it.
+    `skipped_frames` counts the frames that were ignored; the caller may reset it.
     """
 
     def __init__(self, max_frame_bytes: int = MAX_FRAME_BYTES) -> None:
         self._buffer = bytearray()
         self._max_frame_bytes = max_frame_bytes
-        self.skipped = 0  # frames of unknown message types or of other protocol versions
+        self.skipped_frames = 0  # frames of unknown message types or of other protocol versions
 
     def feed(self, data: bytes) -> Iterator[object]:
         """Appends `data` and yields the messages that are complete.
@@ -258,20 +258,20 @@
         Raises `MessageError`; after that the decoder must not be used any more.
         """
         self._buffer += data
-        while len(self._buffer) >= HEADER.size:
-            length, version, type_id = HEADER.unpack_from(self._buffer)
+        while len(self._buffer) >= FRAME_HEADER.size:
+            length, version, type_id = FRAME_HEADER.unpack_from(self._buffer)
             if length < _BODY_HEADER_BYTES or length > self._max_frame_bytes:
                 raise FrameTooLarge(
                     f"frame length is {length} bytes; 3 to {self._max_frame_bytes} bytes are allowed"
                 )
-            end = length + HEADER.size - _BODY_HEADER_BYTES
+            end = length + FRAME_HEADER.size - _BODY_HEADER_BYTES
             if len(self._buffer) < end:
                 return
-            body = bytes(self._buffer[HEADER.size : end])
+            body = bytes(self._buffer[FRAME_HEADER.size : end])
             del self._buffer[:end]
             decoded = _decode(type_id, body) if version == PROTOCOL_VERSION else None
             if decoded is None:
-                self.skipped += 1
+                self.skipped_frames += 1
             else:
                 yield decoded
 
@@ -289,6 +289,6 @@
     return labels
 
 
-def messages_of(module: str) -> tuple[type, ...]:
+def message_classes_in(module: str) -> tuple[type, ...]:
     """Returns the message classes that a module defines. `module` is its full dotted name."""
     return tuple(cls for cls in _types_by_class if cls.__module__ == module)
--- a/cloverrouter/store/whole_file.py
+++ b/cloverrouter/store/atomic_file.py
@@ -12,7 +12,7 @@
 CHECKSUM_BYTES = 4
 
 
-class WholeFile:
+class AtomicFile:
     """A file with a checksum.
 
     Both methods block on the disk and must not be called on the event loop's thread.
--- a/cloverrouter/store/replica_store.py
+++ b/cloverrouter/store/replica_store.py
@@ -96,7 +96,7 @@
         return store
 
     @property
-    def state_room(self) -> int:
+    def max_state_bytes(self) -> int:
         """The largest size in bytes of a state together with the updates after it."""
         return self._map_bytes // MAX_STATE_DIVISOR
 
@@ -199,7 +199,7 @@
             sync_directory(self._directory)
         except (lmdb.Error, OSError) as error:
             raise _store_error(error) from error
-        return StoredReplica(identity=identity, meta=meta, fresh=True, damage=damage)
+        return StoredReplica(identity=identity, meta=meta, is_new_identity=True, damage=damage)
 
     def _remove_file(self) -> None:
         self.close()
@@ -239,7 +239,7 @@
     transaction.put(key, _CHECKSUM.pack(zlib.crc32(data, zlib.crc32(key))) + data)
 
 
-def _checked(key: bytes, value: bytes) -> bytes:
+def _verify_checksum(key: bytes, value: bytes) -> bytes:
     data = value[_CHECKSUM.size :]
     if value[: _CHECKSUM.size] != _CHECKSUM.pack(zlib.crc32(data, zlib.crc32(key))):
         raise _Damaged(f"checksum mismatch of {key!r}")
@@ -248,7 +248,7 @@
 
 def _get(transaction: Any, key: bytes) -> bytes | None:
     value = transaction.get(key)
-    return None if value is None else _checked(key, value)
+    return None if value is None else _verify_checksum(key, value)
 
 
 def _put_record(transaction: Any, record: Record) -> None:
@@ -291,7 +291,7 @@
         prefix = key[: len(kind) + _SEQ.size]
         if key[len(prefix) :] != _CHUNK_NUMBER.pack(0):
             raise _Damaged(f"the first chunk of {prefix!r} is missing")
-        (count,) = _CHUNK_NUMBER.unpack(_checked(key, cursor.value()))
+        (count,) = _CHUNK_NUMBER.unpack(_verify_checksum(key, cursor.value()))
         chunks = [_get(transaction, prefix + _CHUNK_NUMBER.pack(number)) for number in range(1, count + 1)]
         present_chunks = [chunk for chunk in chunks if chunk is not None]
         if len(present_chunks) < count:
--- a/tests/system/replica_world.py
+++ b/tests/system/replica_world.py
@@ -184,7 +184,7 @@
         if self.file is None:
             return self.stored
         self.file.close()
-        found = attrs.evolve(self.file.load(), fresh=False)
+        found = attrs.evolve(self.file.load(), is_new_identity=False)
         if found != self.stored:
             raise Violation("the file holds something else than was written")
         return found
--- a/tests/system/test_codec.py
+++ b/tests/system/test_codec.py
@@ -73,7 +73,7 @@
     other_version = bytes(frame[:4]) + b"\x63" + bytes(frame[5:])
     decoder = Decoder()
     assert list(decoder.feed(unknown_type + other_version + bytes(frame))) == [EXAMPLE]
-    assert decoder.skipped == 2
+    assert decoder.skipped_frames == 2
 
 
 def test_a_frame_that_is_too_large_is_refused_before_it_is_read() -> None:
--- a/tests/system/test_kept_servers.py
+++ b/tests/system/test_kept_servers.py
@@ -22,8 +22,8 @@
 from cloverrouter.control.registry import Registry
 from cloverrouter.control.servers_list import InstancesChanged
 from cloverrouter.daemon.servers_copy import FILE_NAME, ServersCopy
+from cloverrouter.store.atomic_file import AtomicFile
 from cloverrouter.store.errors import StoreFailed
-from cloverrouter.store.whole_file import WholeFile
 
 NOW = 50.0
 WALL = 1_800_000_000.0
@@ -150,7 +150,7 @@
 
 
 def test_a_file_holds_what_was_written_last(tmp_path: Path) -> None:
-    file = WholeFile(tmp_path / "a.copy")
+    file = AtomicFile(tmp_path / "a.copy")
     assert file.read() is None
     file.write(b"one")
     file.write(b"two")
@@ -161,7 +161,7 @@
 
 def test_a_disk_that_takes_nothing_is_told_of_once(tmp_path: Path) -> None:
     with pytest.raises(StoreFailed):
-        WholeFile(tmp_path / "no such folder" / "a.copy").write(b"one")
+        AtomicFile(tmp_path / "no such folder" / "a.copy").write(b"one")
 
     async def scene() -> None:
         told: list[str] = []
--- a/tests/system/test_large_states.py
+++ b/tests/system/test_large_states.py
@@ -69,7 +69,7 @@
 
 def test_disks_hold_many_states_near_their_room(tmp_path: Path) -> None:
     """On real files: compaction, and a whole state sent to a member that was disconnected."""
-    room = ReplicaStore.open(tmp_path / "any", FILE_BYTES).state_room
+    room = ReplicaStore.open(tmp_path / "any", FILE_BYTES).max_state_bytes
     world = World(5, 3, 1, config={"max_state_bytes": room}, directory=tmp_path)
     world.run(2.0)
     size = int(room * 0.48)
--- a/tests/system/test_mechanisms.py
+++ b/tests/system/test_mechanisms.py
@@ -371,7 +371,7 @@
     def trusting(key: bytes, value: bytes) -> bytes:
         return value[replica_store._CHECKSUM.size :]
 
-    with patch.object(replica_store, "_checked", trusting), pytest.raises(AssertionError):
+    with patch.object(replica_store, "_verify_checksum", trusting), pytest.raises(AssertionError):
         test_replica_store.test_a_value_that_was_changed_is_a_lost_disk(tmp_path)
 
 
--- a/tests/system/test_replica_store.py
+++ b/tests/system/test_replica_store.py
@@ -22,7 +22,7 @@
 def test_an_empty_disk_draws_an_identity_once(tmp_path: Path) -> None:
     first = open_store(tmp_path / "data" / "router").load(bootstrap=True)
     again = open_store(tmp_path / "data" / "router").load()
-    assert first.fresh and not again.fresh
+    assert first.is_new_identity and not again.is_new_identity
     assert first.identity == again.identity and len(first.identity) == 16
     assert first.meta.adoptable and again.meta.adoptable
     assert open_store(tmp_path / "other").load().identity != first.identity
@@ -78,7 +78,7 @@
 def test_states_of_the_room_for_them_are_replaced_again_and_again(tmp_path: Path) -> None:
     store = open_store(tmp_path, 16 * 1024 * 1024)
     store.load()
-    room = store.state_room
+    room = store.max_state_bytes
     seq = 0
     for _ in range(30):
         for _ in range(4):
@@ -99,7 +99,7 @@
     path.write_bytes(path.read_bytes()[:kept_bytes])
     stored = open_store(tmp_path).load(bootstrap=True)
     assert stored.identity != identity
-    assert stored.fresh and stored.snapshot is None
+    assert stored.is_new_identity and stored.snapshot is None
 
 
 def test_a_value_that_was_changed_is_a_lost_disk(tmp_path: Path) -> None:
