--- a/cloverrouter/control/announcements.py
+++ b/cloverrouter/control/announcements.py
@@ -1,4 +1,4 @@
-"""The origin's part of the registry: news of servers that wait for a majority of the voters."""
+"""The origin's side of the registry: changes that await acknowledgement by a majority of the voters."""
 
 from __future__ import annotations
 
@@ -6,29 +6,33 @@
 
 import attrs
 
-RESEND_AFTER = 0.25
-FAIL_AFTER = 3.5
-WAIT_FOR_ALL = 0.5
+RESEND_AFTER_S = 0.25
+MAJORITY_TIMEOUT_S = 3.5
+"""A change that no majority has acknowledged by then fails."""
+ALL_VOTERS_WAIT_S = 0.5
+"""A draining or ended instance waits so long for all reachable voters, then for a majority only."""
 
 
 @attrs.frozen(slots=True)
 class Acknowledged:
-    """The change is with a majority of the voters and on its way to every machine: answer the server 200."""
+    """A majority of the voters has the change and is sending it to every machine: answer the server 200."""
 
     change: int
 
 
 @attrs.frozen(slots=True)
 class Failed:
-    """The change found no majority in time: answer the server 503, it will call another machine."""
+    """No majority acknowledged the change in time: answer the server 503; it then calls another machine."""
 
     change: int
 
 
 @attrs.define(slots=True)
 class Pending:
-    """News of one instance under way to the voters, with the changes (calls of the server) that wait for
-    it.
+    """An instance's state that is being sent to the voters, and the changes that wait for it.
+
+    `waiting_since` maps the number of each change (a call of the server) to the time of the call. `taken_by`
+    holds the voters that have acknowledged the state.
     """
 
     instance_id: str
@@ -36,16 +40,16 @@
     is_leaving: bool
     started_at: float
     sent_at: float = float("-inf")
-    waiting: dict[int, float] = attrs.field(factory=dict)
+    waiting_since: dict[int, float] = attrs.field(factory=dict)
     taken_by: set[str] = attrs.field(factory=set)
 
-    def untaken(self, voters: Collection[str]) -> list[str]:
-        """The voters that have not taken it yet."""
+    def unacknowledged_voters(self, voters: Collection[str]) -> list[str]:
+        """Returns the voters that have not acknowledged it yet."""
         return [ip for ip in voters if ip not in self.taken_by]
 
 
 class Announcements:
-    """All news under way from this machine, and what is known to be with a majority."""
+    """The changes on their way from this machine to the voters, and the states that a majority has."""
 
     def __init__(self) -> None:
         self._pending: dict[str, Pending] = {}
@@ -55,40 +59,41 @@
         return instance_id in self._pending
 
     def is_confirmed(self, instance_id: str, fingerprint: int) -> bool:
-        """True if a majority of the voters is known to have exactly this."""
+        """Returns whether a majority of the voters is known to have exactly this state."""
         return instance_id not in self._pending and self._confirmed.get(instance_id) == fingerprint
 
     def confirm(self, instance_id: str, fingerprint: int) -> None:
-        """Known from elsewhere: a voter has passed it on."""
+        """Records a state as confirmed because a voter has sent it to this machine."""
         self._confirmed[instance_id] = fingerprint
 
     def forget(self, instance_id: str) -> None:
-        """The instance is no longer in the list."""
+        """Drops the confirmation of an instance that has left the list."""
         self._confirmed.pop(instance_id, None)
 
     def add(self, now: float, change: int, instance_id: str, fingerprint: int, is_leaving: bool) -> None:
-        """News to send. What waited for older news of the same instance waits for these."""
+        """Adds a change to send. Changes that wait for an older state of the instance wait for this one."""
         old = self._pending.get(instance_id)
         if old is not None and old.fingerprint == fingerprint:
-            old.waiting[change] = now
+            old.waiting_since[change] = now
             return
         pending = Pending(instance_id, fingerprint, is_leaving, now)
         if old is not None:
-            pending.waiting.update(old.waiting)
-        pending.waiting[change] = now
+            pending.waiting_since.update(old.waiting_since)
+        pending.waiting_since[change] = now
         self._pending[instance_id] = pending
 
     def taken(self, voter: str, instance_id: str, fingerprint: int, newest: int | None) -> None:
-        """A voter has taken a record of the instance: the one that is pending, or the newest, which tells
-        more.
+        """Records a voter's acknowledgement of the pending state, or of the newest one, which includes it.
+
+        Acknowledgements of any other state are ignored.
         """
         pending = self._pending.get(instance_id)
         if pending is not None and fingerprint in (pending.fingerprint, newest):
             pending.taken_by.add(voter)
 
-    def to_send(self, now: float) -> list[Pending]:
-        """What is due to be sent (again); counts as sent from now on."""
-        due = [pending for pending in self._pending.values() if now - pending.sent_at >= RESEND_AFTER]
+    def take_due(self, now: float) -> list[Pending]:
+        """Returns what is due to be sent or resent, and marks it as sent."""
+        due = [pending for pending in self._pending.values() if now - pending.sent_at >= RESEND_AFTER_S]
         for pending in due:
             pending.sent_at = now
         return due
@@ -96,27 +101,32 @@
     def settle(
         self, now: float, voters: Collection[str], live: Collection[str]
     ) -> list[Acknowledged | Failed]:
-        """What a majority has by now, and what has waited too long. `live`: the voters with a live link."""
+        """Returns the outcomes of changes that a majority has acknowledged or that timed out, and drops them.
+
+        `live`: the voters with a live link.
+        """
         effects: list[Acknowledged | Failed] = []
         for pending in list(self._pending.values()):
             if _is_done(now, pending, voters, live):
                 del self._pending[pending.instance_id]
                 self._confirmed[pending.instance_id] = pending.fingerprint
-                effects += [Acknowledged(change) for change in pending.waiting]
+                effects += [Acknowledged(change) for change in pending.waiting_since]
                 continue
-            late = [change for change, since in pending.waiting.items() if now - since >= FAIL_AFTER]
-            for change in late:
-                del pending.waiting[change]
+            timed_out = [
+                change for change, since in pending.waiting_since.items() if now - since >= MAJORITY_TIMEOUT_S
+            ]
+            for change in timed_out:
+                del pending.waiting_since[change]
                 effects.append(Failed(change))
-            if not pending.waiting:
+            if not pending.waiting_since:
                 del self._pending[pending.instance_id]
         return effects
 
 
 def _is_done(now: float, pending: Pending, voters: Collection[str], live: Collection[str]) -> bool:
-    taken = sum(1 for ip in voters if ip in pending.taken_by)
-    if not voters or taken <= len(voters) // 2:
+    acknowledgements = sum(1 for ip in voters if ip in pending.taken_by)
+    if not voters or acknowledgements <= len(voters) // 2:
         return False
-    if not pending.is_leaving or now - pending.started_at >= WAIT_FOR_ALL:
+    if not pending.is_leaving or now - pending.started_at >= ALL_VOTERS_WAIT_S:
         return True
     return all(ip in pending.taken_by for ip in live)
--- a/cloverrouter/control/fleet_size.py
+++ b/cloverrouter/control/fleet_size.py
@@ -1,25 +1,25 @@
-"""How many machines there are: the largest count of the last while.
+"""The size of the fleet: the largest number of machines counted within a sliding window.
 
-Quotas and retry budgets are divided by it, and a machine that is cut off keeps its part for `OWN_FOR_S` of
-`placement/quota.py`; so a smaller count is believed only after longer than that.
+Quotas and retry budgets are divided by it, and a machine that is cut off keeps its share for `OWN_FOR_S` of
+`placement/quota.py`; so the window is longer than that, and a smaller count takes effect only afterwards.
 """
 
 from __future__ import annotations
 
-FLEET_SIZE_HELD = 70.0
+COUNT_WINDOW_S = 70.0
 
 
 class FleetSize:
-    """Counts by time; the newest last, each smaller than those before."""
+    """A sliding-window maximum: counts in order of time, each smaller than the one before."""
 
     def __init__(self) -> None:
         self._counts: list[tuple[float, int]] = []
 
     def note(self, now: float, size: int) -> None:
-        """So many were counted."""
-        larger = [(at, old) for at, old in self._counts if old > size and now - at < FLEET_SIZE_HELD]
+        """Adds a count."""
+        larger = [(at, old) for at, old in self._counts if old > size and now - at < COUNT_WINDOW_S]
         self._counts = [*larger, (now, size)]
 
     def largest(self, now: float) -> int:
-        """0 if none was counted."""
-        return max((size for at, size in self._counts if now - at < FLEET_SIZE_HELD), default=0)
+        """Returns the largest count within the window; 0 if there is none."""
+        return max((size for at, size in self._counts if now - at < COUNT_WINDOW_S), default=0)
--- a/cloverrouter/control/instances.py
+++ b/cloverrouter/control/instances.py
@@ -1,8 +1,8 @@
-"""One start of a server, and how two pieces of news about it merge.
+"""An instance (one start of a server), and how two versions of its record merge.
 
-Merging is commutative, associative and idempotent, so the order in which news arrive does not matter, nor
-how often: the state, the generation and the lost generation each only rise; the rest comes from the highest
-sequence number.
+Merging is commutative, associative and idempotent, so neither the order nor the number of deliveries of a
+record matters. The state, the generation and the lost generation only rise; all other fields come from the
+record with the highest sequence number.
 """
 
 from __future__ import annotations
@@ -14,11 +14,12 @@
 
 from cloverrouter.control.registry_messages import InstanceRecord, ModelOnServer
 
-WARMUP_NEWS = 1.0
+WARMUP_TOLERANCE_S = 1.0
+"""Smaller changes of the remaining warm-up time are not passed on."""
 
 
 class InstanceState(IntEnum):
-    """What a server said of itself; it never falls."""
+    """The state that a server announced. It only rises; a lower one that arrives later is ignored."""
 
     READY = 0
     DRAINING = 1
@@ -27,10 +28,12 @@
 
 @attrs.frozen(slots=True)
 class Instance:
-    """One start of a server. `warm_at`: when its warm-up ends, on the local steady clock; 0 if it was warm.
+    """One start of a server.
 
-    `generation`: of two instances at one address the one with the higher generation is there now. `lost`: the
-    generation that was given up for silence; a later heartbeat makes a new generation.
+    `warm_at`: when its warm-up ends, in seconds of the local monotonic clock; 0 if it was warm already.
+    `generation`: of two instances at one address, the one with the higher generation is the current one.
+    `lost`: the generation that was given up because its heartbeats stopped; a later heartbeat starts a new
+    generation.
     """
 
     id: str
@@ -49,21 +52,21 @@
 
     @property
     def is_live(self) -> bool:
-        """Neither gone nor given up."""
+        """Whether the instance is neither gone nor given up."""
         return self.state is not InstanceState.GONE and self.lost < self.generation
 
     def facts(self) -> tuple[object, ...]:
-        """What the server says of itself beside its state, its warm-up and its sequence number."""
+        """Returns what the server announced, without its state, its warm-up and its sequence number."""
         models = tuple((model.name, model.version, model.adapters) for model in self.models)
         return (self.service, self.address, self.zone, self.version, self.capacity, self.phase, models)
 
     def fingerprint(self) -> int:
-        """63 bits over all but the sequence number and the warm-up, the same on every machine."""
+        """Returns a 63-bit hash, equal on every machine, of all but the sequence number and the warm-up."""
         text = repr((self.id, int(self.state), self.generation, self.lost, self.facts()))
         return int.from_bytes(blake2b(text.encode(), digest_size=8).digest(), "big") >> 1
 
     def to_record(self, now: float, age: float) -> InstanceRecord:
-        """The record of it that is sent now."""
+        """Returns the record to send at `now`, for an instance last known to be alive `age` seconds ago."""
         return InstanceRecord(
             id=self.id,
             service=self.service,
@@ -83,7 +86,7 @@
 
 
 def from_record(now: float, record: InstanceRecord) -> Instance:
-    """The instance that a record received now tells of."""
+    """Returns the instance that a record received at `now` describes."""
     return Instance(
         id=record.id,
         service=record.service,
@@ -102,7 +105,7 @@
 
 
 def merge(one: Instance, other: Instance) -> Instance:
-    """What both pieces of news about the same instance say together."""
+    """Returns the merge of two versions of the same instance."""
     newer = other if _order(other) > _order(one) else one
     warm_at = newer.warm_at
     if _order(one) == _order(other):
@@ -117,11 +120,14 @@
 
 
 def differs(now: float, before: Instance, after: Instance) -> bool:
-    """True if others have to be told: anything but the sequence number, and the warm-up only if by much."""
+    """Returns whether other machines have to be told of the difference.
+
+    The sequence number does not count, and the warm-up only if it changed by more than `WARMUP_TOLERANCE_S`.
+    """
     if (before.state, before.generation, before.lost) != (after.state, after.generation, after.lost):
         return True
     longer_by = abs(max(before.warm_at, now) - max(after.warm_at, now))
-    return longer_by > WARMUP_NEWS or before.facts() != after.facts()
+    return longer_by > WARMUP_TOLERANCE_S or before.facts() != after.facts()
 
 
 def _order(instance: Instance) -> tuple[int, str]:
--- a/cloverrouter/control/kept_servers.py
+++ b/cloverrouter/control/kept_servers.py
@@ -1,10 +1,10 @@
-"""The list of servers over a restart of everything: a copy on the disks of machines that have one.
+"""Snapshots of the list of servers on disk, from which it is restored when the whole fleet restarts at once.
 
-The list lives in memory; servers announce themselves again, each within a heartbeat. Where all machines
-restarted at once, the servers that are the first to do so would get all the load meanwhile. So each machine
-with a disk keeps a copy, and takes it back where it finds, shortly after its start, that the others know less
-than half of it. What was kept is news like any other: what a server or another machine knows better wins, and
-who doesn't announce itself again is soon taken for silent.
+The list lives in memory, and each server announces itself again within one heartbeat interval. Until all have
+done so after a restart of the whole fleet, the first ones would get all the load. So each machine with a disk
+keeps a snapshot, and restores it if, shortly after its start, the list received from the others has less than
+half of its servers. Restored records are merged like received ones: newer facts from a server or another
+machine win, and a server that doesn't announce itself again is soon marked as silent.
 """
 
 from __future__ import annotations
@@ -16,35 +16,38 @@
 from cloverrouter.control.registry_messages import InstanceList, InstanceRecord
 from cloverrouter.messages import Decoder, MessageError, encode
 
-LOOK_S = 1.0
-"""The copy is renewed at most so often where the list has changed,"""
-RENEW_S = 5.0
-"""and so often where it hasn't: it tells how old it is."""
-OLDEST_S = 15.0
-"""An older copy is of no use."""
-TAKEN_BACK_AFTER_S = 0.15
-"""After a start of this machine alone the others' lists are here by then."""
-MOST_BYTES = 1024 * 1024
-RECORDS_A_LOOK = 500
-"""Longer lists are looked at less often, in proportion: copying takes processor time."""
+WRITE_INTERVAL_S = 1.0
+"""The shortest interval between two snapshots; a changed list is written after it."""
+REFRESH_INTERVAL_S = 5.0
+"""The interval after which an unchanged list is written again, so that the snapshot's time stays recent."""
+MAX_AGE_S = 15.0
+"""A snapshot older than this is ignored."""
+RESTORE_DELAY_S = 0.15
+"""If only this machine restarted, the lists of the others have arrived by then."""
+MAX_BYTES = 1024 * 1024
+RECORDS_PER_INTERVAL = 500
+"""For a longer list the interval grows in proportion, as a snapshot takes processor time."""
 _SAVED_AT = struct.Struct(">d")
 
 
 def pack(records: Sequence[InstanceRecord], wall_s: float) -> bytes | None:
-    """The copy of a list as it stands at that time of day; None if it is too large to be kept."""
+    """Encodes a list with the wall-clock time at which it was current; None if it exceeds `MAX_BYTES`."""
     data = _SAVED_AT.pack(wall_s) + encode(InstanceList(0, 1, tuple(records), False))
-    return data if len(data) <= MOST_BYTES else None
+    return data if len(data) <= MAX_BYTES else None
 
 
 def unpack(data: bytes, wall_s: float) -> tuple[InstanceRecord, ...]:
-    """The records of a copy, aged by the time since; empty where it is too old or can't be read."""
+    """Decodes a snapshot and adds the time since then to the ages of its records.
+
+    Returns an empty tuple if the snapshot is too old or malformed.
+    """
     if len(data) < _SAVED_AT.size:
         return ()
     age_s = wall_s - _SAVED_AT.unpack_from(data)[0]
-    if not abs(age_s) <= OLDEST_S:  # also where it is not a number
+    if not abs(age_s) <= MAX_AGE_S:  # also false for NaN
         return ()
     try:
-        messages = list(Decoder(MOST_BYTES).feed(data[_SAVED_AT.size :]))
+        messages = list(Decoder(MAX_BYTES).feed(data[_SAVED_AT.size :]))
     except MessageError:
         return ()
     if len(messages) != 1 or not isinstance(messages[0], InstanceList):
@@ -73,40 +76,43 @@
 
 
 class KeptServers:
-    """When one machine's list is copied, and when a copy is taken back. Times on the steady clock."""
+    """Decides when one machine's list is written and when a snapshot is restored.
+
+    Times are seconds of the monotonic clock.
+    """
 
     def __init__(self, registry: Registry) -> None:
         self._registry = registry
-        self._found: tuple[InstanceRecord, ...] = ()
-        self._taken_back_at = 0.0
-        self._next_look = 0.0
-        self._renewed_at = 0.0
-        self._digest: int | None = None
+        self._loaded: tuple[InstanceRecord, ...] = ()
+        self._restore_at = 0.0
+        self._next_write = 0.0
+        self._written_at = 0.0
+        self._written_digest: int | None = None
 
     def found(self, now: float, records: tuple[InstanceRecord, ...]) -> None:
-        """This is the copy that the process found at its start."""
-        self._found = records
-        self._taken_back_at = now + TAKEN_BACK_AFTER_S
-        self._next_look = now + LOOK_S
+        """Receives the snapshot that the process read at its start."""
+        self._loaded = records
+        self._restore_at = now + RESTORE_DELAY_S
+        self._next_write = now + WRITE_INTERVAL_S
 
     def tick(self, now: float) -> list[Effect]:
-        """Take the copy back, if it is time and the others know too little."""
-        if not self._found or now < self._taken_back_at:
+        """Restores the snapshot once it is due, if the list has less than half of its servers."""
+        if not self._loaded or now < self._restore_at:
             return []
-        found, self._found = self._found, ()
-        known = sum(record.id in self._registry for record in found)
-        if 2 * known >= len(found):
+        records, self._loaded = self._loaded, ()
+        known_count = sum(record.id in self._registry for record in records)
+        if 2 * known_count >= len(records):
             return []
-        return self._registry.taken_back(now, found)
+        return self._registry.restore(now, records)
 
     def due(self, now: float) -> list[InstanceRecord] | None:
-        """The records to copy now; None if the last copy is good enough."""
-        if now < self._next_look:
+        """Returns the records to write now; None if no write is due."""
+        if now < self._next_write:
             return None
-        self._next_look = now + LOOK_S * max(1.0, len(self._registry) / RECORDS_A_LOOK)
+        self._next_write = now + WRITE_INTERVAL_S * max(1.0, len(self._registry) / RECORDS_PER_INTERVAL)
         digest = self._registry.digest
-        if digest == self._digest and now - self._renewed_at < RENEW_S:
+        if digest == self._written_digest and now - self._written_at < REFRESH_INTERVAL_S:
             return None
-        self._digest = digest
-        self._renewed_at = now
+        self._written_digest = digest
+        self._written_at = now
         return self._registry.records(now)
--- a/cloverrouter/control/registration.py
+++ b/cloverrouter/control/registration.py
@@ -1,7 +1,7 @@
-"""Announcements of servers: the JSON body of ``PUT /-/instances/ID``, checked.
+"""Validation of registrations: the JSON body of ``PUT /-/instances/ID``.
 
-Servers announce themselves again and again, so a body that is plainly sound passes without the schema; the
-schema has the last word on all others, and says what is wrong.
+Every heartbeat carries such a body, so one that a cheap check finds valid skips the schema. All others are
+validated against the schema, which also says what is wrong.
 """
 
 from __future__ import annotations
@@ -18,11 +18,11 @@
 _STATES = ("ready", "draining")
 _STRINGS = ("availability-zone", "version", "phase")
 _COUNTS = ("capacity", "sequence-number")
-_PLAIN_MAXIMUM = 10**9
+_FAST_CHECK_MAXIMUM = 10**9
 
 
 def read_registration(instance_id: str, body: bytes) -> dict[str, Any]:
-    """The fields of an announcement, unknown ones included. Raises `RegistrationInvalid`."""
+    """Returns the fields of a registration, including unknown ones. Raises `RegistrationInvalid`."""
     check_id(instance_id)
     findings: Findings = []
     fields = read_object(body, findings)
@@ -34,14 +34,20 @@
 
 
 def check_id(instance_id: str) -> None:
-    """Raises `RegistrationInvalid` for what can't be a server's id: it is kept for a while after its end."""
+    """Raises `RegistrationInvalid` for an id that is too long or has characters that can't be printed.
+
+    The length is bounded because ids stay in memory for a while after their instances end.
+    """
     if not instance_id.isprintable() or len(instance_id) > MAX_ID_CHARACTERS:
         wanted = f"wanted up to {MAX_ID_CHARACTERS} printable characters"
         raise RegistrationInvalid([Finding("instance-id", wanted)])
 
 
 def instance_from(now: float, instance_id: str, fields: dict[str, Any]) -> Instance:
-    """The instance that checked fields tell of, received at `now` on the local steady clock."""
+    """Returns the instance that valid fields describe.
+
+    `now`: when they arrived, in seconds of the local monotonic clock.
+    """
     warmup_ms = fields.get("warmup-remaining-ms") or 0
     is_draining = fields.get("lifecycle-state") == "draining"
     return Instance(
@@ -65,7 +71,7 @@
 
 
 def is_plain(fields: dict[str, Any]) -> bool:
-    """Whether the fields are sound beyond doubt. Where this is false they may still be."""
+    """Returns True only if the fields are certainly valid; for others the schema decides."""
     return (
         _is_name(fields.get("backend"))
         and _is_address(fields.get("address"))
@@ -89,11 +95,11 @@
 
 
 def _is_count(value: Any) -> bool:
-    return isinstance(value, int) and not isinstance(value, bool) and 0 <= value < _PLAIN_MAXIMUM
+    return isinstance(value, int) and not isinstance(value, bool) and 0 <= value < _FAST_CHECK_MAXIMUM
 
 
 def _is_amount(value: Any) -> bool:
-    return is_number(value) and 0 <= value < _PLAIN_MAXIMUM
+    return is_number(value) and 0 <= value < _FAST_CHECK_MAXIMUM
 
 
 def _are_models(value: Any) -> bool:
--- a/cloverrouter/control/registry_messages.py
+++ b/cloverrouter/control/registry_messages.py
@@ -1,13 +1,15 @@
-"""What machines tell one another about the servers (message types 200 to 249)."""
+"""The messages of the registry (types 200 to 249)."""
 
 from __future__ import annotations
 
+from typing import ClassVar
+
 from cloverrouter.messages.codec import message, nested
 
 
 @nested
 class ModelOnServer:
-    """One model as a server announces it."""
+    """A model that a server announces."""
 
     name: str
     version: int
@@ -16,10 +18,10 @@
 
 @nested
 class InstanceRecord:
-    """One start of a server, as it stands at the sender.
+    """An instance (one start of a server) as the sender knows it.
 
-    `state`: 0 ready, 1 draining, 2 gone. `age_ms`: how long ago the sender knows that the server lived; for
-    one that has ended, how long ago that became known.
+    `state`: 0 ready, 1 draining, 2 gone. `age_ms`: the time since the server was last known to be alive, or,
+    if it has ended, since that became known.
     """
 
     id: str
@@ -40,7 +42,7 @@
 
 @nested
 class Beat:
-    """A heartbeat without news."""
+    """A heartbeat of a server whose record has not changed."""
 
     id: str
     sequence: int
@@ -48,7 +50,7 @@
 
 @message(200)
 class Announce:
-    """Origin to voter: news of a server. Sent again until taken, where a receipt is wanted."""
+    """Origin to voter: a changed record. Resent until acknowledged, if `wants_receipt`."""
 
     record: InstanceRecord
     wants_receipt: bool
@@ -56,12 +58,14 @@
 
 @message(201)
 class AnnounceTaken:
-    """Voter to origin: the news is in the voter's list and on its way to all its subscribers.
+    """Voter to origin: the record is in the voter's list and on its way to all its subscribers.
 
-    `fingerprint`: that of the record that was told, so that a receipt for an earlier life of the origin is
-    worth no more than it says. `newer`: what the voter holds, if that is more than what it was told.
+    `fingerprint`: that of the record received, so that an acknowledgement meant for an earlier process of the
+    origin counts for that record only. `newer`: the voter's own record, if it has newer facts.
     """
 
+    METRIC_LABELS: ClassVar[tuple[str, str]] = ("registry_messages", "AnnounceTaken")
+
     id: str
     fingerprint: int
     newer: tuple[InstanceRecord, ...]
@@ -69,21 +73,25 @@
 
 @message(202)
 class Beats:
-    """Origin to voter: heartbeats of the last moments."""
+    """Origin to voter: the heartbeats received since the last batch."""
+
+    METRIC_LABELS: ClassVar[tuple[str, str]] = ("registry_messages", "Beats")
 
     beats: tuple[Beat, ...]
 
 
 @message(203)
 class UnknownInstances:
-    """Voter to origin: these servers' heartbeats say nothing to this voter; announce them."""
+    """Voter to origin: heartbeats of these servers arrived, but their records are missing; announce them."""
 
     ids: tuple[str, ...]
 
 
 @message(204)
 class News:
-    """Voter to subscriber: changed records. Sent again until taken."""
+    """Voter to subscriber: changed records. Resent until acknowledged."""
+
+    METRIC_LABELS: ClassVar[tuple[str, str]] = ("registry_messages", "News")
 
     number: int
     records: tuple[InstanceRecord, ...]
@@ -91,15 +99,18 @@
 
 @message(205)
 class NewsTaken:
-    """Subscriber to voter."""
+    """Subscriber to voter: acknowledges the records sent under that number."""
+
+    METRIC_LABELS: ClassVar[tuple[str, str]] = ("registry_messages", "NewsTaken")
 
     number: int
 
 
 @message(206)
 class Compare:
-    """Subscriber to voter, now and then: the digest of its list of live servers. Makes and keeps the
-    subscription.
+    """Subscriber to voter, periodically: the digest and length of its list of live servers.
+
+    It also starts and renews the subscription.
     """
 
     digest: int
@@ -108,7 +119,7 @@
 
 @message(207)
 class Same:
-    """Voter to subscriber: the lists agree. `next_ms`: when to compare again."""
+    """Voter to subscriber: the lists are equal. `next_ms`: after how long to compare again."""
 
     digest: int
     next_ms: int
@@ -116,7 +127,7 @@
 
 @message(208)
 class InstanceList:
-    """A list in parts. With `wants_answer`, the receiver sends back what the sender lacks."""
+    """One part of a list. If `wants_answer`, the receiver sends back what the sender lacks."""
 
     part: int
     parts: int
@@ -126,14 +137,14 @@
 
 @message(210)
 class SilenceCheck:
-    """Head to voter: the head has not heard these servers for too long. When did the voter?"""
+    """Head to voter: asks when the voter last heard from these servers, which the head counts as overdue."""
 
     ids: tuple[str, ...]
 
 
 @nested
 class HeardAgo:
-    """How long ago the sender knows that a server lived."""
+    """The time since the sender last knew a server to be alive."""
 
     id: str
     age_ms: int
@@ -141,13 +152,13 @@
 
 @message(211)
 class SilenceAnswer:
-    """Voter to head: of all servers in the check that the voter knows."""
+    """Voter to head: the answer to a `SilenceCheck`, for those servers that the voter knows."""
 
     servers: tuple[HeardAgo, ...]
 
 
 @message(209)
 class SilenceReport:
-    """Head to all: all servers that have been silent for too long."""
+    """Head to all: the complete set of servers marked as silent."""
 
     ids: tuple[str, ...]
--- a/cloverrouter/control/registry_voter.py
+++ b/cloverrouter/control/registry_voter.py
@@ -1,5 +1,5 @@
-"""The voter's part of the registry: takes news, passes them on to all, tracks heartbeats, and as head
-judges silence.
+"""The voter's side of the registry: forwards changes to all machines, tracks heartbeats and, as the head,
+detects silent servers.
 """
 
 from __future__ import annotations
@@ -9,7 +9,7 @@
 import attrs
 
 from cloverrouter.control.instances import from_record
-from cloverrouter.control.list_exchange import in_parts
+from cloverrouter.control.list_exchange import split_into_parts
 from cloverrouter.control.registry_messages import (
     Announce,
     AnnounceTaken,
@@ -25,134 +25,136 @@
     UnknownInstances,
 )
 from cloverrouter.control.servers_list import ListEffect, ServersList
-from cloverrouter.control.silence import SilenceJudge
+from cloverrouter.control.silence import SilenceDetector
 from cloverrouter.control.subscribers import Batch, Subscribers
 from cloverrouter.messages.sending import Send
 
-JUDGE_PERIOD = 0.5
-REPORT_FOR = 10.0
-LIST_KEPT = 0.3  # ages told in it are too young by so much at most
-NEWS_SPACING = 0.05  # at the first start, thousands of servers have news at once: they are put together
+DETECTION_PERIOD_S = 0.5
+REPORT_REPEAT_S = 10.0  # how long after a change an empty set of silent servers is reported, too
+LIST_CACHE_S = 0.3  # the ages in a cached list are too low by at most this much
+FORWARD_INTERVAL_S = 0.05  # at the first start thousands of servers register at once: batches their updates
 
 
 class RegistryVoter:
-    """What a machine does for the others while it is a voter."""
+    """The duties of a machine while it is a voter."""
 
     def __init__(self, servers: ServersList, heartbeat_interval: float) -> None:
         self.is_head = False
-        self.leads = True
-        """As head: no other machine can be head now. One that is cut off takes itself for it for long, and
-        hears few servers: it is not to judge them."""
+        self.is_sole_head = True
+        """Whether no other machine can be the head now. A head that is cut off goes on as head for long but
+        receives few heartbeats, so it must not mark servers as silent."""
         self._servers = servers
         self._subscribers = Subscribers()
-        self._judge = SilenceJudge(heartbeat_interval)
+        self._detector = SilenceDetector(heartbeat_interval)
         self._other_voters: tuple[str, ...] = ()
-        self._next_judgement = 0.0
+        self._next_detection = 0.0
         self._report_until = 0.0
-        self._list: tuple[InstanceList, ...] = ()
-        self._list_key = (0, -1)
-        self._listed_at = 0.0
-        self._passed_at = -NEWS_SPACING
-        self._waiting: dict[str, None] = {}  # ids of what is to be passed on next
-        self._answers: list[Send] = []  # to go out after these
+        self._cached_list: tuple[InstanceList, ...] = ()
+        self._cached_list_key = (0, -1)
+        self._cached_list_at = 0.0
+        self._forwarded_at = -FORWARD_INTERVAL_S
+        # Ids to forward with the next tick, in order, and the acknowledgements that follow them.
+        self._waiting_ids: dict[str, None] = {}
+        self._deferred_acknowledgements: list[Send] = []
 
     def resign(self) -> None:
-        """This machine is no voter any more."""
+        """Handles that this machine is no longer a voter."""
         self._subscribers.clear()
-        self._waiting.clear()
-        self._answers.clear()
+        self._waiting_ids.clear()
+        self._deferred_acknowledgements.clear()
         self.is_head = False
 
     def set_head(self, now: float, is_head: bool) -> None:
-        """As head it judges silence, taking over the marks that it knows."""
+        """Sets whether this machine is the head; a new one keeps the silence marks that it received."""
         if is_head and not self.is_head:
-            self._judge.became_head(now)
-            self._report_until = now + REPORT_FOR
+            self._detector.became_head(now)
+            self._report_until = now + REPORT_REPEAT_S
         self.is_head = is_head
 
     def voters_changed(self, others: Iterable[str]) -> None:
-        """The other voters: as head it asks them before it calls a server silent."""
+        """Sets the other voters, which the head asks before it marks a server as silent."""
         self._other_voters = tuple(others)
 
     def check_silence(self, now: float, ip: str, message: SilenceCheck) -> list[Send]:
-        """The head asks when servers were heard here."""
+        """Answers the head's question when servers were last heard from here."""
         liveness = self._servers.liveness
-        known = [each for each in message.ids if liveness.knows(each)]
-        answer = [HeardAgo(each, round(max(liveness.age(now, each), 0.0) * 1000)) for each in known]
+        ids = [each for each in message.ids if liveness.knows(each)]
+        answer = [HeardAgo(each, round(max(liveness.age(now, each), 0.0) * 1000)) for each in ids]
         return [Send(ip, SilenceAnswer(tuple(answer)))]
 
     def silence_checked(self, now: float, ip: str, message: SilenceAnswer) -> list[Send | ListEffect]:
-        """Another voter tells when it heard servers: it may have heard what this one missed."""
+        """Merges another voter's answer, as it may have received heartbeats that this one missed."""
         if not self.is_head or ip not in self._other_voters:
             return []
         for each in message.servers:
             age = each.age_ms / 1000
             if each.id in self._servers and age >= 0:
-                self._servers.liveness.heard(each.id, now - age)
-                self._judge.witnessed(now, ip, each.id, age)
-        return self._judge_silence(now, asks=False) if self.leads else []
+                self._servers.liveness.record_alive(each.id, now - age)
+                self._detector.record_voter_answer(now, ip, each.id, age)
+        return self._detect_silence(now, ask_voters=False) if self.is_sole_head else []
 
-    def taken(self, now: float, ip: str, message: Announce) -> list[Send]:
-        """The answer to an origin whose news were merged, once they are passed on."""
+    def acknowledge(self, now: float, ip: str, message: Announce) -> list[Send]:
+        """Returns the acknowledgement of a merged record, or defers it until the record is forwarded."""
         record = message.record
         newer = () if self._servers.holds(now, record) else tuple(self._servers.records(now, [record.id]))
         if not message.wants_receipt and not newer:
             return []
         fingerprint = from_record(now, record).fingerprint()
         answer = Send(ip, AnnounceTaken(record.id, fingerprint, newer))
-        if record.id in self._waiting:
-            self._answers.append(answer)
+        if record.id in self._waiting_ids:
+            self._deferred_acknowledgements.append(answer)
             return []
         return [answer]
 
-    def take_beats(self, now: float, ip: str, beats: Iterable[Beat]) -> list[Send]:
-        """Heartbeats; the origin is asked for what is not known here."""
+    def record_heartbeats(self, now: float, ip: str, beats: Iterable[Beat]) -> list[Send]:
+        """Records heartbeats, and asks the origin for the records of servers unknown here."""
         unknown = []
         for beat in beats:
-            if self._servers.table.beat(beat.id, beat.sequence):
-                self._servers.liveness.heard(beat.id, now)
+            if self._servers.table.record_heartbeat(beat.id, beat.sequence):
+                self._servers.liveness.record_alive(beat.id, now)
             else:
                 unknown.append(beat.id)
         return [Send(ip, UnknownInstances(tuple(unknown)))] if unknown else []
 
-    def pass_on(self, now: float, ids: Iterable[str], source: str) -> list[Send]:
-        """Changed records, to all subscribers but the source: at once, or, after others only just, with the
-        next tick.
+    def forward(self, now: float, ids: Iterable[str], source: str) -> list[Send]:
+        """Sends changed records to all subscribers but the source.
+
+        If others were sent within `FORWARD_INTERVAL_S`, they wait for the next tick.
         """
-        if now - self._passed_at < NEWS_SPACING:
-            self._waiting.update(dict.fromkeys(ids))
+        if now - self._forwarded_at < FORWARD_INTERVAL_S:
+            self._waiting_ids.update(dict.fromkeys(ids))
             return []
-        return self._pass_now(now, ids, source)
+        return self._forward_now(now, ids, source)
 
-    def _pass_now(self, now: float, ids: Iterable[str], source: str) -> list[Send]:
-        self._passed_at = now
+    def _forward_now(self, now: float, ids: Iterable[str], source: str) -> list[Send]:
+        self._forwarded_at = now
         sends = []
         for batch, ips in self._subscribers.queue(now, ids, source):
-            news = self._news(now, batch)
-            sends += [Send(ip, news) for ip in ips]
+            message = self._updates_message(now, batch)
+            sends += [Send(ip, message) for ip in ips]
         return sends
 
-    def _pass_waiting(self, now: float) -> list[Send]:
-        sends = [*self._pass_now(now, self._waiting, source=""), *self._answers]
-        self._waiting.clear()
-        self._answers.clear()
+    def _forward_waiting(self, now: float) -> list[Send]:
+        sends = [*self._forward_now(now, self._waiting_ids, source=""), *self._deferred_acknowledgements]
+        self._waiting_ids.clear()
+        self._deferred_acknowledgements.clear()
         return sends
 
     def subscribers(self) -> list[str]:
-        """The machines that news are passed on to."""
+        """Returns the machines that updates are sent to."""
         return list(self._subscribers)
 
-    def news_taken(self, ip: str, number: int) -> None:
-        """A subscriber has news."""
-        self._subscribers.taken(ip, number)
+    def updates_acknowledged(self, ip: str, number: int) -> None:
+        """Records a subscriber's acknowledgement of a batch."""
+        self._subscribers.acknowledged(ip, number)
 
     def answer_compare(self, now: float, ip: str, message: Compare) -> list[Send]:
-        """A subscriber's list may differ."""
+        """Answers a subscriber's comparison, with the whole list if theirs differs repeatedly."""
         table = self._servers.table
         agrees = message.digest == table.digest and message.count == table.live_count
-        wants_list = self._subscribers.heard(now, ip, agrees=agrees, list_length=table.live_count)
+        wants_list = self._subscribers.compared(now, ip, agrees=agrees, list_length=table.live_count)
         sends: list[Send] = []
-        if self.is_head and self.leads and (self._servers.silent or now < self._report_until):
+        if self.is_head and self.is_sole_head and (self._servers.silent or now < self._report_until):
             sends.append(self._silence_report(ip))
         if agrees:
             sends.append(Send(ip, Same(message.digest, round(self._subscribers.compare_period * 1000))))
@@ -161,47 +163,49 @@
         return sends
 
     def _whole_list(self, now: float) -> tuple[InstanceList, ...]:
-        """The parts of the list. The same for a moment: after a restart of many, all of them want it."""
+        """Returns the list in parts, cached briefly: after a restart of many machines all of them need it."""
         key = (self._servers.table.digest, self._servers.table.live_count)
-        if key != self._list_key or now - self._listed_at > LIST_KEPT:
+        if key != self._cached_list_key or now - self._cached_list_at > LIST_CACHE_S:
             records = self._servers.records(now, [each.id for each in self._servers])
-            self._list = tuple(in_parts(records, wants_answer=True))
-            self._list_key, self._listed_at = key, now
-        return self._list
+            self._cached_list = tuple(split_into_parts(records, wants_answer=True))
+            self._cached_list_key, self._cached_list_at = key, now
+        return self._cached_list
 
     def tick(self, now: float) -> list[Send | ListEffect]:
-        """News not taken in time, and as head the judgement on silence."""
-        if self.leads:
-            self._judge.ticked(now)
+        """Sends waiting and unacknowledged updates; as the head, also detects silent servers."""
+        if self.is_sole_head:
+            self._detector.tick(now)
         self._subscribers.expire(now)
         effects: list[Send | ListEffect] = []
-        if self._waiting:
-            effects += self._pass_waiting(now)
-        effects += [Send(ip, self._news(now, batch)) for ip, batch in self._subscribers.to_resend(now)]
-        if self.is_head and self.leads and now >= self._next_judgement:
-            self._next_judgement = now + JUDGE_PERIOD
-            effects += self._judge_silence(now)
+        if self._waiting_ids:
+            effects += self._forward_waiting(now)
+        effects += [
+            Send(ip, self._updates_message(now, batch)) for ip, batch in self._subscribers.to_resend(now)
+        ]
+        if self.is_head and self.is_sole_head and now >= self._next_detection:
+            self._next_detection = now + DETECTION_PERIOD_S
+            effects += self._detect_silence(now)
         return effects
 
-    def _judge_silence(self, now: float, asks: bool = True) -> list[Send | ListEffect]:
+    def _detect_silence(self, now: float, ask_voters: bool = True) -> list[Send | ListEffect]:
         servers = self._servers
-        alone = not self._other_voters
-        judgement = self._judge.judge(now, list(servers), servers.liveness, servers.silent, alone)
-        effects: list[Send | ListEffect] = [*servers.mark(judgement.silent)]
+        is_only_voter = not self._other_voters
+        result = self._detector.detect(now, list(servers), servers.liveness, servers.silent, is_only_voter)
+        effects: list[Send | ListEffect] = [*servers.set_silent(result.silent)]
         if effects:
-            self._report_until = now + REPORT_FOR
+            self._report_until = now + REPORT_REPEAT_S
             effects += [self._silence_report(ip) for ip in self._subscribers]
-        if asks and judgement.to_check:
-            effects += [Send(ip, SilenceCheck(judgement.to_check)) for ip in self._other_voters]
-        lost: list[str] = []
-        for instance in (servers.table.get(each) for each in judgement.given_up):
+        if ask_voters and result.to_check:
+            effects += [Send(ip, SilenceCheck(result.to_check)) for ip in self._other_voters]
+        changed: list[str] = []
+        for instance in (servers.table.get(each) for each in result.given_up):
             if instance is not None:
-                lost += servers.merge(now, attrs.evolve(instance, lost=instance.generation))
-        if lost:
-            effects += [servers.changed_effect(lost), *self.pass_on(now, lost, source="")]
+                changed += servers.merge(now, attrs.evolve(instance, lost=instance.generation))
+        if changed:
+            effects += [servers.changed_effect(changed), *self.forward(now, changed, source="")]
         return effects
 
-    def _news(self, now: float, batch: Batch) -> News:
+    def _updates_message(self, now: float, batch: Batch) -> News:
         return News(batch.number, tuple(self._servers.records(now, batch.ids)))
 
     def _silence_report(self, ip: str) -> Send:
--- a/cloverrouter/control/subscribers.py
+++ b/cloverrouter/control/subscribers.py
@@ -1,4 +1,4 @@
-"""The voter's part of the registry: who subscribes to it, and what each of them has not taken yet."""
+"""A voter's subscribers, and the updates that each of them has not acknowledged yet."""
 
 from __future__ import annotations
 
@@ -6,20 +6,22 @@
 
 import attrs
 
-RESEND_AFTER = 0.3
-MAX_BATCHES = 64
-BATCH_LENGTH = 100
-SHORTEST_COMPARE_PERIOD = 2.0
-COMPARES_A_SECOND = 100
-EXPIRE_PERIODS = 3.5
-LEAST_LISTS_A_WINDOW = 4
-RECORDS_A_WINDOW = 40_000  # about 3 MB
-LIST_WINDOW = 0.5
+RESEND_AFTER_S = 0.3
+MAX_UNACKNOWLEDGED_BATCHES = 64
+"""A subscriber with more unacknowledged batches catches up by comparing lists instead."""
+INSTANCES_PER_BATCH = 100
+MIN_COMPARE_PERIOD_S = 2.0
+MAX_COMPARES_PER_S = 100
+EXPIRE_AFTER_PERIODS = 3.5
+MIN_LISTS_PER_WINDOW = 4
+MAX_RECORDS_PER_WINDOW = 40_000  # about 3 MB
+LIST_WINDOW_S = 0.5
+"""The window in which the number of whole lists sent is limited."""
 
 
 @attrs.frozen(slots=True)
 class Batch:
-    """Ids of instances whose records were sent, or are to be sent, under one number."""
+    """Ids of instances whose records are sent in one message, under its number."""
 
     number: int
     ids: tuple[str, ...]
@@ -28,13 +30,13 @@
 
 @attrs.define(slots=True)
 class _Subscriber:
-    heard_at: float
+    compared_at: float
     batches: dict[int, Batch] = attrs.field(factory=dict)
     differed: bool = True
 
 
 class Subscribers:
-    """The machines that a voter passes news on to. News are numbered batches, sent again until taken."""
+    """The machines that a voter sends updates to, in numbered batches that are resent until acknowledged."""
 
     def __init__(self) -> None:
         self._subscribers: dict[str, _Subscriber] = {}
@@ -49,24 +51,23 @@
 
     @property
     def compare_period(self) -> float:
-        """How often each is to compare its list: seldom enough that all together stay bounded."""
-        return max(SHORTEST_COMPARE_PERIOD, len(self._subscribers) / COMPARES_A_SECOND)
+        """The seconds between one subscriber's comparisons; it grows so that the total rate is bounded."""
+        return max(MIN_COMPARE_PERIOD_S, len(self._subscribers) / MAX_COMPARES_PER_S)
 
     def clear(self) -> None:
-        """This machine is no voter any more."""
+        """Drops all subscribers, as this machine is no longer a voter."""
         self._subscribers.clear()
 
-    def heard(self, now: float, ip: str, *, agrees: bool, list_length: int) -> bool:
-        """A subscriber compared its list; returns whether it is to be sent the whole list, which has that
-        length.
+    def compared(self, now: float, ip: str, *, agrees: bool, list_length: int) -> bool:
+        """Records a subscriber's comparison; returns whether to send it the list of `list_length` records.
 
-        A single difference is mostly news that are under way, so only the second one in a row counts, or
-        the first of a new subscriber.
+        A single difference is mostly due to updates in flight, so the list is sent only after the second
+        difference in a row, or the first one of a new subscriber.
         """
         subscriber = self._subscribers.get(ip)
         if subscriber is None:
             subscriber = self._subscribers[ip] = _Subscriber(now)
-        subscriber.heard_at = now
+        subscriber.compared_at = now
         if agrees:
             subscriber.differed = False
             return False
@@ -76,59 +77,61 @@
         return self._may_send_list(now, list_length)
 
     def queue(self, now: float, ids: Iterable[str], source: str) -> list[tuple[Batch, list[str]]]:
-        """News for all subscribers but the one that they came from: what to send to whom."""
+        """Queues updates for all subscribers but the source; returns the batches and their receivers."""
         ids = tuple(ids)
-        to = [ip for ip in self._subscribers if ip != source]
-        cuts = range(0, len(ids), BATCH_LENGTH)
-        batches = [self._numbered(now, ids[start : start + BATCH_LENGTH]) for start in cuts]
-        for ip in to:
+        receivers = [ip for ip in self._subscribers if ip != source]
+        starts = range(0, len(ids), INSTANCES_PER_BATCH)
+        batches = [self._numbered(now, ids[start : start + INSTANCES_PER_BATCH]) for start in starts]
+        for ip in receivers:
             for batch in batches:
-                self._await(self._subscribers[ip], batch)
-        return [(batch, to) for batch in batches]
+                self._add_unacknowledged(self._subscribers[ip], batch)
+        return [(batch, receivers) for batch in batches]
 
-    def taken(self, ip: str, number: int) -> None:
-        """A subscriber has the batch of that number."""
+    def acknowledged(self, ip: str, number: int) -> None:
+        """Records a subscriber's acknowledgement of the batch with that number."""
         subscriber = self._subscribers.get(ip)
         if subscriber is not None:
             subscriber.batches.pop(number, None)
 
     def to_resend(self, now: float) -> list[tuple[str, Batch]]:
-        """Batches that were not taken in time, to be sent again under new numbers."""
-        again = []
+        """Returns the batches that were not acknowledged in time, renumbered, to be sent again."""
+        resends = []
         for ip, subscriber in self._subscribers.items():
-            late = [batch for batch in subscriber.batches.values() if now - batch.sent_at >= RESEND_AFTER]
-            for batch in late:
+            overdue = [
+                batch for batch in subscriber.batches.values() if now - batch.sent_at >= RESEND_AFTER_S
+            ]
+            for batch in overdue:
                 del subscriber.batches[batch.number]
                 fresh = self._numbered(now, batch.ids)
-                self._await(subscriber, fresh)
-                again.append((ip, fresh))
-        return again
+                self._add_unacknowledged(subscriber, fresh)
+                resends.append((ip, fresh))
+        return resends
 
     def expire(self, now: float) -> None:
-        """Drops those that have not compared their lists for a while."""
-        limit = EXPIRE_PERIODS * self.compare_period
-        late = [ip for ip, subscriber in self._subscribers.items() if now - subscriber.heard_at > limit]
-        for ip in late:
+        """Drops subscribers that have not compared their lists for several periods."""
+        limit = EXPIRE_AFTER_PERIODS * self.compare_period
+        expired = [ip for ip, subscriber in self._subscribers.items() if now - subscriber.compared_at > limit]
+        for ip in expired:
             del self._subscribers[ip]
 
     def _numbered(self, now: float, ids: tuple[str, ...]) -> Batch:
-        # Above the numbers of an earlier life of this process, for which receipts may still come.
+        # Above the numbers of an earlier process on this machine, whose acknowledgements may still arrive.
         self._number = max(self._number + 1, int(now * 1000))
         return Batch(self._number, ids, now)
 
     @staticmethod
-    def _await(subscriber: _Subscriber, batch: Batch) -> None:
+    def _add_unacknowledged(subscriber: _Subscriber, batch: Batch) -> None:
         subscriber.batches[batch.number] = batch
-        if len(subscriber.batches) > MAX_BATCHES:
-            # Too far behind for batches: the next comparison finds the difference.
+        if len(subscriber.batches) > MAX_UNACKNOWLEDGED_BATCHES:
+            # Too far behind for resends: the next comparison finds the difference.
             subscriber.batches.clear()
             subscriber.differed = True
 
     def _may_send_list(self, now: float, list_length: int) -> bool:
-        """Whole lists are long: when all want one at once, some wait for their next comparison."""
-        self._lists_sent = [at for at in self._lists_sent if now - at < LIST_WINDOW]
-        most = max(LEAST_LISTS_A_WINDOW, RECORDS_A_WINDOW // max(list_length, 1))
-        if len(self._lists_sent) >= most:
+        """Limits how many whole lists are sent at once; other subscribers wait for their next comparison."""
+        self._lists_sent = [at for at in self._lists_sent if now - at < LIST_WINDOW_S]
+        max_lists = max(MIN_LISTS_PER_WINDOW, MAX_RECORDS_PER_WINDOW // max(list_length, 1))
+        if len(self._lists_sent) >= max_lists:
             return False
         self._lists_sent.append(now)
         return True
--- a/tests/system/registry_fleet.py
+++ b/tests/system/registry_fleet.py
@@ -1,4 +1,4 @@
-"""A fleet of registries in the small lossy world, for tests and scenarios."""
+"""A fleet of registries in the simulated lossy network, for tests and scenarios."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class Machine:
-    """A registry that knows the voters from its start."""
+    """A machine with a registry that knows the voters from its start."""
 
     def __init__(self, fleet: RegistryFleet, ip: str) -> None:
         self.fleet = fleet
@@ -35,14 +35,14 @@
 
 
 class RegistryFleet:
-    """`size` machines, the first of them voters, the very first the head; and servers that call them."""
+    """`size` machines, the first `voters` of them voters and the first one the head, and their servers."""
 
     def __init__(self, world: World, size: int, voters: int = 3) -> None:
         self.world = world
         self.ips = [f"10.0.{number // 250}.{number % 250 + 1}" for number in range(size)]
         self.voters = self.ips[:voters]
         self.head = self.ips[0]
-        self.beating: dict[str, bool] = {}
+        self.sends_heartbeats: dict[str, bool] = {}
         for ip in self.ips:
             world.add(ip, Machine(self, ip))
 
@@ -62,7 +62,7 @@
         state: InstanceState = InstanceState.READY,
         warm_at: float = 0.0,
     ) -> int:
-        """The server calls the machine at `ip`; returns the number of the change."""
+        """The server calls the machine at `ip` with its state; returns the number of the change."""
         instance = Instance(
             instance_id,
             service,
@@ -77,20 +77,20 @@
         return change
 
     def withdraw(self, ip: str, instance_id: str) -> int:
-        """The server calls that it has ended."""
+        """The server tells the machine at `ip` that it has ended; returns the number of the change."""
         change, effects = self.registry(ip).withdrawn(self.world.now, instance_id)
         self.world.take(ip, effects)
         return change
 
     def beat(self, instance_id: str, ips: Iterable[str], *, service: str = "svc", address: str = "") -> None:
-        """From now on the server calls these machines in turn, until `hush`."""
+        """The server sends a heartbeat every `INTERVAL` to these machines in turn, until `hush`."""
         callees = list(ips)
-        self.beating[instance_id] = True
+        self.sends_heartbeats[instance_id] = True
         sequence = 0
 
         def call() -> None:
             nonlocal sequence
-            if not self.beating[instance_id]:
+            if not self.sends_heartbeats[instance_id]:
                 return
             sequence += 1
             ip = callees[sequence % len(callees)]
@@ -100,18 +100,18 @@
 
         self.world.at(self.world.now + self.world.random.uniform(0, INTERVAL), call)
 
-    def told_head(self, ips: Iterable[str]) -> None:
-        """These machines learn who is the head."""
+    def announce_head(self, ips: Iterable[str]) -> None:
+        """Tells these machines who is the head."""
         for ip in ips:
             if ip in self.world.cores:
                 self.registry(ip).set_head(self.world.now, self.head)
 
     def hush(self, instance_id: str) -> None:
-        """The server dies without a word."""
-        self.beating[instance_id] = False
+        """Stops the server's heartbeats without removing it from the list."""
+        self.sends_heartbeats[instance_id] = False
 
     def restart(self, ip: str) -> None:
-        """The machine's process is new and empty; its links come up again."""
+        """Replaces the machine's process by a new one with an empty list; its links come up again."""
         self.world.stop(ip)
         self.world.add(ip, Machine(self, ip), after=0.1)
         for other in self.ips:
@@ -119,23 +119,23 @@
                 self.world.at(self.world.now + 0.12, lambda other=other: self._link_up(other, ip))  # type: ignore[misc]
 
     def knows(self, ip: str, service: str = "svc") -> dict[str, InstanceState]:
-        """What the machine would send to."""
+        """Returns the states of the servers that the machine would send requests to."""
         return {each.id: each.state for each in self.registry(ip).instances(service)}
 
     def all_know(self, expected: dict[str, InstanceState], ips: Iterable[str] | None = None) -> bool:
-        """True if all machines (or those named) that are up have exactly this list."""
+        """Returns whether all machines that are up (or those of `ips`) have exactly this list."""
         chosen = [ip for ip in (self.ips if ips is None else ips) if ip in self.world.cores]
         return all(self.knows(ip) == expected for ip in chosen)
 
     def was_acknowledged(self, ip: str, change: int) -> bool:
-        """True if the change's server may be answered 200."""
-        return Acknowledged(change) in self._of_this_life(ip)
+        """Returns whether the change was acknowledged to its server (answered 200)."""
+        return Acknowledged(change) in self._effects_since_start(ip)
 
     def has_failed(self, ip: str, change: int) -> bool:
-        """True if the change's server is to be answered 503."""
-        return Failed(change) in self._of_this_life(ip)
+        """Returns whether the change failed (answered 503)."""
+        return Failed(change) in self._effects_since_start(ip)
 
-    def _of_this_life(self, ip: str) -> list[object]:
+    def _effects_since_start(self, ip: str) -> list[object]:
         machine = self.world.cores.get(ip)
         if not isinstance(machine, Machine):
             return []
--- a/tests/system/test_instances.py
+++ b/tests/system/test_instances.py
@@ -1,4 +1,4 @@
-"""Merging news of servers: any order, any number of times, the same result."""
+"""Merging records of servers gives the same result in any order and with any number of repeats."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from cloverrouter.control.instance_table import ENDED_KEPT_FOR, InstanceTable
+from cloverrouter.control.instance_table import ENDED_RETENTION_S, InstanceTable
 from cloverrouter.control.instances import Instance, InstanceState, from_record, merge
 from cloverrouter.control.registry_messages import ModelOnServer
 
@@ -47,13 +47,13 @@
 
 
 @given(st.lists(st.tuples(st.sampled_from(["i", "j", "k"]), instances), max_size=12), st.randoms())
-def test_tables_that_heard_the_same_news_have_the_same_digest(
-    news: list[tuple[str, Instance]], random: object
+def test_tables_that_merged_the_same_records_have_the_same_digest(
+    records: list[tuple[str, Instance]], random: object
 ) -> None:
-    shuffled = list(news)
+    shuffled = list(records)
     random.shuffle(shuffled)  # type: ignore[attr-defined]
     tables = InstanceTable(), InstanceTable()
-    for table, order in zip(tables, (news, shuffled), strict=True):
+    for table, order in zip(tables, (records, shuffled), strict=True):
         for name, instance in order:
             table.merge(1.0, attrs.evolve(instance, id=name))
     assert tables[0].digest == tables[1].digest
@@ -62,9 +62,9 @@
 
 
 @given(st.lists(st.tuples(st.sampled_from(["i", "j"]), instances), max_size=8))
-def test_the_digest_is_that_of_what_is_held_whatever_came_before(news: list[tuple[str, Instance]]) -> None:
+def test_the_digest_depends_only_on_the_current_entries(records: list[tuple[str, Instance]]) -> None:
     table, rebuilt = InstanceTable(), InstanceTable()
-    for name, instance in news:
+    for name, instance in records:
         table.merge(1.0, attrs.evolve(instance, id=name))
     for instance in table:
         rebuilt.merge(2.0, instance)
@@ -76,11 +76,11 @@
     assert from_record(20.0, instance.to_record(10.0, 0.0)) == attrs.evolve(instance, warm_at=22.5)
 
 
-def test_what_has_ended_is_kept_for_a_while_and_then_forgotten() -> None:
+def test_the_tombstone_of_an_ended_instance_is_kept_and_then_removed() -> None:
     table = InstanceTable()
     table.merge(0.0, Instance("i", "s", "a:1", state=InstanceState.GONE, sequence=3))
     table.merge(1.0, Instance("i", "s", "a:1", sequence=2))
     assert table.usable("s") == ()
-    assert table.forget_ended(ENDED_KEPT_FOR - 1) == []
-    assert table.forget_ended(ENDED_KEPT_FOR) == ["i"]
+    assert table.forget_ended(ENDED_RETENTION_S - 1) == []
+    assert table.forget_ended(ENDED_RETENTION_S) == ["i"]
     assert "i" not in table
--- a/tests/system/test_kept_servers.py
+++ b/tests/system/test_kept_servers.py
@@ -1,4 +1,4 @@
-"""The copy of the list of servers: what is kept, when it is taken back, and what a bad disk does."""
+"""Snapshots of the list of servers: what is written and restored, when, and failures of the disk."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
 
 from cloverrouter.control.instances import Instance, InstanceState
 from cloverrouter.control.kept_servers import (
-    LOOK_S,
-    MOST_BYTES,
-    OLDEST_S,
-    RENEW_S,
-    TAKEN_BACK_AFTER_S,
+    MAX_AGE_S,
+    MAX_BYTES,
+    REFRESH_INTERVAL_S,
+    RESTORE_DELAY_S,
+    WRITE_INTERVAL_S,
     KeptServers,
     pack,
     unpack,
@@ -55,101 +55,101 @@
     return {instance.id for effect in changed for instance in effect.instances}
 
 
-def kept_by(before: Registry, now: float = NOW) -> bytes:
+def snapshot_of(before: Registry, now: float = NOW) -> bytes:
     data = pack(before.records(now), WALL)
     assert data is not None
     return data
 
 
-def started_again(before: Registry, after: Registry, now: float) -> KeptServers:
+def restarted(before: Registry, after: Registry, now: float) -> KeptServers:
     kept = KeptServers(after)
-    kept.found(now, unpack(kept_by(before), WALL + 2.0))
+    kept.found(now, unpack(snapshot_of(before), WALL + 2.0))
     return kept
 
 
-def test_a_restart_of_everything_finds_all_servers_again() -> None:
+def test_a_restart_of_the_whole_fleet_restores_all_servers() -> None:
     before = registry(*(server(place) for place in range(24)))
     after = registry(now=100.0)
-    kept = started_again(before, after, 100.0)
-    assert not kept.tick(100.0 + TAKEN_BACK_AFTER_S / 2)
-    assert ids(kept.tick(100.0 + TAKEN_BACK_AFTER_S)) == {f"i-{place}" for place in range(24)}
+    kept = restarted(before, after, 100.0)
+    assert not kept.tick(100.0 + RESTORE_DELAY_S / 2)
+    assert ids(kept.tick(100.0 + RESTORE_DELAY_S)) == {f"i-{place}" for place in range(24)}
     assert len(after.instances("model")) == 24
     assert not kept.tick(101.0)
 
 
-def test_what_the_others_know_mostly_is_left_to_them() -> None:
+def test_a_list_that_the_others_mostly_have_is_not_restored() -> None:
     before = registry(*(server(place) for place in range(24)))
     after = registry(*(server(place, sequence=9) for place in range(12)), now=100.0)
-    assert not started_again(before, after, 100.0).tick(100.0 + TAKEN_BACK_AFTER_S)
+    assert not restarted(before, after, 100.0).tick(100.0 + RESTORE_DELAY_S)
     assert len(after.instances("model")) == 12
 
 
-def test_a_server_that_has_said_more_meanwhile_is_believed() -> None:
+def test_a_newer_announcement_of_a_server_wins_over_its_restored_record() -> None:
     before = registry(*(server(place) for place in range(24)))
-    drains = server(3, state=InstanceState.DRAINING, sequence=9)
-    after = registry(drains, server(4, sequence=8, capacity=48), now=100.0)
-    started_again(before, after, 100.0).tick(100.0 + TAKEN_BACK_AFTER_S)
+    draining = server(3, state=InstanceState.DRAINING, sequence=9)
+    after = registry(draining, server(4, sequence=8, capacity=48), now=100.0)
+    restarted(before, after, 100.0).tick(100.0 + RESTORE_DELAY_S)
     found = {each.id: each for each in after.instances("model")}
     assert found["i-3"].state is InstanceState.DRAINING
     assert (found["i-4"].sequence, found["i-4"].capacity) == (8, 48)
 
 
-def test_servers_that_were_leaving_or_gone_stay_so() -> None:
+def test_servers_that_were_draining_or_gone_are_restored_as_such() -> None:
     before = registry(*(server(place) for place in range(24)))
     before.announced(NOW, server(1, state=InstanceState.DRAINING, sequence=6))
     before.withdrawn(NOW, "i-2")
     after = registry(now=100.0)
-    started_again(before, after, 100.0).tick(100.0 + TAKEN_BACK_AFTER_S)
+    restarted(before, after, 100.0).tick(100.0 + RESTORE_DELAY_S)
     states = {each.id: each.state for each in after.instances("model")}
     assert states["i-1"] is InstanceState.DRAINING
     assert "i-2" not in states
 
 
-def test_a_server_taken_back_is_acknowledged_by_a_majority_only() -> None:
+def test_a_restored_server_is_acknowledged_only_with_a_majority() -> None:
     before = registry(*(server(place) for place in range(24)))
     after = registry(now=100.0)
     after.voters_changed(100.0, [OWN, "10.0.0.2", "10.0.0.3"])
-    started_again(before, after, 100.0).tick(100.0 + TAKEN_BACK_AFTER_S)
+    restarted(before, after, 100.0).tick(100.0 + RESTORE_DELAY_S)
     change, effects = after.announced(100.3, server(7, sequence=6))
     assert not [effect for effect in effects if getattr(effect, "change", None) == change]
 
 
-def test_its_age_counts() -> None:
+def test_records_are_aged_and_old_snapshots_are_ignored() -> None:
     before = registry(*(server(place) for place in range(24)))
-    [record, *_] = unpack(kept_by(before), WALL + 3.0)
+    [record, *_] = unpack(snapshot_of(before), WALL + 3.0)
     assert record.age_ms >= 3000
-    assert unpack(kept_by(before), WALL + OLDEST_S + 1.0) == ()
-    assert unpack(kept_by(before), WALL - 1.0)
+    assert unpack(snapshot_of(before), WALL + MAX_AGE_S + 1.0) == ()
+    assert unpack(snapshot_of(before), WALL - 1.0)
 
 
-def test_what_is_no_copy_is_none() -> None:
-    data = kept_by(registry(server(1)))
+def test_malformed_snapshots_are_ignored() -> None:
+    data = snapshot_of(registry(server(1)))
     assert unpack(b"", WALL) == ()
     assert unpack(data[:7], WALL) == ()
     assert unpack(data[:-1], WALL) == ()
     assert unpack(data[:8] + b"\xff" * 40, WALL) == ()
-    assert unpack(b"\x7f\xf8" + data[2:], WALL) == ()  # a time that is no number
+    assert unpack(b"\x7f\xf8" + data[2:], WALL) == ()  # the time is NaN
 
 
-def test_it_is_copied_when_it_changed_and_now_and_then() -> None:
+def test_it_is_written_after_a_change_and_periodically() -> None:
     after = registry(server(1))
     kept = KeptServers(after)
     kept.found(NOW, ())
-    assert kept.due(NOW + LOOK_S / 2) is None
-    assert kept.due(NOW + LOOK_S) is not None
-    assert kept.due(NOW + 2 * LOOK_S) is None
-    after.announced(NOW + 2 * LOOK_S, server(2))
-    assert len(kept.due(NOW + 3 * LOOK_S) or ()) == 2
-    assert kept.due(NOW + 4 * LOOK_S) is None
-    assert kept.due(NOW + 3 * LOOK_S + RENEW_S) is not None
+    assert kept.due(NOW + WRITE_INTERVAL_S / 2) is None
+    assert kept.due(NOW + WRITE_INTERVAL_S) is not None
+    assert kept.due(NOW + 2 * WRITE_INTERVAL_S) is None
+    after.announced(NOW + 2 * WRITE_INTERVAL_S, server(2))
+    assert len(kept.due(NOW + 3 * WRITE_INTERVAL_S) or ()) == 2
+    assert kept.due(NOW + 4 * WRITE_INTERVAL_S) is None
+    assert kept.due(NOW + 3 * WRITE_INTERVAL_S + REFRESH_INTERVAL_S) is not None
 
 
-def test_a_list_that_is_too_long_is_not_kept() -> None:
+def test_a_list_that_is_too_long_is_not_written() -> None:
     record = registry(server(1, version="v" * 1000)).records(NOW)
-    assert pack(record * (MOST_BYTES // 1000), WALL) is None
+    assert pack(record * (MAX_BYTES // 1000), WALL) is None
 
 
-def test_a_file_holds_what_was_written_last(tmp_path: Path) -> None:
+def test_a_file_has_the_content_of_the_last_write(tmp_path: Path) -> None:
     file = WholeFile(tmp_path / "a.copy")
     assert file.read() is None
     file.write(b"one")
@@ -159,31 +159,31 @@
     assert file.read() is None
 
 
-def test_a_disk_that_takes_nothing_is_told_of_once(tmp_path: Path) -> None:
+def test_failing_writes_are_logged_once(tmp_path: Path) -> None:
     with pytest.raises(StoreFailed):
         WholeFile(tmp_path / "no such folder" / "a.copy").write(b"one")
 
     async def scene() -> None:
-        told: list[str] = []
-        copy = ServersCopy(tmp_path / "none", registry(server(1)), lambda event, **_: told.append(event))
+        logged: list[str] = []
+        copy = ServersCopy(tmp_path / "none", registry(server(1)), lambda event, **_: logged.append(event))
         await copy.find()
         now = asyncio.get_running_loop().time()
         for step in range(1, 4):
-            copy.tick(now + step * (RENEW_S + LOOK_S))
+            copy.tick(now + step * (REFRESH_INTERVAL_S + WRITE_INTERVAL_S))
             assert copy._writing is not None
             await copy._writing
-        assert told == ["servers-not-copied"]
+        assert logged == ["servers-not-copied"]
         copy.close()
 
     asyncio.run(scene())
 
 
-def test_the_next_process_finds_the_copy(tmp_path: Path) -> None:
+def test_the_next_process_restores_the_snapshot(tmp_path: Path) -> None:
     async def scene() -> None:
         now = asyncio.get_running_loop().time()
         before = ServersCopy(tmp_path, registry(*map(server, range(6)), now=now), lambda event, **_: None)
         await before.find()
-        before.tick(now + 2 * LOOK_S)
+        before.tick(now + 2 * WRITE_INTERVAL_S)
         assert before._writing is not None
         await before._writing
         before.close()
--- a/tests/system/test_pages_servers.py
+++ b/tests/system/test_pages_servers.py
@@ -1,4 +1,4 @@
-"""What the pages say of heartbeats: late, out of order, removals, and machines that are cut off."""
+"""The documented contract for servers: late and reordered heartbeats, removals, and cut-off machines."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 @pytest.mark.parametrize("state", [READY, DRAINING, GONE])
 def test_with_a_voter_that_stands_still_news_are_acknowledged_in_time(state: InstanceState) -> None:
-    """A server waits a second for its acknowledgement."""
+    """A server waits one second for its acknowledgement."""
     made = fleet()
     made.announce(made.ips[7], "a", 1)
     made.world.run(made.world.now + 3)
@@ -32,7 +32,7 @@
     made.world.run_until(lambda: made.was_acknowledged(origin, change), ACKNOWLEDGED_WITHIN_S)
 
 
-# A server that says DELETE first, and nothing before
+# Removals (DELETE) without a draining announcement before them
 
 
 @pytest.mark.parametrize("seed", range(4))
@@ -52,7 +52,7 @@
 
 
 def test_a_removal_asked_of_a_machine_that_knows_nothing_of_the_server_counts_everywhere() -> None:
-    """It has just started, and has no list yet."""
+    """The machine has just restarted and has no list yet."""
     made = fleet()
     made.announce(made.ips[7], "a", 9)
     made.world.run(made.world.now + 3)
@@ -67,7 +67,7 @@
 
 @pytest.mark.parametrize("sequence", [1, 6, 99])
 def test_a_heartbeat_that_comes_seconds_after_the_removal_brings_nothing_back(sequence: int) -> None:
-    """Whatever its number: a start of a server that has been taken from the list never comes back to it."""
+    """Whatever its sequence number: an instance that was removed from the list never returns to it."""
     made = fleet()
     made.announce(made.ips[7], "a", 5)
     made.world.run(made.world.now + 1)
@@ -107,7 +107,7 @@
         assert world.last.instance != f"desk-{place}"
 
 
-def test_what_a_removed_server_is_at_work_on_ends_as_it_would() -> None:
+def test_a_request_in_progress_at_a_removed_server_completes() -> None:
     world = RouterWorld().set_up()
     exchange = world.ask("/once/x")
     world.last.write()
@@ -118,21 +118,21 @@
     assert exchange.status == 200
 
 
-# Numbers out of order
+# Sequence numbers out of order
 
 
 def test_of_what_a_server_said_the_highest_number_counts_whenever_it_comes() -> None:
     for seed in range(6):
         made = fleet(seed)
-        said = [(1, "one:80"), (2, "two:80"), (3, "three:80"), (4, "four:80")]
-        made.world.random.shuffle(said)
-        for sequence, address in said:
+        calls = [(1, "one:80"), (2, "two:80"), (3, "three:80"), (4, "four:80")]
+        made.world.random.shuffle(calls)
+        for sequence, address in calls:
             made.announce(made.world.random.choice(made.ips), "a", sequence, address=address)
             made.world.run(made.world.now + made.world.random.choice([0.0, 0.001, 3.0]))
         made.world.run(made.world.now + 3)
         for ip in made.ips:
-            (known,) = made.registry(ip).instances("svc")
-            assert known.address == "four:80", (seed, ip)
+            (instance,) = made.registry(ip).instances("svc")
+            assert instance.address == "four:80", (seed, ip)
 
 
 def test_a_late_ready_after_draining_is_acknowledged_and_changes_nothing() -> None:
@@ -148,8 +148,7 @@
 
 
 def test_heartbeats_seconds_late_leave_a_server_in_use() -> None:
-    """Up to three of them may be missing before a server counts as silent; one that is silent stays in the
-    list."""
+    """A server counts as silent only after three missed heartbeats, and a silent one stays in the list."""
     made = fleet()
     for name in ("b", "c", "d"):
         made.beat(name, [made.ips[8]])
@@ -170,7 +169,7 @@
 
 @pytest.mark.parametrize("place", [0, 1, 7])
 def test_a_machine_that_is_cut_off_acknowledges_no_removal(place: int) -> None:
-    """Voter, head or neither. What it took counts once it is back: the server has said so."""
+    """The machine is the head, another voter or none. Its removal takes effect once it is reachable again."""
     made = fleet()
     made.announce(made.ips[9], "a", 1)
     made.world.run(made.world.now + 3)
@@ -187,8 +186,8 @@
 
 
 def test_a_head_that_is_cut_off_with_a_few_servers_takes_none_of_the_others_away() -> None:
-    """It hears some servers and none of the rest, for minutes, and goes on as head until it hears of another:
-    what it thinks of the rest is no news."""
+    """For minutes it hears from only a few servers, and it remains head until it learns of another one. It
+    must not give up the servers that it can't hear from."""
     made = fleet()
     for number in range(9):
         made.beat(f"s{number}", [made.ips[7]] if number else [made.head])
@@ -219,36 +218,36 @@
 def test_a_machine_that_hears_one_voter_only_knows_of_a_leaving_server_before_it_is_acknowledged(
     state: InstanceState,
 ) -> None:
-    """That voter stands still for a moment: the others are a majority, and the news are not with all."""
+    """That voter is frozen for a moment: the others are a majority, but not all machines have the change."""
     made = fleet()
     made.announce(made.ips[7], "a", 1)
     made.world.run(made.world.now + 4)
-    alone, voter, origin = made.ips[10], made.voters[2], made.ips[8]
-    made.world.cut([alone], [ip for ip in made.ips if ip not in (alone, voter)])
+    isolated, voter, origin = made.ips[10], made.voters[2], made.ips[8]
+    made.world.cut([isolated], [ip for ip in made.ips if ip not in (isolated, voter)])
     made.world.freeze(voter)
     change = made.withdraw(origin, "a") if state is GONE else made.announce(origin, "a", 2, state=state)
     made.world.at(made.world.now + 0.1, lambda: made.world.thaw(voter))
     made.world.run_until(lambda: made.was_acknowledged(origin, change), ACKNOWLEDGED_WITHIN_S, step=0.001)
     made.world.run(made.world.now + 0.01)
-    assert made.knows(alone) == ({} if state is GONE else {"a": DRAINING})
+    assert made.knows(isolated) == ({} if state is GONE else {"a": DRAINING})
 
 
 @pytest.mark.parametrize("seed", range(4))
 def test_of_many_that_leave_at_once_each_is_acknowledged_once_all_know(seed: int) -> None:
-    """News that come close together wait to be passed on together; their acknowledgements wait with them."""
+    """Changes that come close together are forwarded in a batch, and their acknowledgements wait for it."""
     made = fleet(seed, size=30)
     names = [f"s{number}" for number in range(8)]
     for name in names:
         made.announce(made.ips[12], name, 1)
     made.world.run(made.world.now + 3)
-    left = dict.fromkeys(names, READY)
+    remaining = dict.fromkeys(names, READY)
     for name in names:
         change = made.withdraw(made.ips[7], name)
-        del left[name]
+        del remaining[name]
         made.world.run_until(
             lambda change=change: made.was_acknowledged(made.ips[7], change),  # type: ignore[misc]
             ACKNOWLEDGED_WITHIN_S,
             step=0.001,
         )
         made.world.run(made.world.now + 0.005)
-        assert made.all_know(left), name
+        assert made.all_know(remaining), name
--- a/tests/system/test_registry.py
+++ b/tests/system/test_registry.py
@@ -1,4 +1,4 @@
-"""The servers' list in a small lossy world: known everywhere, acknowledged by a majority, never emptied."""
+"""The list of servers in a lossy network: replicated, acknowledged by a majority, never emptied."""
 
 from __future__ import annotations
 
@@ -38,7 +38,7 @@
         assert made.all_know({"a": READY})
 
 
-def test_a_heartbeat_without_news_is_acknowledged_at_once_and_costs_no_message_of_its_own() -> None:
+def test_a_heartbeat_without_a_change_is_acknowledged_at_once_and_costs_no_message_of_its_own() -> None:
     made = fleet()
     made.announce(made.ips[7], "a", 1)
     made.world.run(made.world.now + 3)
@@ -84,8 +84,8 @@
     assert not made.was_acknowledged(made.ips[7], change)
 
 
-def test_what_one_voter_alone_has_taken_is_not_acknowledged_elsewhere_without_a_majority() -> None:
-    """The first origin dies after a single voter heard of the draining; the server asks another machine."""
+def test_a_change_at_one_voter_only_is_not_acknowledged_elsewhere_without_a_majority() -> None:
+    """The first origin reaches a single voter with the draining; the server then calls another machine."""
     made = fleet()
     made.announce(made.ips[7], "a", 1)
     made.world.run(made.world.now + 3)
@@ -108,18 +108,18 @@
     made.announce(origin, "a", 1)
     made.announce(origin, "b", 1)
     made.world.run(made.world.now + 3)
-    receipts: list[tuple[str, AnnounceTaken]] = []
+    acknowledgements: list[tuple[str, AnnounceTaken]] = []
     for voter in made.voters:
         record = made.registry(origin).find("a")
         assert record is not None
         fingerprint = record.fingerprint()
-        receipts.append((voter, AnnounceTaken("a", fingerprint, ())))
+        acknowledgements.append((voter, AnnounceTaken("a", fingerprint, ())))
     made.restart(origin)
     made.world.run(made.world.now + 3)
     made.world.cut([origin], made.voters)
     changes = [made.announce(origin, name, 9, state=DRAINING) for name in ("a", "b")]
-    for voter, receipt in receipts:
-        made.world.take(origin, made.registry(origin).receive(made.world.now, voter, receipt))
+    for voter, acknowledgement in acknowledgements:
+        made.world.take(origin, made.registry(origin).receive(made.world.now, voter, acknowledgement))
     assert not any(made.was_acknowledged(origin, change) for change in changes)
 
 
@@ -139,7 +139,7 @@
     assert made.all_know({})
 
 
-def test_a_voter_that_starts_empty_is_filled_and_empties_nobody() -> None:
+def test_a_voter_that_starts_empty_gets_the_list_and_empties_no_other() -> None:
     made = fleet()
     for number in range(9):
         made.beat(f"s{number}", [made.ips[number], made.ips[10]])
@@ -264,7 +264,7 @@
     made.world.stop(made.head)
     made.hush("a")
     made.head = made.voters[1]
-    made.told_head(made.ips[1:])
+    made.announce_head(made.ips[1:])
     made.world.run(made.world.now + 3 * INTERVAL + 0.9)
     assert not any(made.world.seen(ip, InstancesSilent) for ip in made.ips)
     made.world.run(made.world.now + 3)
@@ -272,26 +272,26 @@
 
 
 def test_a_machine_that_is_not_the_head_any_more_marks_nobody() -> None:
-    """Cut off from the other voters, it does not hear that it is none, nor the heartbeats that go to them."""
+    """Cut off from the other voters, it neither learns of the new head nor gets their heartbeats."""
     made = fleet()
     for name in ("a", "b", "c"):
         made.beat(name, [made.ips[7], made.ips[8]])
     made.world.run(20)
     old, made.head = made.head, made.voters[1]
-    made.told_head([ip for ip in made.ips if ip != old])
+    made.announce_head([ip for ip in made.ips if ip != old])
     for ip in made.ips:
         if ip != old:
             assert made.registry(ip).receive(made.world.now, old, SilenceReport(("a",))) == []
             assert not made.registry(ip).is_silent("a"), ip
 
 
-def test_a_head_that_is_one_no_more_listens_to_the_next_one() -> None:
+def test_a_former_head_accepts_the_reports_of_the_next_one() -> None:
     made = fleet()
     for name in ("a", "b", "c"):
         made.beat(name, [made.ips[7], made.ips[8]])
     made.world.run(20)
     old, made.head = made.head, made.voters[1]
-    made.told_head(made.ips)
+    made.announce_head(made.ips)
     made.world.take(old, made.registry(old).receive(made.world.now, made.head, SilenceReport(("a",))))
     assert made.registry(old).is_silent("a")
 
@@ -322,7 +322,7 @@
     assert made.all_know({"alive": READY})
 
 
-def test_warming_up_is_known_everywhere_and_costs_no_news_as_time_passes() -> None:
+def test_warming_up_is_known_everywhere_and_costs_no_updates_as_time_passes() -> None:
     made = fleet()
     end = made.world.now + 10
     made.announce(made.ips[7], "a", 1, warm_at=end)
--- a/tests/system/test_registry_orderings.py
+++ b/tests/system/test_registry_orderings.py
@@ -1,4 +1,4 @@
-"""Every ordering of one server's calls at three machines: it never goes back, and all come to agree."""
+"""Every ordering of one server's calls at three machines: its state never goes back, and all converge."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from cloverrouter.explore.coordination.search import Limits, Result, search
 from cloverrouter.explore.coordination.worlds import WorldModel
 
-LONG_S = 600.0  # never reached by what is bounded
+LONG_S = 600.0  # the bounds below end the search before this
 READY_AND_GONE = Calls((InstanceState.READY, InstanceState.GONE), most_time=0)
 
 
@@ -29,14 +29,14 @@
 
 
 def test_gone_stays_gone_also_after_a_restart_or_a_loss() -> None:
-    """As far as the first states with one deviation; not all of them."""
+    """Searches only the first 2000 states with one deviation, not all of them."""
     result = explored(deviations=1, states=2000)
     assert result.trace is None, result.trace
     assert result.ended_by == "states"
 
 
 def newest_wins(one: Instance, other: Instance) -> Instance:
-    """The mistake: the state comes from the newest call, and not from the furthest."""
+    """A seeded fault: the state comes from the newest call instead of being the highest one seen."""
     newer = other if other.sequence >= one.sequence else one
     return attrs.evolve(merge(one, other), state=newer.state)
 
--- a/tests/system/test_registry_rush.py
+++ b/tests/system/test_registry_rush.py
@@ -1,4 +1,4 @@
-"""Thousands of servers that register at once: their news go to each machine put together, not one by one."""
+"""Thousands of servers that register at once: their updates go to each machine in batches, not one by one."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
     return [effect for effect in effects if isinstance(effect, Send) and isinstance(effect.message, kind)]
 
 
-def test_news_of_a_rush_are_put_together_and_receipts_come_after_them() -> None:
+def test_updates_of_a_rush_are_batched_and_acknowledged_afterwards() -> None:
     voter, origin = Registry(VOTER, 1.0), Registry(ORIGIN, 1.0)
     voter.voters_changed(0.0, [VOTER])
     origin.voters_changed(0.0, [VOTER])
@@ -35,13 +35,13 @@
     later = voter.tick(1.05)
     to_other = [send for send in sent(later, News) if send.ip == OTHER]
     assert [len(send.message.records) for send in to_other] == [SERVERS - 1]  # type: ignore[attr-defined]
-    receipts = sent(later, AnnounceTaken)
-    assert len(receipts) == SERVERS - 1
-    assert later.index(receipts[0]) > later.index(to_other[0])
+    acknowledgements = sent(later, AnnounceTaken)
+    assert len(acknowledgements) == SERVERS - 1
+    assert later.index(acknowledgements[0]) > later.index(to_other[0])
     assert {id(send.message) for send in sent(later, News)} == {id(to_other[0].message)}
 
 
-def test_a_single_change_is_passed_on_at_once() -> None:
+def test_a_single_change_is_forwarded_at_once() -> None:
     voter, origin = Registry(VOTER, 1.0), Registry(ORIGIN, 1.0)
     voter.voters_changed(0.0, [VOTER])
     origin.voters_changed(0.0, [VOTER])
@@ -68,11 +68,11 @@
     assert len({id(send.message) for send in lists}) == 1
 
 
-def test_long_lists_are_sent_to_few_at_once() -> None:
+def test_long_lists_are_sent_to_few_machines_at_once() -> None:
     voter = Registry(VOTER, 1.0)
     voter.voters_changed(0.0, [VOTER])
     for number in range(8_000):
         address = f"10.{1 + number // 60_000}.{number // 250}.{number % 250}:9000"
         voter.announced(1.0, Instance(f"i-{number}", "llm", address, sequence=1))
-    told = [voter.receive(2.0, f"10.2.0.{number}", Compare(0, 0)) for number in range(20)]
-    assert sum(bool(sent(answer, InstanceList)) for answer in told) == 5
+    answers = [voter.receive(2.0, f"10.2.0.{number}", Compare(0, 0)) for number in range(20)]
+    assert sum(bool(sent(answer, InstanceList)) for answer in answers) == 5
--- a/tests/system/test_silence.py
+++ b/tests/system/test_silence.py
@@ -1,4 +1,4 @@
-"""Who is called silent: more than one observer counts, and a proxy's own answers count beside them."""
+"""Detection of silent servers: a second voter must agree, and a proxy also counts answers it received."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 from cloverrouter.control.registry import Registry
 from cloverrouter.control.registry_messages import HeardAgo, SilenceAnswer, SilenceCheck
-from cloverrouter.control.silence import Judgement, Liveness, SilenceJudge
+from cloverrouter.control.silence import Detection, Liveness, SilenceDetector
 from cloverrouter.placement.first_token import FirstTokenModel
 from cloverrouter.placement.options import IN_USE
 from cloverrouter.placement.room import Room
@@ -15,18 +15,18 @@
 from tests.system.registry_fleet import RegistryFleet
 from tests.system.test_placement_pick import NOW, pick, placement, subject
 
-LONG_CUT_S = 12.0  # longer than heartbeats may be missed, and than a check takes
+LONG_CUT_S = 12.0  # longer than the silence limit and the check with the other voters
 
 
 def fleet() -> RegistryFleet:
-    """Eleven machines, of which the first three vote; a server is known everywhere."""
+    """Eleven machines, of which the first three are voters."""
     made = RegistryFleet(World(1), 11, 3)
     made.world.run(1)
     return made
 
 
 def test_a_server_that_the_head_alone_does_not_hear_is_not_silent() -> None:
-    """The machines that servers report to are cut off from the head, and from no other voter."""
+    """The machine that the server calls is cut off from the head, but from no other voter."""
     made = fleet()
     for name in ("a", "b", "c"):
         made.beat(name, [made.ips[4]])
@@ -49,7 +49,7 @@
     assert not made.registry(made.head).is_silent("a")
 
 
-def test_a_head_that_reaches_no_other_voter_calls_nobody_silent() -> None:
+def test_a_head_that_reaches_no_other_voter_marks_no_server_as_silent() -> None:
     made = fleet()
     for name in ("a", "b", "c"):
         made.beat(name, [made.ips[4]])
@@ -60,46 +60,46 @@
     assert not made.registry(made.head).is_silent("d")
 
 
-def judged(judge: SilenceJudge, now: float, alone: bool) -> Judgement:
+def detected(made: SilenceDetector, now: float, is_only_voter: bool) -> Detection:
     from cloverrouter.control.instances import Instance
 
     liveness = Liveness()
     instances = [Instance(name, "svc", f"10.0.0.9:{port}") for port, name in enumerate("abc", 80)]
     for instance in instances:
-        liveness.heard(instance.id, now - (60 if instance.id == "a" else 0))
-    return judge.judge(now, instances, liveness, frozenset(), alone)
+        liveness.record_alive(instance.id, now - (60 if instance.id == "a" else 0))
+    return made.detect(now, instances, liveness, frozenset(), is_only_voter)
 
 
-def judge() -> SilenceJudge:
-    made = SilenceJudge(1.2)
+def detector() -> SilenceDetector:
+    made = SilenceDetector(1.2)
     made.became_head(0.0)
     for step in range(101):
-        made.ticked(step * 0.5)
+        made.tick(step * 0.5)
     return made
 
 
-def test_a_judge_with_other_voters_wants_one_that_has_not_heard_it_either() -> None:
-    made = judge()
-    assert judged(made, 50.0, alone=False) == Judgement(frozenset(), (), ("a",))
-    made.witnessed(50.0, "v2", "a", 0.4)
-    assert judged(made, 50.1, alone=False).silent == frozenset()
-    made.witnessed(50.1, "v2", "a", 30.0)
-    assert judged(made, 50.2, alone=False).silent == {"a"}
+def test_with_other_voters_a_second_one_must_report_the_server_as_overdue() -> None:
+    made = detector()
+    assert detected(made, 50.0, is_only_voter=False) == Detection(frozenset(), (), ("a",))
+    made.record_voter_answer(50.0, "v2", "a", 0.4)
+    assert detected(made, 50.1, is_only_voter=False).silent == frozenset()
+    made.record_voter_answer(50.1, "v2", "a", 30.0)
+    assert detected(made, 50.2, is_only_voter=False).silent == {"a"}
 
 
-def test_what_a_voter_said_long_ago_counts_no_more() -> None:
-    made = judge()
-    judged(made, 50.0, alone=False)
-    made.witnessed(50.0, "v2", "a", 30.0)
-    assert judged(made, 53.0, alone=False).silent == frozenset()
+def test_an_old_report_of_a_voter_is_ignored() -> None:
+    made = detector()
+    detected(made, 50.0, is_only_voter=False)
+    made.record_voter_answer(50.0, "v2", "a", 30.0)
+    assert detected(made, 53.0, is_only_voter=False).silent == frozenset()
 
 
-def test_a_single_voter_judges_by_itself() -> None:
-    assert judged(judge(), 50.0, alone=True).silent == {"a"}
+def test_a_single_voter_decides_by_itself() -> None:
+    assert detected(detector(), 50.0, is_only_voter=True).silent == {"a"}
 
 
 @pytest.mark.parametrize("sender", ["10.0.0.9", "10.0.0.3"])
-def test_answers_of_others_than_the_voters_and_checks_of_others_than_the_head_count_for_nothing(
+def test_answers_of_machines_that_are_not_voters_and_checks_not_from_the_head_are_ignored(
     sender: str,
 ) -> None:
     registry = Registry("10.0.0.1", 1.2)
@@ -109,7 +109,7 @@
     assert registry.receive(1.0, sender, SilenceAnswer((HeardAgo("a", 60_000),))) == []
 
 
-def test_a_server_called_silent_that_has_just_answered_is_asked_on_and_then_not() -> None:
+def test_a_silent_server_that_has_just_answered_stays_in_use_for_a_while() -> None:
     made = placement(2, silent=True)
     home = pick(made, subject(1))
     assert home.avoided(NOW)
@@ -118,7 +118,7 @@
     assert home.avoided(NOW + HEARD_LATELY_S)
 
 
-def test_a_server_called_silent_has_less_room() -> None:
+def test_a_silent_server_gets_fewer_requests() -> None:
     servers = ServiceServers()
     quiet, other = placement(1, silent=True), placement(1)
     standings: list[Standing] = [quiet.servers.ready[0], other.servers.ready[0]]
