--- a/cloverrouter/control/announcements.py
+++ b/cloverrouter/control/announcements.py
@@ -31,8 +31,8 @@
 class Pending:
     """An instance's state that is being sent to the voters, and the changes that wait for it.
 
-    `waiting_since` maps the number of each change (a call of the server) to the time of the call. `taken_by`
-    holds the voters that have acknowledged the state.
+    `waiting_since` maps the number of each change (a call of the server) to the time of the call.
+    `taken_by` holds the voters that have acknowledged the state.
     """
 
     instance_id: str
--- a/cloverrouter/control/instances.py
+++ b/cloverrouter/control/instances.py
@@ -32,8 +32,8 @@
 
     `warm_at`: when its warm-up ends, in seconds of the local monotonic clock; 0 if it was warm already.
     `generation`: of two instances at one address, the one with the higher generation is the current one.
-    `lost`: the generation that was given up because its heartbeats stopped; a later heartbeat starts a new
-    generation.
+    `lost`: the generation that was given up because its heartbeats stopped; a later heartbeat
+    starts a new generation.
     """
 
     id: str
--- a/tests/system/registry_fleet.py
+++ b/tests/system/registry_fleet.py
@@ -83,7 +83,7 @@
         return change
 
     def beat(self, instance_id: str, ips: Iterable[str], *, service: str = "svc", address: str = "") -> None:
-        """The server sends a heartbeat every `INTERVAL` to these machines in turn, until `hush`."""
+        """The server sends a heartbeat per `INTERVAL` to these machines in turn, until `hush`."""
         callees = list(ips)
         self.sends_heartbeats[instance_id] = True
         sequence = 0
