--- a/cloverrouter/control/instance_table.py
+++ b/cloverrouter/control/instance_table.py
@@ -15,6 +15,8 @@
 
 @attrs.define(slots=True)
 class _Entry:
+    """An instance in the table. `ended_at`: when it was found to have ended; None while it is live."""
+
     instance: Instance
     fingerprint: int
     ended_at: float | None
--- a/cloverrouter/control/list_exchange.py
+++ b/cloverrouter/control/list_exchange.py
@@ -15,6 +15,8 @@
 
 @attrs.define(slots=True)
 class _VoterLink:
+    """The comparisons with one voter, and the parts of the voter's list received so far."""
+
     compare_at: float
     last_message_at: float
     silence_limit: float = LINK_TIMEOUT_S
--- a/cloverrouter/control/registry.py
+++ b/cloverrouter/control/registry.py
@@ -58,14 +58,14 @@
     Times are seconds of the local monotonic clock.
     """
 
-    def __init__(self, own_ip: str, heartbeat_interval: float) -> None:
+    def __init__(self, own_ip: str, heartbeat_interval_s: float) -> None:
         self._own_ip = own_ip
         self._voters: tuple[str, ...] = ()
         self._head: str | None = None
         self._servers = ServersList()
         self._announcements = Announcements()
         self._exchange = ListExchange()
-        self._voter = RegistryVoter(self._servers, heartbeat_interval)
+        self._voter = RegistryVoter(self._servers, heartbeat_interval_s)
         self._unsent_heartbeats: dict[str, int] = {}
         self._changes = 0
         self._is_in_touch = True
--- a/cloverrouter/control/registry_voter.py
+++ b/cloverrouter/control/registry_voter.py
@@ -38,14 +38,14 @@
 class RegistryVoter:
     """The duties of a machine while it is a voter."""
 
-    def __init__(self, servers: ServersList, heartbeat_interval: float) -> None:
+    def __init__(self, servers: ServersList, heartbeat_interval_s: float) -> None:
         self.is_head = False
         self.is_sole_head = True
         """Whether no other machine can be the head now. A head that is cut off goes on as head for long but
         receives few heartbeats, so it must not mark servers as silent."""
         self._servers = servers
         self._subscribers = Subscribers()
-        self._detector = SilenceDetector(heartbeat_interval)
+        self._detector = SilenceDetector(heartbeat_interval_s)
         self._other_voters: tuple[str, ...] = ()
         self._next_detection = 0.0
         self._report_until = 0.0
--- a/cloverrouter/control/silence.py
+++ b/cloverrouter/control/silence.py
@@ -87,10 +87,10 @@
     half of a service's servers would be silent, nor before another voter reports the server as overdue, too.
     """
 
-    def __init__(self, heartbeat_interval: float) -> None:
-        self._limit = MISSED_HEARTBEATS * heartbeat_interval + SILENCE_SLACK_S
+    def __init__(self, heartbeat_interval_s: float) -> None:
+        self._limit = MISSED_HEARTBEATS * heartbeat_interval_s + SILENCE_SLACK_S
         # Servers that fell silent together reach the limit within one interval of each other.
-        self._quiet_limit = self._limit - heartbeat_interval
+        self._quiet_limit = self._limit - heartbeat_interval_s
         self._suspended_until = math.inf
         self._overdue_reports = OverdueReports()
         self._last_tick = -math.inf
--- a/cloverrouter/control/subscribers.py
+++ b/cloverrouter/control/subscribers.py
@@ -30,6 +30,8 @@
 
 @attrs.define(slots=True)
 class _Subscriber:
+    """A subscriber's unacknowledged batches, and whether its list differed when last compared."""
+
     compared_at: float
     batches: dict[int, Batch] = attrs.field(factory=dict)
     differed: bool = True
--- a/tests/system/registry_fleet.py
+++ b/tests/system/registry_fleet.py
@@ -9,7 +9,7 @@
 from cloverrouter.control.registry import Effect, Registry
 from tests.system.lossy_world import World
 
-INTERVAL = 1.2
+HEARTBEAT_INTERVAL_S = 1.2
 
 
 class Machine:
@@ -18,7 +18,7 @@
     def __init__(self, fleet: RegistryFleet, ip: str) -> None:
         self.fleet = fleet
         self.ip = ip
-        self.registry = Registry(ip, INTERVAL)
+        self.registry = Registry(ip, HEARTBEAT_INTERVAL_S)
         self.started_at = 0.0
 
     def start(self, now: float) -> list[Effect]:
@@ -83,7 +83,7 @@
         return change
 
     def beat(self, instance_id: str, ips: Iterable[str], *, service: str = "svc", address: str = "") -> None:
-        """The server sends a heartbeat per `INTERVAL` to these machines in turn, until `hush`."""
+        """The server sends heartbeats to these machines in turn, until `hush`."""
         callees = list(ips)
         self.sends_heartbeats[instance_id] = True
         sequence = 0
@@ -96,9 +96,9 @@
             ip = callees[sequence % len(callees)]
             if ip in self.world.cores:
                 self.announce(ip, instance_id, sequence, service=service, address=address)
-            self.world.at(self.world.now + INTERVAL, call)
+            self.world.at(self.world.now + HEARTBEAT_INTERVAL_S, call)
 
-        self.world.at(self.world.now + self.world.random.uniform(0, INTERVAL), call)
+        self.world.at(self.world.now + self.world.random.uniform(0, HEARTBEAT_INTERVAL_S), call)
 
     def announce_head(self, ips: Iterable[str]) -> None:
         """Tells these machines who is the head."""
--- a/tests/system/test_pages_servers.py
+++ b/tests/system/test_pages_servers.py
@@ -6,7 +6,7 @@
 
 from cloverrouter.control.instances import InstanceState
 from tests.system.lossy_world import World
-from tests.system.registry_fleet import INTERVAL, RegistryFleet
+from tests.system.registry_fleet import HEARTBEAT_INTERVAL_S, RegistryFleet
 from tests.system.router_world import World as RouterWorld
 
 READY, DRAINING, GONE = InstanceState.READY, InstanceState.DRAINING, InstanceState.GONE
@@ -154,7 +154,7 @@
         made.beat(name, [made.ips[8]])
     for sequence in range(1, 9):
         made.announce(made.ips[7], "a", sequence)
-        made.world.run(made.world.now + INTERVAL + 2.0)
+        made.world.run(made.world.now + HEARTBEAT_INTERVAL_S + 2.0)
         assert not any(made.registry(ip).is_silent("a") for ip in made.ips)
     made.world.run(made.world.now + 20)
     assert all(made.knows(ip)["a"] is READY for ip in made.ips)
--- a/tests/system/test_registry.py
+++ b/tests/system/test_registry.py
@@ -8,7 +8,7 @@
 from cloverrouter.control.registry_messages import AnnounceTaken, SilenceReport
 from cloverrouter.control.servers_list import InstancesChanged, InstancesHeard, InstancesSilent
 from tests.system.lossy_world import World
-from tests.system.registry_fleet import INTERVAL, RegistryFleet
+from tests.system.registry_fleet import HEARTBEAT_INTERVAL_S, RegistryFleet
 
 READY, DRAINING, GONE = InstanceState.READY, InstanceState.DRAINING, InstanceState.GONE
 
@@ -162,7 +162,7 @@
     for ip in made.ips:
         made.restart(ip)
     took = made.world.run_until(lambda: made.all_know({f"s{n}": READY for n in range(9)}), limit=3)
-    assert took < INTERVAL + 0.6
+    assert took < HEARTBEAT_INTERVAL_S + 0.6
 
 
 def test_a_machine_that_was_cut_off_catches_up_when_its_links_are_up() -> None:
@@ -203,7 +203,7 @@
         made.beat(name, [made.ips[7], made.ips[8]])
     made.world.run(20)
     made.hush("a")
-    made.world.run(made.world.now + 3 * INTERVAL + 2.5)
+    made.world.run(made.world.now + 3 * HEARTBEAT_INTERVAL_S + 2.5)
     for ip in made.ips:
         assert made.registry(ip).is_silent("a"), ip
         assert not made.registry(ip).is_silent("b")
@@ -265,7 +265,7 @@
     made.hush("a")
     made.head = made.voters[1]
     made.announce_head(made.ips[1:])
-    made.world.run(made.world.now + 3 * INTERVAL + 0.9)
+    made.world.run(made.world.now + 3 * HEARTBEAT_INTERVAL_S + 0.9)
     assert not any(made.world.seen(ip, InstancesSilent) for ip in made.ips)
     made.world.run(made.world.now + 3)
     assert made.registry(made.ips[9]).is_silent("a")
@@ -333,7 +333,7 @@
     seen = len(made.world.seen(made.ips[9], InstancesChanged))
     for sequence in range(2, 20):
         made.announce(made.ips[8], "a", sequence, warm_at=end if made.world.now < end else 0.0)
-        made.world.run(made.world.now + INTERVAL)
+        made.world.run(made.world.now + HEARTBEAT_INTERVAL_S)
     assert len(made.world.seen(made.ips[9], InstancesChanged)) == seen
 
 
--- a/tests/system/test_registry_chaos.py
+++ b/tests/system/test_registry_chaos.py
@@ -17,7 +17,7 @@
 
 
 @attrs.define
-class Leaving:
+class DrainingServer:
     """A draining server that calls one machine after the other until its draining is acknowledged."""
 
     instance_id: str
@@ -36,7 +36,7 @@
         self.random = self.world.random
         self.fleet = RegistryFleet(self.world, 9, 3)
         self.trouble = Trouble(self.world, self.fleet.ips, self.fleet.voters, self.fleet.restart)
-        self.leaving: list[Leaving] = []
+        self.draining_servers: list[DrainingServer] = []
         self.servers = 0
         self.checked = 0
 
@@ -45,18 +45,18 @@
         for _ in range(4):
             self.add_server()
         end = self.world.now + seconds
-        next_fault, next_leaving = 4.0, 6.0
+        next_fault, next_drain = 4.0, 6.0
         while self.world.now < end:
             self.world.run(self.world.now + STEP_S)
             if self.world.now >= next_fault:
                 next_fault = self.world.now + self.random.uniform(1, 7)
                 self.trouble.make()
-            if self.world.now >= next_leaving:
-                next_leaving = self.world.now + self.random.uniform(1, 4)
+            if self.world.now >= next_drain:
+                next_drain = self.world.now + self.random.uniform(1, 4)
                 self.add_server()
                 self.drain_one()
             self.trouble.note()
-            for server in self.leaving:
+            for server in self.draining_servers:
                 self.call_again(server)
                 self.check(server)
 
@@ -69,9 +69,9 @@
         staying = [name for name, beats in self.fleet.sends_heartbeats.items() if beats]
         name = self.random.choice(staying[:-1])
         self.fleet.hush(name)
-        self.leaving.append(Leaving(name))
+        self.draining_servers.append(DrainingServer(name))
 
-    def call_again(self, server: Leaving) -> None:
+    def call_again(self, server: DrainingServer) -> None:
         now = self.world.now
         if server.acknowledged_at is not None:
             return
@@ -88,7 +88,7 @@
                 server.callee, server.instance_id, server.sequence, state=DRAINING
             )
 
-    def check(self, server: Leaving) -> None:
+    def check(self, server: DrainingServer) -> None:
         """Checks that no machine in touch with the voters takes the server for ready."""
         if server.acknowledged_at is None or self.world.now - server.acknowledged_at < PROPAGATION_S:
             return
@@ -107,4 +107,4 @@
     chaos = Chaos(seed, loss)
     chaos.run(45)
     assert chaos.checked > 300
-    assert sum(1 for server in chaos.leaving if server.acknowledged_at is not None) > 3
+    assert sum(1 for server in chaos.draining_servers if server.acknowledged_at is not None) > 3
--- a/tests/system/test_silence.py
+++ b/tests/system/test_silence.py
@@ -60,14 +60,14 @@
     assert not made.registry(made.head).is_silent("d")
 
 
-def detected(made: SilenceDetector, now: float, is_only_voter: bool) -> Detection:
+def detected(silence_detector: SilenceDetector, now: float, is_only_voter: bool) -> Detection:
     from cloverrouter.control.instances import Instance
 
     liveness = Liveness()
     instances = [Instance(name, "svc", f"10.0.0.9:{port}") for port, name in enumerate("abc", 80)]
     for instance in instances:
         liveness.record_alive(instance.id, now - (60 if instance.id == "a" else 0))
-    return made.detect(now, instances, liveness, frozenset(), is_only_voter)
+    return silence_detector.detect(now, instances, liveness, frozenset(), is_only_voter)
 
 
 def detector() -> SilenceDetector:
