--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -90,18 +90,18 @@
     fleet = RegistryFleet(world, size, voters)
     world.run(1)
     for number in range(servers):
-        fleet.beat(f"s{number}", [fleet.ips[number % size], fleet.ips[(number + 7) % size]])
+        fleet.start_heartbeats(f"s{number}", [fleet.ips[number % size], fleet.ips[(number + 7) % size]])
     world.run(15)
     whole = {f"s{number}": InstanceState.READY for number in range(servers)}
-    assert fleet.all_know(whole)
+    assert fleet.all_have(whole)
     traffic(world, {"voter": fleet.voters, "other machine": fleet.ips[voters:]})
     acknowledged, known = [], []
     for number in range(5):
-        fleet.hush(f"s{number}")
+        fleet.stop_heartbeats(f"s{number}")
         whole |= {f"s{number}": InstanceState.DRAINING}
         began = world.now
         acknowledged.append(drain(fleet, fleet.ips[-1 - number], f"s{number}"))
-        waiting(world, partial(fleet.all_know, whole))
+        waiting(world, partial(fleet.all_have, whole))
         known.append(world.now - began)
         world.run(world.now + 0.5)
     row("draining acknowledged", acknowledged, "s")
@@ -109,7 +109,7 @@
     world.run(world.now + 5)
     fleet.restart(fleet.voters[1])
     world.run(world.now + 0.1)
-    refilled = waiting(world, lambda: fleet.all_know(whole, fleet.voters))
+    refilled = waiting(world, lambda: fleet.all_have(whole, fleet.voters))
     row("an empty voter filled again", [refilled], "s")
 
 
--- a/cloverrouter/control/announcements.py
+++ b/cloverrouter/control/announcements.py
@@ -32,7 +32,7 @@
     """An instance's state that is being sent to the voters, and the changes that wait for it.
 
     `waiting_since` maps the number of each change (a call of the server) to the time of the call.
-    `taken_by` holds the voters that have acknowledged the state.
+    `acknowledged_by` holds the voters that have acknowledged the state.
     """
 
     instance_id: str
@@ -41,11 +41,11 @@
     started_at: float
     sent_at: float = float("-inf")
     waiting_since: dict[int, float] = attrs.field(factory=dict)
-    taken_by: set[str] = attrs.field(factory=set)
+    acknowledged_by: set[str] = attrs.field(factory=set)
 
     def unacknowledged_voters(self, voters: Collection[str]) -> list[str]:
         """Returns the voters that have not acknowledged it yet."""
-        return [ip for ip in voters if ip not in self.taken_by]
+        return [ip for ip in voters if ip not in self.acknowledged_by]
 
 
 class Announcements:
@@ -82,14 +82,16 @@
         pending.waiting_since[change] = now
         self._pending[instance_id] = pending
 
-    def taken(self, voter: str, instance_id: str, fingerprint: int, newest: int | None) -> None:
+    def record_acknowledgement(
+        self, voter: str, instance_id: str, fingerprint: int, newest: int | None
+    ) -> None:
         """Records a voter's acknowledgement of the pending state, or of the newest one, which includes it.
 
         Acknowledgements of any other state are ignored.
         """
         pending = self._pending.get(instance_id)
         if pending is not None and fingerprint in (pending.fingerprint, newest):
-            pending.taken_by.add(voter)
+            pending.acknowledged_by.add(voter)
 
     def take_due(self, now: float) -> list[Pending]:
         """Returns what is due to be sent or resent, and marks it as sent."""
@@ -124,9 +126,9 @@
 
 
 def _is_done(now: float, pending: Pending, voters: Collection[str], live: Collection[str]) -> bool:
-    acknowledgements = sum(1 for ip in voters if ip in pending.taken_by)
+    acknowledgements = sum(1 for ip in voters if ip in pending.acknowledged_by)
     if not voters or acknowledgements <= len(voters) // 2:
         return False
     if not pending.is_leaving or now - pending.started_at >= ALL_VOTERS_WAIT_S:
         return True
-    return all(ip in pending.taken_by for ip in live)
+    return all(ip in pending.acknowledged_by for ip in live)
--- a/cloverrouter/control/fleet_size.py
+++ b/cloverrouter/control/fleet_size.py
@@ -15,7 +15,7 @@
     def __init__(self) -> None:
         self._counts: list[tuple[float, int]] = []
 
-    def note(self, now: float, size: int) -> None:
+    def record_count(self, now: float, size: int) -> None:
         """Adds a count."""
         larger = [(at, old) for at, old in self._counts if old > size and now - at < COUNT_WINDOW_S]
         self._counts = [*larger, (now, size)]
--- a/cloverrouter/control/instances.py
+++ b/cloverrouter/control/instances.py
@@ -32,7 +32,7 @@
 
     `warm_at`: when its warm-up ends, in seconds of the local monotonic clock; 0 if it was warm already.
     `generation`: of two instances at one address, the one with the higher generation is the current one.
-    `lost`: the generation that was given up because its heartbeats stopped; a later heartbeat
+    `lost_generation`: the generation that was given up because its heartbeats stopped; a later heartbeat
     starts a new generation.
     """
 
@@ -48,12 +48,12 @@
     phase: str = ""
     models: tuple[ModelOnServer, ...] = ()
     generation: int = 1
-    lost: int = 0
+    lost_generation: int = 0
 
     @property
     def is_live(self) -> bool:
         """Whether the instance is neither gone nor given up."""
-        return self.state is not InstanceState.GONE and self.lost < self.generation
+        return self.state is not InstanceState.GONE and self.lost_generation < self.generation
 
     def facts(self) -> tuple[object, ...]:
         """Returns what the server announced, without its state, its warm-up and its sequence number."""
@@ -62,7 +62,7 @@
 
     def fingerprint(self) -> int:
         """Returns a 63-bit hash, equal on every machine, of all but the sequence number and the warm-up."""
-        text = repr((self.id, int(self.state), self.generation, self.lost, self.facts()))
+        text = repr((self.id, int(self.state), self.generation, self.lost_generation, self.facts()))
         return int.from_bytes(blake2b(text.encode(), digest_size=8).digest(), "big") >> 1
 
     def to_record(self, now: float, age: float) -> InstanceRecord:
@@ -80,7 +80,7 @@
             phase=self.phase,
             models=self.models,
             generation=self.generation,
-            lost=self.lost,
+            lost_generation=self.lost_generation,
             age_ms=max(0, int(age * 1000)),
         )
 
@@ -100,7 +100,7 @@
         phase=record.phase,
         models=record.models,
         generation=record.generation,
-        lost=record.lost,
+        lost_generation=record.lost_generation,
     )
 
 
@@ -114,7 +114,7 @@
         newer,
         state=max(one.state, other.state),
         generation=max(one.generation, other.generation),
-        lost=max(one.lost, other.lost),
+        lost_generation=max(one.lost_generation, other.lost_generation),
         warm_at=warm_at,
     )
 
@@ -124,7 +124,11 @@
 
     The sequence number does not count, and the warm-up only if it changed by more than `WARMUP_TOLERANCE_S`.
     """
-    if (before.state, before.generation, before.lost) != (after.state, after.generation, after.lost):
+    if (before.state, before.generation, before.lost_generation) != (
+        after.state,
+        after.generation,
+        after.lost_generation,
+    ):
         return True
     longer_by = abs(max(before.warm_at, now) - max(after.warm_at, now))
     return longer_by > WARMUP_TOLERANCE_S or before.facts() != after.facts()
--- a/cloverrouter/control/kept_servers.py
+++ b/cloverrouter/control/list_snapshot.py
@@ -70,12 +70,12 @@
         phase=record.phase,
         models=record.models,
         generation=record.generation,
-        lost=record.lost,
+        lost_generation=record.lost_generation,
         age_ms=record.age_ms + by_ms,
     )
 
 
-class KeptServers:
+class ListSnapshot:
     """Decides when one machine's list is written and when a snapshot is restored.
 
     Times are seconds of the monotonic clock.
@@ -89,7 +89,7 @@
         self._written_at = 0.0
         self._written_digest: int | None = None
 
-    def found(self, now: float, records: tuple[InstanceRecord, ...]) -> None:
+    def loaded(self, now: float, records: tuple[InstanceRecord, ...]) -> None:
         """Receives the snapshot that the process read at its start."""
         self._loaded = records
         self._restore_at = now + RESTORE_DELAY_S
@@ -105,7 +105,7 @@
             return []
         return self._registry.restore(now, records)
 
-    def due(self, now: float) -> list[InstanceRecord] | None:
+    def take_due(self, now: float) -> list[InstanceRecord] | None:
         """Returns the records to write now; None if no write is due."""
         if now < self._next_write:
             return None
--- a/cloverrouter/control/publisher.py
+++ b/cloverrouter/control/publisher.py
@@ -85,7 +85,7 @@
     def start(self, now: float, remembered: int = 0) -> list[Effect]:
         """Subscribers are counted after a while. `remembered`: how many there were when this voter ended."""
         self._counts_from = now + COUNTING_TIME
-        self._fleet_size.note(now, remembered)
+        self._fleet_size.record_count(now, remembered)
         return []
 
     def confirm(self, now: float) -> list[Effect]:
@@ -138,7 +138,7 @@
         self._next_offer = now + self._offer_period()
         self._expire(now)
         if now >= self._counts_from:
-            self._fleet_size.note(now, len(self._subscriptions))
+            self._fleet_size.record_count(now, len(self._subscriptions))
         return [self._offer(now, ip) for ip in self._subscriptions]
 
     def receive(self, now: float, ip: str, message: object) -> list[Effect]:
--- a/cloverrouter/control/registration.py
+++ b/cloverrouter/control/registration.py
@@ -28,7 +28,7 @@
     fields = read_object(body, findings)
     if findings:
         raise RegistrationInvalid(findings)
-    if not is_plain(fields) and not check_fields("registration", fields, "", findings):
+    if not is_clearly_valid(fields) and not check_fields("registration", fields, "", findings):
         raise RegistrationInvalid(findings)
     return fields
 
@@ -70,7 +70,7 @@
     return ModelOnServer(fields["name"], int(fields.get("version") or 0), adapters)
 
 
-def is_plain(fields: dict[str, Any]) -> bool:
+def is_clearly_valid(fields: dict[str, Any]) -> bool:
     """Returns True only if the fields are certainly valid; for others the schema decides."""
     return (
         _is_name(fields.get("backend"))
--- a/cloverrouter/control/registry.py
+++ b/cloverrouter/control/registry.py
@@ -28,14 +28,14 @@
 from cloverrouter.control.list_exchange import ListExchange, VoterList, split_into_parts
 from cloverrouter.control.registry_messages import (
     Announce,
-    AnnounceTaken,
-    Beat,
-    Beats,
+    AnnounceAcknowledged,
     Compare,
+    HeartbeatBatch,
+    InstanceHeartbeat,
     InstanceList,
     InstanceRecord,
-    News,
-    NewsTaken,
+    InstanceUpdates,
+    InstanceUpdatesAcknowledged,
     Same,
     SilenceAnswer,
     SilenceCheck,
@@ -136,11 +136,11 @@
         self._head = head
         self._voter.set_head(now, head == self._own_ip)
 
-    def lead_confirmed(self, confirmed: bool) -> None:
+    def set_sole_head(self, confirmed: bool) -> None:
         """Sets whether this machine, if it is the head, is certainly the only head."""
         self._voter.is_sole_head = confirmed
 
-    def in_touch(self, confirmed: bool) -> None:
+    def set_in_touch(self, confirmed: bool) -> None:
         """Sets whether the control plane has heard from a majority of the voters lately."""
         self._is_in_touch = confirmed
 
@@ -154,7 +154,7 @@
         self._exchange.link_down(ip)
         return []
 
-    def announced(self, now: float, instance: Instance) -> tuple[int, list[Effect]]:
+    def register(self, now: float, instance: Instance) -> tuple[int, list[Effect]]:
         """Handles a server's call that registers it or is its heartbeat.
 
         Returns the number of the change, which a later `Acknowledged` or `Failed` carries, and the effects.
@@ -186,10 +186,10 @@
         live = len(self._exchange.live_voters(now)) + self.is_voter
         return self._is_in_touch and 2 * live > len(self._voters)
 
-    def withdrawn(self, now: float, instance_id: str) -> tuple[int, list[Effect]]:
-        """Handles a server's call that it has ended. Returns the same as `announced`."""
+    def deregister(self, now: float, instance_id: str) -> tuple[int, list[Effect]]:
+        """Handles a server's call that it has ended. Returns the same as `register`."""
         known = self._servers.table.get(instance_id) or Instance(instance_id, "", "", sequence=-1)
-        return self.announced(now, attrs.evolve(known, state=InstanceState.GONE))
+        return self.register(now, attrs.evolve(known, state=InstanceState.GONE))
 
     def tick(self, now: float) -> list[Effect]:
         """Returns the effects of all that is due by the clock."""
@@ -213,16 +213,16 @@
             case Announce():
                 effects = self._merge_records(now, (message.record,), ip)
                 return [*effects, *self._voter.acknowledge(now, ip, message)] if self.is_voter else effects
-            case AnnounceTaken():
+            case AnnounceAcknowledged():
                 return self._announce_acknowledged(now, ip, message)
-            case Beats():
-                return [*self._voter.record_heartbeats(now, ip, message.beats)]
+            case HeartbeatBatch():
+                return [*self._voter.record_heartbeats(now, ip, message.heartbeats)]
             case UnknownInstances():
                 return [Send(ip, Announce(each, False)) for each in self._servers.records(now, message.ids)]
-            case News():
+            case InstanceUpdates():
                 effects = self._merge_records(now, message.records, ip)
-                return [Send(ip, NewsTaken(message.number)), *effects]
-            case NewsTaken():
+                return [Send(ip, InstanceUpdatesAcknowledged(message.number)), *effects]
+            case InstanceUpdatesAcknowledged():
                 self._voter.updates_acknowledged(ip, message.number)
             case Compare():
                 return [*self._voter.answer_compare(now, ip, message)] if self.is_voter else []
@@ -245,14 +245,14 @@
         """
         known = self._servers.table.get(instance.id)
         if known is None:
-            generation, lost = instance.generation, 0
+            generation, lost_generation = instance.generation, 0
         elif instance.sequence > known.sequence:
-            generation, lost = known.generation, known.lost
+            generation, lost_generation = known.generation, known.lost_generation
         else:
             return attrs.evolve(instance, generation=known.generation)
         conflicting = [other.generation for other in self._servers.table.address_conflicts(instance)]
-        if generation <= max([lost, *conflicting]):
-            generation = max([lost, *conflicting]) + 1
+        if generation <= max([lost_generation, *conflicting]):
+            generation = max([lost_generation, *conflicting]) + 1
         return attrs.evolve(instance, generation=generation)
 
     def _send_pending(self, now: float) -> list[Effect]:
@@ -263,16 +263,16 @@
 
     def _send_announce(self, now: float, pending: Pending) -> list[Effect]:
         if self.is_voter:
-            pending.taken_by.add(self._own_ip)
+            pending.acknowledged_by.add(self._own_ip)
         record = self._servers.record(now, pending.instance_id)
         if record is None:
             return []
         announce = Announce(record, True)
         return [Send(ip, announce) for ip in pending.unacknowledged_voters(self._voters)]
 
-    def _announce_acknowledged(self, now: float, ip: str, message: AnnounceTaken) -> list[Effect]:
+    def _announce_acknowledged(self, now: float, ip: str, message: AnnounceAcknowledged) -> list[Effect]:
         newest = self._servers.table.fingerprint(message.id) if message.id in self._servers else None
-        self._announcements.taken(ip, message.id, message.fingerprint, newest)
+        self._announcements.record_acknowledgement(ip, message.id, message.fingerprint, newest)
         effects = self._merge_records(now, message.newer, ip)
         return [*effects, *self._settle(now)]
 
@@ -283,11 +283,14 @@
     def _flush_heartbeats(self) -> list[Effect]:
         if not self._unsent_heartbeats:
             return []
-        beats = Beats(
-            tuple(Beat(instance_id, sequence) for instance_id, sequence in self._unsent_heartbeats.items())
+        heartbeats = HeartbeatBatch(
+            tuple(
+                InstanceHeartbeat(instance_id, sequence)
+                for instance_id, sequence in self._unsent_heartbeats.items()
+            )
         )
         self._unsent_heartbeats.clear()
-        return [Send(ip, beats) for ip in self._voters if ip != self._own_ip]
+        return [Send(ip, heartbeats) for ip in self._voters if ip != self._own_ip]
 
     def _compare(self, now: float) -> list[Effect]:
         table = self._servers.table
--- a/cloverrouter/control/registry_messages.py
+++ b/cloverrouter/control/registry_messages.py
@@ -36,12 +36,12 @@
     phase: str
     models: tuple[ModelOnServer, ...]
     generation: int
-    lost: int
+    lost_generation: int
     age_ms: int
 
 
 @nested
-class Beat:
+class InstanceHeartbeat:
     """A heartbeat of a server whose record has not changed."""
 
     id: str
@@ -50,14 +50,14 @@
 
 @message(200)
 class Announce:
-    """Origin to voter: a changed record. Resent until acknowledged, if `wants_receipt`."""
+    """Origin to voter: a changed record. Resent until acknowledged, if `wants_acknowledgement`."""
 
     record: InstanceRecord
-    wants_receipt: bool
+    wants_acknowledgement: bool
 
 
 @message(201)
-class AnnounceTaken:
+class AnnounceAcknowledged:
     """Voter to origin: the record is in the voter's list and on its way to all its subscribers.
 
     `fingerprint`: that of the record received, so that an acknowledgement meant for an earlier process of the
@@ -72,12 +72,12 @@
 
 
 @message(202)
-class Beats:
+class HeartbeatBatch:
     """Origin to voter: the heartbeats received since the last batch."""
 
     METRIC_LABELS: ClassVar[tuple[str, str]] = ("registry_messages", "Beats")
 
-    beats: tuple[Beat, ...]
+    heartbeats: tuple[InstanceHeartbeat, ...]
 
 
 @message(203)
@@ -88,7 +88,7 @@
 
 
 @message(204)
-class News:
+class InstanceUpdates:
     """Voter to subscriber: changed records. Resent until acknowledged."""
 
     METRIC_LABELS: ClassVar[tuple[str, str]] = ("registry_messages", "News")
@@ -98,7 +98,7 @@
 
 
 @message(205)
-class NewsTaken:
+class InstanceUpdatesAcknowledged:
     """Subscriber to voter: acknowledges the records sent under that number."""
 
     METRIC_LABELS: ClassVar[tuple[str, str]] = ("registry_messages", "NewsTaken")
@@ -143,7 +143,7 @@
 
 
 @nested
-class HeardAgo:
+class LivenessAge:
     """The time since the sender last knew a server to be alive."""
 
     id: str
@@ -154,7 +154,7 @@
 class SilenceAnswer:
     """Voter to head: the answer to a `SilenceCheck`, for those servers that the voter knows."""
 
-    servers: tuple[HeardAgo, ...]
+    servers: tuple[LivenessAge, ...]
 
 
 @message(209)
--- a/cloverrouter/control/registry_voter.py
+++ b/cloverrouter/control/registry_voter.py
@@ -12,12 +12,12 @@
 from cloverrouter.control.list_exchange import split_into_parts
 from cloverrouter.control.registry_messages import (
     Announce,
-    AnnounceTaken,
-    Beat,
+    AnnounceAcknowledged,
     Compare,
-    HeardAgo,
+    InstanceHeartbeat,
     InstanceList,
-    News,
+    InstanceUpdates,
+    LivenessAge,
     Same,
     SilenceAnswer,
     SilenceCheck,
@@ -79,7 +79,7 @@
         """Answers the head's question when servers were last heard from here."""
         liveness = self._servers.liveness
         ids = [each for each in message.ids if liveness.knows(each)]
-        answer = [HeardAgo(each, round(max(liveness.age(now, each), 0.0) * 1000)) for each in ids]
+        answer = [LivenessAge(each, round(max(liveness.age(now, each), 0.0) * 1000)) for each in ids]
         return [Send(ip, SilenceAnswer(tuple(answer)))]
 
     def silence_checked(self, now: float, ip: str, message: SilenceAnswer) -> list[Send | ListEffect]:
@@ -97,19 +97,19 @@
         """Returns the acknowledgement of a merged record, or defers it until the record is forwarded."""
         record = message.record
         newer = () if self._servers.holds(now, record) else tuple(self._servers.records(now, [record.id]))
-        if not message.wants_receipt and not newer:
+        if not message.wants_acknowledgement and not newer:
             return []
         fingerprint = from_record(now, record).fingerprint()
-        answer = Send(ip, AnnounceTaken(record.id, fingerprint, newer))
+        answer = Send(ip, AnnounceAcknowledged(record.id, fingerprint, newer))
         if record.id in self._waiting_ids:
             self._deferred_acknowledgements.append(answer)
             return []
         return [answer]
 
-    def record_heartbeats(self, now: float, ip: str, beats: Iterable[Beat]) -> list[Send]:
+    def record_heartbeats(self, now: float, ip: str, heartbeats: Iterable[InstanceHeartbeat]) -> list[Send]:
         """Records heartbeats, and asks the origin for the records of servers unknown here."""
         unknown = []
-        for beat in beats:
+        for beat in heartbeats:
             if self._servers.table.record_heartbeat(beat.id, beat.sequence):
                 self._servers.liveness.record_alive(beat.id, now)
             else:
@@ -200,13 +200,13 @@
         changed: list[str] = []
         for instance in (servers.table.get(each) for each in result.given_up):
             if instance is not None:
-                changed += servers.merge(now, attrs.evolve(instance, lost=instance.generation))
+                changed += servers.merge(now, attrs.evolve(instance, lost_generation=instance.generation))
         if changed:
             effects += [servers.changed_effect(changed), *self.forward(now, changed, source="")]
         return effects
 
-    def _updates_message(self, now: float, batch: Batch) -> News:
-        return News(batch.number, tuple(self._servers.records(now, batch.ids)))
+    def _updates_message(self, now: float, batch: Batch) -> InstanceUpdates:
+        return InstanceUpdates(batch.number, tuple(self._servers.records(now, batch.ids)))
 
     def _silence_report(self, ip: str) -> Send:
         return Send(ip, SilenceReport(tuple(sorted(self._servers.silent))))
--- a/cloverrouter/control/servers_list.py
+++ b/cloverrouter/control/servers_list.py
@@ -33,13 +33,13 @@
 
 
 @attrs.frozen(slots=True)
-class InstancesHeard:
+class InstancesRecovered:
     """These servers lost their mark as silent because their heartbeats resumed."""
 
     ids: tuple[str, ...]
 
 
-ListEffect = InstancesChanged | InstancesSilent | InstancesHeard
+ListEffect = InstancesChanged | InstancesSilent | InstancesRecovered
 
 
 class ServersList:
@@ -141,5 +141,5 @@
         if newly:
             effects.append(InstancesSilent(tuple(sorted(newly))))
         if recovered:
-            effects.append(InstancesHeard(tuple(sorted(recovered))))
+            effects.append(InstancesRecovered(tuple(sorted(recovered))))
         return effects
--- a/cloverrouter/control/subscribers.py
+++ b/cloverrouter/control/subscribers.py
@@ -83,7 +83,7 @@
         ids = tuple(ids)
         receivers = [ip for ip in self._subscribers if ip != source]
         starts = range(0, len(ids), INSTANCES_PER_BATCH)
-        batches = [self._numbered(now, ids[start : start + INSTANCES_PER_BATCH]) for start in starts]
+        batches = [self._new_batch(now, ids[start : start + INSTANCES_PER_BATCH]) for start in starts]
         for ip in receivers:
             for batch in batches:
                 self._add_unacknowledged(self._subscribers[ip], batch)
@@ -104,7 +104,7 @@
             ]
             for batch in overdue:
                 del subscriber.batches[batch.number]
-                fresh = self._numbered(now, batch.ids)
+                fresh = self._new_batch(now, batch.ids)
                 self._add_unacknowledged(subscriber, fresh)
                 resends.append((ip, fresh))
         return resends
@@ -116,7 +116,7 @@
         for ip in expired:
             del self._subscribers[ip]
 
-    def _numbered(self, now: float, ids: tuple[str, ...]) -> Batch:
+    def _new_batch(self, now: float, ids: tuple[str, ...]) -> Batch:
         # Above the numbers of an earlier process on this machine, whose acknowledgements may still arrive.
         self._number = max(self._number + 1, int(now * 1000))
         return Batch(self._number, ids, now)
--- a/cloverrouter/daemon/control_calls.py
+++ b/cloverrouter/daemon/control_calls.py
@@ -81,7 +81,7 @@
 
     async def register(self, instance_id: str, body: dict[str, Any]) -> RegisterReply:
         instance = instance_from(self._loop.time(), instance_id, body)
-        change, effects = self._plane.registry.announced(self._loop.time(), instance)
+        change, effects = self._plane.registry.register(self._loop.time(), instance)
         await self._change(change, effects)
         from cloverrouter.control.api import RegisterReply
 
@@ -89,7 +89,7 @@
 
     async def withdraw(self, instance_id: str) -> bool:
         known = self._plane.registry.find(instance_id) is not None
-        change, effects = self._plane.registry.withdrawn(self._loop.time(), instance_id)
+        change, effects = self._plane.registry.deregister(self._loop.time(), instance_id)
         await self._change(change, effects)
         return known
 
--- a/cloverrouter/daemon/control_plane.py
+++ b/cloverrouter/daemon/control_plane.py
@@ -27,7 +27,7 @@
 )
 from cloverrouter.control.registry import Effect as RegistryEffect
 from cloverrouter.control.registry import Registry
-from cloverrouter.control.servers_list import InstancesChanged, InstancesHeard, InstancesSilent
+from cloverrouter.control.servers_list import InstancesChanged, InstancesRecovered, InstancesSilent
 from cloverrouter.control.subscriber import Effect as SubscriberEffect
 from cloverrouter.control.subscriber import Subscriber
 from cloverrouter.control.voter_choice import VoterAddress
@@ -253,9 +253,9 @@
             if self._genesis.over:
                 self._genesis = None
         lead_until = self._lead_until()
-        self.registry.lead_confirmed(lead_until is not None and now < lead_until)
+        self.registry.set_sole_head(lead_until is not None and now < lead_until)
         is_in_touch = self.subscriber.current(now)
-        self.registry.in_touch(is_in_touch)
+        self.registry.set_in_touch(is_in_touch)
         self._forwarder.in_touch(is_in_touch)
         is_behind = self.subscriber.behind_s(now) > self._settings.bounds.propagation_s
         self.traffic.router.is_behind = is_in_touch and is_behind
@@ -421,7 +421,7 @@
                 self._calls.change_ended(effect.change, isinstance(effect, Acknowledged))
             elif isinstance(effect, InstancesChanged):
                 self.traffic.instances_changed(effect.instances, self.registry.is_silent)
-            elif isinstance(effect, InstancesSilent | InstancesHeard):
+            elif isinstance(effect, InstancesSilent | InstancesRecovered):
                 found = (self.registry.find(instance_id) for instance_id in effect.ids)
                 known = [instance for instance in found if instance is not None]
                 self.traffic.instances_changed(known, self.registry.is_silent)
--- a/cloverrouter/daemon/servers_copy.py
+++ b/cloverrouter/daemon/servers_copy.py
@@ -1,4 +1,4 @@
-"""Copies the list of servers to the disk, and finds the copy after a start (`control/kept_servers.py`)."""
+"""Copies the list of servers to the disk, and finds the copy after a start (`control/list_snapshot.py`)."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from concurrent.futures import ThreadPoolExecutor
 from pathlib import Path
 
-from cloverrouter.control.kept_servers import KeptServers, pack, unpack
+from cloverrouter.control.list_snapshot import ListSnapshot, pack, unpack
 from cloverrouter.control.registry import Effect, Registry
 from cloverrouter.control.registry_messages import InstanceRecord
 from cloverrouter.store.errors import StoreError
@@ -22,7 +22,7 @@
 
     def __init__(self, directory: Path, registry: Registry, log_error: Callable[..., None]) -> None:
         self._file = WholeFile(directory / FILE_NAME)
-        self._kept = KeptServers(registry)
+        self._kept = ListSnapshot(registry)
         self._log_error = log_error
         self._loop = asyncio.get_running_loop()
         self._executor = ThreadPoolExecutor(1, thread_name_prefix="servers-copy")
@@ -33,12 +33,12 @@
         """Look for the copy of the process before."""
         data = await self._loop.run_in_executor(self._executor, self._file.read)
         records = unpack(data, time.time()) if data is not None else ()
-        self._kept.found(self._loop.time(), records)
+        self._kept.loaded(self._loop.time(), records)
 
     def tick(self, now: float) -> list[Effect]:
         """Copy the list if it is time; effects of the registry if an earlier copy is taken back."""
         if self._writing is None:
-            records = self._kept.due(now)
+            records = self._kept.take_due(now)
             if records:
                 self._writing = self._loop.create_task(self._write(records))
         return self._kept.tick(now)
--- a/cloverrouter/explore/coordination/registry_model.py
+++ b/cloverrouter/explore/coordination/registry_model.py
@@ -15,13 +15,13 @@
 from cloverrouter.control.registry import Effect, Registry
 from cloverrouter.control.registry_messages import (
     Announce,
-    AnnounceTaken,
-    Beats,
+    AnnounceAcknowledged,
     Compare,
+    HeartbeatBatch,
     InstanceList,
     InstanceRecord,
-    News,
-    NewsTaken,
+    InstanceUpdates,
+    InstanceUpdatesAcknowledged,
     Same,
 )
 from cloverrouter.control.servers_list import InstancesChanged
@@ -127,10 +127,10 @@
     def _call(self, name: str, number: int) -> None:
         machine, state = self.machines[name], self._state(number)
         if state is InstanceState.GONE:
-            change, effects = machine.registry.withdrawn(self.now, SERVER)
+            change, effects = machine.registry.deregister(self.now, SERVER)
         else:
             instance = Instance(SERVER, "s", "10.0.0.9:80", sequence=number + 1, state=state)
-            change, effects = machine.registry.announced(self.now, instance)
+            change, effects = machine.registry.register(self.now, instance)
         machine.changes[change] = state
         self._do(name, effects)
 
@@ -229,22 +229,24 @@
 
 
 def _record(record: InstanceRecord) -> str:
-    return f"{InstanceState(record.state).name}/{record.sequence}/{record.generation}/{record.lost}"
+    return (
+        f"{InstanceState(record.state).name}/{record.sequence}/{record.generation}/{record.lost_generation}"
+    )
 
 
 def _shown(message: object) -> str:
     match message:
         case Announce():
-            return f"news {_record(message.record)} (receipt: {message.wants_receipt})"
-        case AnnounceTaken():
+            return f"news {_record(message.record)} (receipt: {message.wants_acknowledgement})"
+        case AnnounceAcknowledged():
             newer = ", ".join(map(_record, message.newer))
             return f"receipt of {message.fingerprint & 0xFFFFF:x}{' with ' + newer if newer else ''}"
-        case News():
+        case InstanceUpdates():
             return f"news {message.number} {', '.join(map(_record, message.records))}"
-        case NewsTaken():
+        case InstanceUpdatesAcknowledged():
             return f"receipt of {message.number}"
-        case Beats():
-            return f"heartbeats {[beat.sequence for beat in message.beats]}"
+        case HeartbeatBatch():
+            return f"heartbeats {[beat.sequence for beat in message.heartbeats]}"
         case Compare():
             return f"comparison {message.digest & 0xFFFFF:x}/{message.count}"
         case Same():
--- a/cloverrouter/explore/coordination/registry_scopes.py
+++ b/cloverrouter/explore/coordination/registry_scopes.py
@@ -43,7 +43,7 @@
 ) -> None:
     pending = self._pending.get(instance_id)
     if pending is not None:
-        pending.taken_by.add(ip)
+        pending.acknowledged_by.add(ip)
 
 
 def _seeded(target: Any, name: str, fault: Any) -> Callable[[], AbstractContextManager[Any]]:
@@ -61,7 +61,7 @@
     ),
     "receipt-for-anything": ModelFault(
         "a receipt counts for whatever waits for one",
-        ("stale", "differ"), SCOPE, _seeded(Announcements, "taken", _receipt_for_anything),
+        ("stale", "differ"), SCOPE, _seeded(Announcements, "record_acknowledgement", _receipt_for_anything),
     ),
 }  # fmt: skip
 
--- a/cloverrouter/fuzz/control_calls.py
+++ b/cloverrouter/fuzz/control_calls.py
@@ -158,7 +158,7 @@
 
     async def register(self, instance_id: str, body: dict[str, Any]) -> RegisterReply:
         instance = instance_from(NOW, instance_id, body)
-        announce = Announce(instance.to_record(NOW, 0.0), wants_receipt=True)
+        announce = Announce(instance.to_record(NOW, 0.0), wants_acknowledgement=True)
         told = decoded(encode(announce), Announce)
         expect(told == announce, "an announcement reaches the other nodes changed")
         known = from_record(NOW, told.record)
--- a/features/steps/servers_list_steps.py
+++ b/features/steps/servers_list_steps.py
@@ -19,7 +19,7 @@
 
 
 def call_draining(context: Any, ip: str) -> None:
-    context.fleet.hush("s0")
+    context.fleet.stop_heartbeats("s0")
     context.sequence = getattr(context, "sequence", LATER) + 1
     context.called = ip
     context.change = context.fleet.announce(ip, "s0", context.sequence, state=DRAINING)
@@ -33,10 +33,10 @@
     context.world.run(1)
     ips = context.fleet.ips
     for number in range(servers):
-        context.fleet.beat(f"s{number}", [ips[number], ips[-1 - number]])
+        context.fleet.start_heartbeats(f"s{number}", [ips[number], ips[-1 - number]])
     context.whole = {f"s{number}": READY for number in range(servers)}
     context.world.run(10)
-    assert context.fleet.all_know(context.whole)
+    assert context.fleet.all_have(context.whole)
 
 
 @when("a server tells one machine that it is draining")
@@ -68,7 +68,7 @@
 
 @when("a server tells one machine that it is gone")
 def step_gone(context: Any) -> None:
-    context.fleet.hush("s0")
+    context.fleet.stop_heartbeats("s0")
     context.fleet.withdraw(context.fleet.ips[4], "s0")
     pass_time(context, 1)
 
@@ -98,13 +98,13 @@
 
 @when("a server dies without a word")
 def step_dies(context: Any) -> None:
-    context.fleet.hush("s0")
+    context.fleet.stop_heartbeats("s0")
 
 
 @when("{count:d} servers die without a word")
 def step_many_die(context: Any, count: int) -> None:
     for number in range(count):
-        context.fleet.hush(f"s{number}")
+        context.fleet.stop_heartbeats(f"s{number}")
 
 
 @when("a server of another service starts at its address")
@@ -130,13 +130,13 @@
 @then("{seconds:g} s later every machine knows that it is draining")
 def step_known(context: Any, seconds: float) -> None:
     pass_time(context, seconds)
-    assert context.fleet.all_know(context.expected)
+    assert context.fleet.all_have(context.expected)
 
 
 @then("no machine would send to it")
 def step_nobody_sends(context: Any) -> None:
     left = {name: state for name, state in context.whole.items() if name != "s0"}
-    assert context.fleet.all_know(left)
+    assert context.fleet.all_have(left)
 
 
 @then("no other machine ever has a shorter list")
@@ -144,18 +144,18 @@
     others = [ip for ip in context.fleet.ips if ip != context.fleet.voters[1]]
     while context.world.now < context.started + 0.4:
         pass_time(context, 0.01)
-        assert context.fleet.all_know(context.whole, others)
+        assert context.fleet.all_have(context.whole, others)
 
 
 @then("the voter has the whole list {seconds:g} s after its start")
 def step_filled(context: Any, seconds: float) -> None:
     assert context.world.now >= context.started + 0.1 + seconds - 1e-6
-    assert context.fleet.all_know(context.whole)
+    assert context.fleet.all_have(context.whole)
 
 
 @then("every machine has the whole list")
 def step_whole(context: Any) -> None:
-    assert context.fleet.all_know(context.whole)
+    assert context.fleet.all_have(context.whole)
 
 
 @then("{seconds:g} s later no machine would send to the dead one, and all know the new one")
@@ -167,13 +167,13 @@
 @then("every machine would send to the new one and not to the dead one")
 def step_only_new(context: Any) -> None:
     for ip in context.fleet.ips:
-        assert "s0" not in context.fleet.knows(ip), ip
-        assert context.fleet.knows(ip, "other") == {"new": READY}, ip
+        assert "s0" not in context.fleet.usable_states(ip), ip
+        assert context.fleet.usable_states(ip, "other") == {"new": READY}, ip
 
 
 @then("every machine has it marked as silent and still in its list")
 def step_marked(context: Any) -> None:
-    assert context.fleet.all_know(context.whole)
+    assert context.fleet.all_have(context.whole)
     for ip in context.fleet.ips:
         assert context.fleet.registry(ip).is_silent("s0"), ip
 
--- a/tests/system/registry_fleet.py
+++ b/tests/system/registry_fleet.py
@@ -72,18 +72,20 @@
             sequence=sequence,
             warm_at=warm_at,
         )
-        change, effects = self.registry(ip).announced(self.world.now, instance)
+        change, effects = self.registry(ip).register(self.world.now, instance)
         self.world.take(ip, effects)
         return change
 
     def withdraw(self, ip: str, instance_id: str) -> int:
         """The server tells the machine at `ip` that it has ended; returns the number of the change."""
-        change, effects = self.registry(ip).withdrawn(self.world.now, instance_id)
+        change, effects = self.registry(ip).deregister(self.world.now, instance_id)
         self.world.take(ip, effects)
         return change
 
-    def beat(self, instance_id: str, ips: Iterable[str], *, service: str = "svc", address: str = "") -> None:
-        """The server sends heartbeats to these machines in turn, until `hush`."""
+    def start_heartbeats(
+        self, instance_id: str, ips: Iterable[str], *, service: str = "svc", address: str = ""
+    ) -> None:
+        """The server sends heartbeats to these machines in turn, until `stop_heartbeats`."""
         callees = list(ips)
         self.sends_heartbeats[instance_id] = True
         sequence = 0
@@ -106,7 +108,7 @@
             if ip in self.world.cores:
                 self.registry(ip).set_head(self.world.now, self.head)
 
-    def hush(self, instance_id: str) -> None:
+    def stop_heartbeats(self, instance_id: str) -> None:
         """Stops the server's heartbeats without removing it from the list."""
         self.sends_heartbeats[instance_id] = False
 
@@ -118,14 +120,14 @@
             if other != ip and other in self.world.cores:
                 self.world.at(self.world.now + 0.12, lambda other=other: self._link_up(other, ip))  # type: ignore[misc]
 
-    def knows(self, ip: str, service: str = "svc") -> dict[str, InstanceState]:
+    def usable_states(self, ip: str, service: str = "svc") -> dict[str, InstanceState]:
         """Returns the states of the servers that the machine would send requests to."""
         return {each.id: each.state for each in self.registry(ip).instances(service)}
 
-    def all_know(self, expected: dict[str, InstanceState], ips: Iterable[str] | None = None) -> bool:
+    def all_have(self, expected: dict[str, InstanceState], ips: Iterable[str] | None = None) -> bool:
         """Returns whether all machines that are up (or those of `ips`) have exactly this list."""
         chosen = [ip for ip in (self.ips if ips is None else ips) if ip in self.world.cores]
-        return all(self.knows(ip) == expected for ip in chosen)
+        return all(self.usable_states(ip) == expected for ip in chosen)
 
     def was_acknowledged(self, ip: str, change: int) -> bool:
         """Returns whether the change was acknowledged to its server (answered 200)."""
--- a/tests/system/test_control_api.py
+++ b/tests/system/test_control_api.py
@@ -15,7 +15,7 @@
 from cloverrouter.control.instances import Instance, InstanceState
 from cloverrouter.control.metrics import Figure
 from cloverrouter.control.orders import ConfigurationMachine, OrderReply
-from cloverrouter.control.registration import instance_from, is_plain, read_registration
+from cloverrouter.control.registration import instance_from, is_clearly_valid, read_registration
 from cloverrouter.control.registry_messages import ModelOnServer
 from cloverrouter.control.schemas import validator
 from cloverrouter.http.server import Server, ServerLimits
@@ -254,7 +254,7 @@
 @pytest.mark.parametrize("change, problem", MALFORMED.values(), ids=MALFORMED.keys())
 def test_a_malformed_registration_is_refused_with_its_findings(change: dict[str, Any], problem: str) -> None:
     body = {**ANNOUNCEMENT, **change}
-    assert not is_plain(body)
+    assert not is_clearly_valid(body)
     answer = ask(Call(b"PUT", b"/-/instances/i-1", json.dumps(body).encode()))
     assert answer.status == 400
     assert told(answer)["findings"] == [problem]
@@ -348,8 +348,10 @@
     for field in ANNOUNCEMENT:
         for value in odd:
             body = {**ANNOUNCEMENT, field: value}
-            assert not is_plain(body) or validator("registration").validate(body, normalize=False), body
-    assert is_plain(ANNOUNCEMENT)
+            assert not is_clearly_valid(body) or validator("registration").validate(body, normalize=False), (
+                body
+            )
+    assert is_clearly_valid(ANNOUNCEMENT)
 
 
 @pytest.mark.parametrize(
--- a/tests/system/test_instances.py
+++ b/tests/system/test_instances.py
@@ -21,7 +21,7 @@
     sequence=st.integers(0, 4),
     models=st.sampled_from([(), (ModelOnServer("m", 1),)]),
     generation=st.integers(1, 3),
-    lost=st.integers(0, 3),
+    lost_generation=st.integers(0, 3),
 )
 
 
--- a/tests/system/test_kept_servers.py
+++ b/tests/system/test_list_snapshot.py
@@ -9,13 +9,13 @@
 import pytest
 
 from cloverrouter.control.instances import Instance, InstanceState
-from cloverrouter.control.kept_servers import (
+from cloverrouter.control.list_snapshot import (
     MAX_AGE_S,
     MAX_BYTES,
     REFRESH_INTERVAL_S,
     RESTORE_DELAY_S,
     WRITE_INTERVAL_S,
-    KeptServers,
+    ListSnapshot,
     pack,
     unpack,
 )
@@ -46,7 +46,7 @@
     made = Registry(OWN, 1.2)
     made.start(now)
     for each in servers:
-        made.announced(now, each)
+        made.register(now, each)
     return made
 
 
@@ -61,9 +61,9 @@
     return data
 
 
-def restarted(before: Registry, after: Registry, now: float) -> KeptServers:
-    kept = KeptServers(after)
-    kept.found(now, unpack(snapshot_of(before), WALL + 2.0))
+def restarted(before: Registry, after: Registry, now: float) -> ListSnapshot:
+    kept = ListSnapshot(after)
+    kept.loaded(now, unpack(snapshot_of(before), WALL + 2.0))
     return kept
 
 
@@ -96,8 +96,8 @@
 
 def test_servers_that_were_draining_or_gone_are_restored_as_such() -> None:
     before = registry(*(server(place) for place in range(24)))
-    before.announced(NOW, server(1, state=InstanceState.DRAINING, sequence=6))
-    before.withdrawn(NOW, "i-2")
+    before.register(NOW, server(1, state=InstanceState.DRAINING, sequence=6))
+    before.deregister(NOW, "i-2")
     after = registry(now=100.0)
     restarted(before, after, 100.0).tick(100.0 + RESTORE_DELAY_S)
     states = {each.id: each.state for each in after.instances("model")}
@@ -110,7 +110,7 @@
     after = registry(now=100.0)
     after.voters_changed(100.0, [OWN, "10.0.0.2", "10.0.0.3"])
     restarted(before, after, 100.0).tick(100.0 + RESTORE_DELAY_S)
-    change, effects = after.announced(100.3, server(7, sequence=6))
+    change, effects = after.register(100.3, server(7, sequence=6))
     assert not [effect for effect in effects if getattr(effect, "change", None) == change]
 
 
@@ -133,15 +133,15 @@
 
 def test_it_is_written_after_a_change_and_periodically() -> None:
     after = registry(server(1))
-    kept = KeptServers(after)
-    kept.found(NOW, ())
-    assert kept.due(NOW + WRITE_INTERVAL_S / 2) is None
-    assert kept.due(NOW + WRITE_INTERVAL_S) is not None
-    assert kept.due(NOW + 2 * WRITE_INTERVAL_S) is None
-    after.announced(NOW + 2 * WRITE_INTERVAL_S, server(2))
-    assert len(kept.due(NOW + 3 * WRITE_INTERVAL_S) or ()) == 2
-    assert kept.due(NOW + 4 * WRITE_INTERVAL_S) is None
-    assert kept.due(NOW + 3 * WRITE_INTERVAL_S + REFRESH_INTERVAL_S) is not None
+    kept = ListSnapshot(after)
+    kept.loaded(NOW, ())
+    assert kept.take_due(NOW + WRITE_INTERVAL_S / 2) is None
+    assert kept.take_due(NOW + WRITE_INTERVAL_S) is not None
+    assert kept.take_due(NOW + 2 * WRITE_INTERVAL_S) is None
+    after.register(NOW + 2 * WRITE_INTERVAL_S, server(2))
+    assert len(kept.take_due(NOW + 3 * WRITE_INTERVAL_S) or ()) == 2
+    assert kept.take_due(NOW + 4 * WRITE_INTERVAL_S) is None
+    assert kept.take_due(NOW + 3 * WRITE_INTERVAL_S + REFRESH_INTERVAL_S) is not None
 
 
 def test_a_list_that_is_too_long_is_not_written() -> None:
--- a/tests/system/test_mechanisms.py
+++ b/tests/system/test_mechanisms.py
@@ -224,7 +224,7 @@
 # -- what is not in the chain --
 
 
-@mechanism(test_registry.test_a_machine_that_is_not_the_head_any_more_marks_nobody)
+@mechanism(test_registry.test_a_former_head_marks_no_server_as_silent)
 def silence_is_taken_from_the_head_only() -> Iterator[None]:
     original = Registry.receive
 
@@ -269,13 +269,13 @@
 
 @mechanism(test_registry.test_a_receipt_for_an_earlier_life_of_the_origin_counts_for_nothing_else)
 def receipts_name_what_was_taken() -> Iterator[None]:
-    original = Announcements.taken
+    original = Announcements.record_acknowledgement
 
     def trusting(self: Announcements, voter: str, instance_id: str, fingerprint: int, newest: Any) -> None:
         pending = self._pending.get(instance_id)
         original(self, voter, instance_id, pending.fingerprint if pending else fingerprint, newest)
 
-    with patch.object(Announcements, "taken", trusting):
+    with patch.object(Announcements, "record_acknowledgement", trusting):
         yield
 
 
@@ -294,7 +294,7 @@
         self._number += 1
         return Batch(self._number, ids, now)
 
-    with patch.object(Subscribers, "_numbered", numbered):
+    with patch.object(Subscribers, "_new_batch", numbered):
         yield
 
 
--- a/tests/system/test_pages_servers.py
+++ b/tests/system/test_pages_servers.py
@@ -48,7 +48,7 @@
     )
     assert took < 0.1
     made.world.run(made.world.now + 0.01)
-    assert made.all_know({"b": READY})
+    assert made.all_have({"b": READY})
 
 
 def test_a_removal_asked_of_a_machine_that_knows_nothing_of_the_server_counts_everywhere() -> None:
@@ -58,11 +58,11 @@
     made.world.run(made.world.now + 3)
     made.restart(made.ips[4])
     made.world.run_until(lambda: made.ips[4] in made.world.cores, 1, step=0.001)
-    assert made.knows(made.ips[4]) == {}
+    assert made.usable_states(made.ips[4]) == {}
     change = made.withdraw(made.ips[4], "a")
     made.world.run_until(lambda: made.was_acknowledged(made.ips[4], change), ACKNOWLEDGED_WITHIN_S)
     made.world.run(made.world.now + 3)
-    assert made.all_know({})
+    assert made.all_have({})
 
 
 @pytest.mark.parametrize("sequence", [1, 6, 99])
@@ -76,7 +76,7 @@
         made.world.run(made.world.now + pause)
         made.announce(made.ips[9], "a", sequence)
         made.world.run(made.world.now + 0.5)
-        assert made.all_know({})
+        assert made.all_have({})
 
 
 def test_a_removal_and_a_heartbeat_that_cross_end_in_the_removal() -> None:
@@ -92,7 +92,7 @@
             made.announce(first, "a", 6, address="elsewhere:80")
             made.withdraw(second, "a")
         made.world.run(made.world.now + 2)
-        assert made.all_know({}), seed
+        assert made.all_have({}), seed
 
 
 def test_nothing_goes_to_a_server_that_was_removed_nor_to_one_being_connected_to() -> None:
@@ -144,20 +144,20 @@
     change = made.announce(made.ips[5], "a", 6)
     made.world.run(made.world.now + ACKNOWLEDGED_WITHIN_S)
     assert made.was_acknowledged(made.ips[5], change)
-    assert made.all_know({"a": DRAINING})
+    assert made.all_have({"a": DRAINING})
 
 
 def test_heartbeats_seconds_late_leave_a_server_in_use() -> None:
     """A server counts as silent only after three missed heartbeats, and a silent one stays in the list."""
     made = fleet()
     for name in ("b", "c", "d"):
-        made.beat(name, [made.ips[8]])
+        made.start_heartbeats(name, [made.ips[8]])
     for sequence in range(1, 9):
         made.announce(made.ips[7], "a", sequence)
         made.world.run(made.world.now + HEARTBEAT_INTERVAL_S + 2.0)
         assert not any(made.registry(ip).is_silent("a") for ip in made.ips)
     made.world.run(made.world.now + 20)
-    assert all(made.knows(ip)["a"] is READY for ip in made.ips)
+    assert all(made.usable_states(ip)["a"] is READY for ip in made.ips)
 
 
 # Machines that are cut off
@@ -179,10 +179,10 @@
     assert not made.was_acknowledged(made.ips[place], change)
     assert made.has_failed(made.ips[place], change)
     others = [ip for ip in made.ips if ip != made.ips[place]]
-    assert made.all_know({"a": READY}, others)
+    assert made.all_have({"a": READY}, others)
     made.world.join()
     made.world.run(made.world.now + 4)
-    assert made.all_know({})
+    assert made.all_have({})
 
 
 def test_a_head_that_is_cut_off_with_a_few_servers_takes_none_of_the_others_away() -> None:
@@ -190,17 +190,17 @@
     must not give up the servers that it can't hear from."""
     made = fleet()
     for number in range(9):
-        made.beat(f"s{number}", [made.ips[7]] if number else [made.head])
+        made.start_heartbeats(f"s{number}", [made.ips[7]] if number else [made.head])
     expected = {f"s{number}": READY for number in range(9)}
     made.world.run(20)
-    assert made.all_know(expected)
+    assert made.all_have(expected)
     cut_off(made, made.head)
-    made.registry(made.head).lead_confirmed(False)
+    made.registry(made.head).set_sole_head(False)
     made.world.run(made.world.now + 150)
     made.world.join()
     for _ in range(60):
         made.world.run(made.world.now + 0.05)
-        assert made.all_know(expected, made.ips[1:])
+        assert made.all_have(expected, made.ips[1:])
 
 
 def test_a_late_heartbeat_of_the_server_before_takes_no_address_back() -> None:
@@ -211,7 +211,7 @@
     made.world.run(made.world.now + 2)
     made.announce(made.ips[5], "old", 8, address="x:80")
     made.world.run(made.world.now + 2)
-    assert made.all_know({"new": READY})
+    assert made.all_have({"new": READY})
 
 
 @pytest.mark.parametrize("state", [DRAINING, GONE])
@@ -229,7 +229,7 @@
     made.world.at(made.world.now + 0.1, lambda: made.world.thaw(voter))
     made.world.run_until(lambda: made.was_acknowledged(origin, change), ACKNOWLEDGED_WITHIN_S, step=0.001)
     made.world.run(made.world.now + 0.01)
-    assert made.knows(isolated) == ({} if state is GONE else {"a": DRAINING})
+    assert made.usable_states(isolated) == ({} if state is GONE else {"a": DRAINING})
 
 
 @pytest.mark.parametrize("seed", range(4))
@@ -250,4 +250,4 @@
             step=0.001,
         )
         made.world.run(made.world.now + 0.005)
-        assert made.all_know(remaining), name
+        assert made.all_have(remaining), name
--- a/tests/system/test_registry.py
+++ b/tests/system/test_registry.py
@@ -5,8 +5,8 @@
 import pytest
 
 from cloverrouter.control.instances import InstanceState
-from cloverrouter.control.registry_messages import AnnounceTaken, SilenceReport
-from cloverrouter.control.servers_list import InstancesChanged, InstancesHeard, InstancesSilent
+from cloverrouter.control.registry_messages import AnnounceAcknowledged, SilenceReport
+from cloverrouter.control.servers_list import InstancesChanged, InstancesRecovered, InstancesSilent
 from tests.system.lossy_world import World
 from tests.system.registry_fleet import HEARTBEAT_INTERVAL_S, RegistryFleet
 
@@ -26,7 +26,7 @@
     change = made.announce(made.ips[origin], "a", 1)
     made.world.run(made.world.now + 0.02)
     assert made.was_acknowledged(made.ips[origin], change)
-    assert made.all_know({"a": READY})
+    assert made.all_have({"a": READY})
 
 
 def test_a_registration_gets_through_a_lossy_network() -> None:
@@ -35,7 +35,7 @@
         change = made.announce(made.ips[7], "a", 1)
         made.world.run(made.world.now + 4)
         assert made.was_acknowledged(made.ips[7], change)
-        assert made.all_know({"a": READY})
+        assert made.all_have({"a": READY})
 
 
 def test_a_heartbeat_without_a_change_is_acknowledged_at_once_and_costs_no_message_of_its_own() -> None:
@@ -57,7 +57,7 @@
         took = made.world.run_until(lambda m=made, c=change: m.was_acknowledged(m.ips[12], c), limit=1)  # type: ignore[misc]
         assert took < 0.05
         made.world.run(made.world.now + 0.01)
-        assert made.all_know({"a": DRAINING})
+        assert made.all_have({"a": DRAINING})
 
 
 def test_draining_with_a_voter_down_is_acknowledged_by_the_others() -> None:
@@ -68,7 +68,7 @@
     change = made.announce(made.ips[7], "a", 2, state=DRAINING)
     made.world.run(made.world.now + 0.7)
     assert made.was_acknowledged(made.ips[7], change)
-    assert made.all_know({"a": DRAINING})
+    assert made.all_have({"a": DRAINING})
 
 
 def test_without_a_majority_a_change_fails_and_is_not_acknowledged() -> None:
@@ -92,14 +92,14 @@
     made.world.cut([made.ips[7], made.voters[0], made.ips[8]], [made.voters[1], made.voters[2]])
     made.announce(made.ips[7], "a", 2, state=DRAINING)
     made.world.run(made.world.now + 0.1)
-    assert made.knows(made.ips[8]) == {"a": DRAINING}
+    assert made.usable_states(made.ips[8]) == {"a": DRAINING}
     change = made.announce(made.ips[8], "a", 3, state=DRAINING)
     made.world.run(made.world.now + 2)
     assert not made.was_acknowledged(made.ips[8], change)
     made.world.join()
     made.world.run(made.world.now + 1)
     assert made.was_acknowledged(made.ips[8], change)
-    assert made.all_know({"a": DRAINING})
+    assert made.all_have({"a": DRAINING})
 
 
 def test_a_receipt_for_an_earlier_life_of_the_origin_counts_for_nothing_else() -> None:
@@ -108,12 +108,12 @@
     made.announce(origin, "a", 1)
     made.announce(origin, "b", 1)
     made.world.run(made.world.now + 3)
-    acknowledgements: list[tuple[str, AnnounceTaken]] = []
+    acknowledgements: list[tuple[str, AnnounceAcknowledged]] = []
     for voter in made.voters:
         record = made.registry(origin).find("a")
         assert record is not None
         fingerprint = record.fingerprint()
-        acknowledgements.append((voter, AnnounceTaken("a", fingerprint, ())))
+        acknowledgements.append((voter, AnnounceAcknowledged("a", fingerprint, ())))
     made.restart(origin)
     made.world.run(made.world.now + 3)
     made.world.cut([origin], made.voters)
@@ -131,115 +131,117 @@
     made.world.run(made.world.now + 1)
     made.announce(made.ips[8], "a", 4)
     made.world.run(made.world.now + 1)
-    assert made.all_know({"a": DRAINING})
+    assert made.all_have({"a": DRAINING})
     made.withdraw(made.ips[3], "a")
     made.world.run(made.world.now + 1)
     made.announce(made.ips[9], "a", 4)
     made.world.run(made.world.now + 60)
-    assert made.all_know({})
+    assert made.all_have({})
 
 
 def test_a_voter_that_starts_empty_gets_the_list_and_empties_no_other() -> None:
     made = fleet()
     for number in range(9):
-        made.beat(f"s{number}", [made.ips[number], made.ips[10]])
+        made.start_heartbeats(f"s{number}", [made.ips[number], made.ips[10]])
     made.world.run(5)
     expected = {f"s{number}": READY for number in range(9)}
-    assert made.all_know(expected)
+    assert made.all_have(expected)
     made.restart(made.voters[1])
     others = [ip for ip in made.ips if ip != made.voters[1]]
     for _ in range(100):
         made.world.run(made.world.now + 0.1)
-        assert made.all_know(expected, others)
-        assert made.world.now < 5.4 or made.all_know(expected)
+        assert made.all_have(expected, others)
+        assert made.world.now < 5.4 or made.all_have(expected)
 
 
 def test_all_machines_restarted_have_the_list_after_a_round_of_heartbeats() -> None:
     made = fleet()
     for number in range(9):
-        made.beat(f"s{number}", [made.ips[number]])
+        made.start_heartbeats(f"s{number}", [made.ips[number]])
     made.world.run(5)
     for ip in made.ips:
         made.restart(ip)
-    took = made.world.run_until(lambda: made.all_know({f"s{n}": READY for n in range(9)}), limit=3)
+    took = made.world.run_until(lambda: made.all_have({f"s{n}": READY for n in range(9)}), limit=3)
     assert took < HEARTBEAT_INTERVAL_S + 0.6
 
 
 def test_a_machine_that_was_cut_off_catches_up_when_its_links_are_up() -> None:
     made = fleet()
     for name in ("a", "b", "c"):
-        made.beat(name, [made.ips[7], made.ips[8]])
+        made.start_heartbeats(name, [made.ips[7], made.ips[8]])
     made.world.run(5)
     made.world.cut([made.ips[9]], [ip for ip in made.ips if ip != made.ips[9]])
     made.world.run(8)
-    made.hush("a")
+    made.stop_heartbeats("a")
     made.announce(made.ips[8], "a", 100, state=DRAINING)
     made.withdraw(made.ips[7], "b")
-    made.hush("b")
+    made.stop_heartbeats("b")
     made.world.run(made.world.now + 4)
-    assert made.knows(made.ips[9]) == {"a": READY, "b": READY, "c": READY}
+    assert made.usable_states(made.ips[9]) == {"a": READY, "b": READY, "c": READY}
     made.world.join()
-    took = made.world.run_until(lambda: made.knows(made.ips[9]) == {"a": DRAINING, "c": READY}, limit=4)
+    took = made.world.run_until(
+        lambda: made.usable_states(made.ips[9]) == {"a": DRAINING, "c": READY}, limit=4
+    )
     assert took < 2.6
 
 
 def test_a_machine_cut_off_for_minutes_brings_nothing_back() -> None:
     made = fleet()
     for name in ("a", "b"):
-        made.beat(name, [made.ips[7], made.ips[8]])
+        made.start_heartbeats(name, [made.ips[7], made.ips[8]])
     made.world.run(5)
     made.world.cut([made.ips[9]], [ip for ip in made.ips if ip != made.ips[9]])
-    made.hush("a")
+    made.stop_heartbeats("a")
     made.withdraw(made.ips[7], "a")
     made.world.run(made.world.now + 300)
     made.world.join()
     made.world.run(made.world.now + 10)
-    assert made.all_know({"b": READY})
+    assert made.all_have({"b": READY})
 
 
 def test_a_server_that_falls_silent_is_marked_then_dropped_and_comes_back_with_a_heartbeat() -> None:
     made = fleet()
     for name in ("a", "b", "c"):
-        made.beat(name, [made.ips[7], made.ips[8]])
+        made.start_heartbeats(name, [made.ips[7], made.ips[8]])
     made.world.run(20)
-    made.hush("a")
+    made.stop_heartbeats("a")
     made.world.run(made.world.now + 3 * HEARTBEAT_INTERVAL_S + 2.5)
     for ip in made.ips:
         assert made.registry(ip).is_silent("a"), ip
         assert not made.registry(ip).is_silent("b")
         assert made.world.seen(ip, InstancesSilent) == [InstancesSilent(("a",))]
-    assert made.all_know({"a": READY, "b": READY, "c": READY})
+    assert made.all_have({"a": READY, "b": READY, "c": READY})
     made.world.run(made.world.now + 70)
-    assert made.all_know({"b": READY, "c": READY})
+    assert made.all_have({"b": READY, "c": READY})
     made.world.run(made.world.now + 30)
-    assert made.all_know({"b": READY, "c": READY})
+    assert made.all_have({"b": READY, "c": READY})
     made.announce(made.ips[4], "a", 5000)
     made.world.run(made.world.now + 1)
-    assert made.all_know({"a": READY, "b": READY, "c": READY})
+    assert made.all_have({"a": READY, "b": READY, "c": READY})
 
 
 def test_a_silent_server_that_is_heard_again_loses_its_mark() -> None:
     made = fleet()
     for name in ("a", "b", "c"):
-        made.beat(name, [made.ips[7], made.ips[8]])
+        made.start_heartbeats(name, [made.ips[7], made.ips[8]])
     made.world.run(20)
-    made.hush("a")
+    made.stop_heartbeats("a")
     made.world.run(made.world.now + 8)
     assert made.registry(made.ips[5]).is_silent("a")
     made.announce(made.ips[4], "a", 1000)
     made.world.run(made.world.now + 2)
     for ip in made.ips:
         assert not made.registry(ip).is_silent("a"), ip
-        assert made.world.seen(ip, InstancesHeard) == [InstancesHeard(("a",))]
+        assert made.world.seen(ip, InstancesRecovered) == [InstancesRecovered(("a",))]
 
 
 def test_when_most_servers_fall_silent_at_once_none_is_marked() -> None:
     made = fleet()
     for number in range(6):
-        made.beat(f"s{number}", [made.ips[7]])
+        made.start_heartbeats(f"s{number}", [made.ips[7]])
     made.world.run(20)
     for number in range(5):
-        made.hush(f"s{number}")
+        made.stop_heartbeats(f"s{number}")
     made.world.run(40)
     assert not any(made.world.seen(ip, InstancesSilent) for ip in made.ips)
 
@@ -247,7 +249,7 @@
 def test_a_head_that_was_frozen_marks_nobody_when_it_wakes() -> None:
     made = fleet()
     for number in range(6):
-        made.beat(f"s{number}", [made.ips[7 + number % 3]])
+        made.start_heartbeats(f"s{number}", [made.ips[7 + number % 3]])
     made.world.run(20)
     made.world.freeze(made.head)
     made.world.run(40)
@@ -259,10 +261,10 @@
 def test_a_new_head_gives_the_servers_time_and_then_marks() -> None:
     made = fleet()
     for name in ("a", "b", "c"):
-        made.beat(name, [made.ips[7], made.ips[8]])
+        made.start_heartbeats(name, [made.ips[7], made.ips[8]])
     made.world.run(20)
     made.world.stop(made.head)
-    made.hush("a")
+    made.stop_heartbeats("a")
     made.head = made.voters[1]
     made.announce_head(made.ips[1:])
     made.world.run(made.world.now + 3 * HEARTBEAT_INTERVAL_S + 0.9)
@@ -271,11 +273,11 @@
     assert made.registry(made.ips[9]).is_silent("a")
 
 
-def test_a_machine_that_is_not_the_head_any_more_marks_nobody() -> None:
+def test_a_former_head_marks_no_server_as_silent() -> None:
     """Cut off from the other voters, it neither learns of the new head nor gets their heartbeats."""
     made = fleet()
     for name in ("a", "b", "c"):
-        made.beat(name, [made.ips[7], made.ips[8]])
+        made.start_heartbeats(name, [made.ips[7], made.ips[8]])
     made.world.run(20)
     old, made.head = made.head, made.voters[1]
     made.announce_head([ip for ip in made.ips if ip != old])
@@ -288,7 +290,7 @@
 def test_a_former_head_accepts_the_reports_of_the_next_one() -> None:
     made = fleet()
     for name in ("a", "b", "c"):
-        made.beat(name, [made.ips[7], made.ips[8]])
+        made.start_heartbeats(name, [made.ips[7], made.ips[8]])
     made.world.run(20)
     old, made.head = made.head, made.voters[1]
     made.announce_head(made.ips)
@@ -303,8 +305,8 @@
     made.announce(made.ips[3], "new", 1, address="x:80", service="other")
     made.world.run(made.world.now + 0.1)
     for ip in made.ips:
-        assert made.knows(ip) == {}
-        assert made.knows(ip, "other") == {"new": READY}
+        assert made.usable_states(ip) == {}
+        assert made.usable_states(ip, "other") == {"new": READY}
         (last,) = [e for e in made.world.seen(ip, InstancesChanged) if len(e.instances) == 2]
         assert {each.id: each.state for each in last.instances} == {"old": GONE, "new": READY}
 
@@ -319,7 +321,7 @@
     made.world.run(made.world.now + 3)
     made.announce(made.ips[5], "alive", 2, address="x:80")
     made.world.run(made.world.now + 0.5)
-    assert made.all_know({"alive": READY})
+    assert made.all_have({"alive": READY})
 
 
 def test_warming_up_is_known_everywhere_and_costs_no_updates_as_time_passes() -> None:
@@ -340,7 +342,7 @@
 def test_other_voters_take_over_with_the_list_that_the_machines_hold() -> None:
     made = fleet(size=12)
     for number in range(6):
-        made.beat(f"s{number}", [made.ips[6 + number % 5]])
+        made.start_heartbeats(f"s{number}", [made.ips[6 + number % 5]])
     made.world.run(5)
     made.voters = made.ips[3:6]
     made.head = made.ips[3]
@@ -352,7 +354,7 @@
     assert made.was_acknowledged(made.ips[9], change)
     for _ in range(50):
         made.world.run(made.world.now + 0.2)
-        assert made.all_know({"new": READY} | {f"s{number}": READY for number in range(6)})
+        assert made.all_have({"new": READY} | {f"s{number}": READY for number in range(6)})
 
 
 def test_a_large_list_is_exchanged_in_parts() -> None:
@@ -363,7 +365,7 @@
     made.restart(made.voters[0])
     made.restart(made.ips[4])
     made.world.run(made.world.now + 3)
-    assert made.all_know({f"s{number}": READY for number in range(900)})
+    assert made.all_have({f"s{number}": READY for number in range(900)})
 
 
 def test_quiet_machines_exchange_only_digests() -> None:
--- a/tests/system/test_registry_chaos.py
+++ b/tests/system/test_registry_chaos.py
@@ -63,12 +63,12 @@
     def add_server(self) -> None:
         name = f"s{self.servers}"
         self.servers += 1
-        self.fleet.beat(name, self.random.sample(self.fleet.ips, 3))
+        self.fleet.start_heartbeats(name, self.random.sample(self.fleet.ips, 3))
 
     def drain_one(self) -> None:
         staying = [name for name, beats in self.fleet.sends_heartbeats.items() if beats]
         name = self.random.choice(staying[:-1])
-        self.fleet.hush(name)
+        self.fleet.stop_heartbeats(name)
         self.draining_servers.append(DrainingServer(name))
 
     def call_again(self, server: DrainingServer) -> None:
@@ -95,7 +95,7 @@
         for ip in self.fleet.ips:
             if self.trouble.is_in_touch(ip):
                 self.checked += 1
-                state = self.fleet.knows(ip).get(server.instance_id)
+                state = self.fleet.usable_states(ip).get(server.instance_id)
                 assert state is not READY, (self.world.now, ip, server)
 
 
--- a/tests/system/test_silence.py
+++ b/tests/system/test_silence.py
@@ -5,7 +5,7 @@
 import pytest
 
 from cloverrouter.control.registry import Registry
-from cloverrouter.control.registry_messages import HeardAgo, SilenceAnswer, SilenceCheck
+from cloverrouter.control.registry_messages import LivenessAge, SilenceAnswer, SilenceCheck
 from cloverrouter.control.silence import Detection, Liveness, SilenceDetector
 from cloverrouter.placement.first_token import FirstTokenModel
 from cloverrouter.placement.options import IN_USE
@@ -29,8 +29,8 @@
     """The machine that the server calls is cut off from the head, but from no other voter."""
     made = fleet()
     for name in ("a", "b", "c"):
-        made.beat(name, [made.ips[4]])
-    made.beat("d", [made.ips[7]])
+        made.start_heartbeats(name, [made.ips[4]])
+    made.start_heartbeats("d", [made.ips[7]])
     made.world.run(20)
     made.world.cut([made.head], [made.ips[7]])
     made.world.run(made.world.now + LONG_CUT_S)
@@ -40,8 +40,8 @@
 def test_a_server_that_no_voter_hears_is_silent() -> None:
     made = fleet()
     for name in ("a", "b", "c"):
-        made.beat(name, [made.ips[4]])
-    made.beat("d", [made.ips[7]])
+        made.start_heartbeats(name, [made.ips[4]])
+    made.start_heartbeats("d", [made.ips[7]])
     made.world.run(20)
     made.world.cut(made.voters, [made.ips[7]])
     made.world.run(made.world.now + LONG_CUT_S)
@@ -52,8 +52,8 @@
 def test_a_head_that_reaches_no_other_voter_marks_no_server_as_silent() -> None:
     made = fleet()
     for name in ("a", "b", "c"):
-        made.beat(name, [made.ips[4]])
-    made.beat("d", [made.ips[7]])
+        made.start_heartbeats(name, [made.ips[4]])
+    made.start_heartbeats("d", [made.ips[7]])
     made.world.run(20)
     made.world.cut([made.head], made.voters[1:], [made.ips[7]])
     made.world.run(made.world.now + LONG_CUT_S)
@@ -106,7 +106,7 @@
     registry.voters_changed(0.0, ["10.0.0.1", "10.0.0.2"])
     registry.set_head(0.0, "10.0.0.2")
     assert registry.receive(1.0, sender, SilenceCheck(("a",))) == []
-    assert registry.receive(1.0, sender, SilenceAnswer((HeardAgo("a", 60_000),))) == []
+    assert registry.receive(1.0, sender, SilenceAnswer((LivenessAge("a", 60_000),))) == []
 
 
 def test_a_silent_server_that_has_just_answered_stays_in_use_for_a_while() -> None:
