--- a/cloverrouter/placement/admission.py
+++ b/cloverrouter/placement/admission.py
@@ -6,14 +6,14 @@
 """A request with less time left cannot be answered in time by anyone."""
 RETRY_AFTER_MIN_S = 0.05
 RETRY_AFTER_MAX_S = 2.0
-ABSENT_S = 0.4
+NO_SERVERS_RETRY_S = 0.4
 """A service without servers gets some again when one starts, which takes a while."""
-STARTED_S = 1.3
+TYPICAL_STARTUP_S = 1.3
 """A process that has been up for so long usually has a configuration and servers."""
-UNCONFIGURED_S = 0.3
+UNCONFIGURED_RETRY_S = 0.3
 """One that still has none may get them any moment."""
-START_SPREAD_S = 0.3
-CLIENT_PATIENCE = 0.3
+STARTUP_JITTER_S = 0.3
+MAX_WAIT_SHARE = 0.3
 
 
 def has_time(left_ms: float) -> bool:
@@ -25,20 +25,20 @@
     """When a place is likely free at servers that are full: after about two usual answers, spread by `draw`
     (0 to 1) so that those who are refused together don't come back together."""
     wait = usual_ms / 1000 * (1.0 + 2.0 * draw)
-    return _within(min(max(wait, RETRY_AFTER_MIN_S), RETRY_AFTER_MAX_S), left_ms)
+    return _capped(min(max(wait, RETRY_AFTER_MIN_S), RETRY_AFTER_MAX_S), left_ms)
 
 
 def absent_retry_after_s(left_ms: float, draw: float) -> float:
     """When a server may be there again, with none that can be reached now."""
-    return _within(ABSENT_S * (1.0 + draw), left_ms)
+    return _capped(NO_SERVERS_RETRY_S * (1.0 + draw), left_ms)
 
 
 def unconfigured_retry_after_s(up_s: float, draw: float) -> float:
     """When a process that has been up for so long, and has no configuration yet, will have one. Clients come
     earlier where they have less time."""
-    return max(UNCONFIGURED_S, STARTED_S - up_s) + START_SPREAD_S * draw
+    return max(UNCONFIGURED_RETRY_S, TYPICAL_STARTUP_S - up_s) + STARTUP_JITTER_S * draw
 
 
-def _within(wait_s: float, left_ms: float) -> float:
+def _capped(wait_s: float, left_ms: float) -> float:
     """Clients wait up to a third of the time that they have left."""
-    return max(0.01, min(wait_s, left_ms / 1000 * CLIENT_PATIENCE))
+    return max(0.01, min(wait_s, left_ms / 1000 * MAX_WAIT_SHARE))
--- a/cloverrouter/placement/first_token.py
+++ b/cloverrouter/placement/first_token.py
@@ -2,11 +2,11 @@
 
 from __future__ import annotations
 
-FORGETTING = 0.98
+DECAY_PER_ANSWER = 0.98
 """What an old answer still weighs after the next one."""
-FIRST_MS_PER_TOKEN = 0.004
-FIRST_USUAL_MS = 20.0
-MIN_USUAL_MS = 2.0
+DEFAULT_MS_PER_TOKEN = 0.004
+DEFAULT_MEAN_TTFT_MS = 20.0
+MIN_MEAN_TTFT_MS = 2.0
 MAX_MS_PER_TOKEN = 1.0
 MIN_WEIGHT = 5.0
 """Answers that must have come before the line is believed."""
@@ -21,20 +21,20 @@
 
     def learn(self, tokens: float, ms: float) -> None:
         """An answer began after that time, with that many tokens to be read."""
-        self._weight = self._weight * FORGETTING + 1.0
-        self._tokens = self._tokens * FORGETTING + tokens
-        self._ms = self._ms * FORGETTING + ms
-        self._tokens_squared = self._tokens_squared * FORGETTING + tokens * tokens
-        self._product = self._product * FORGETTING + tokens * ms
+        self._weight = self._weight * DECAY_PER_ANSWER + 1.0
+        self._tokens = self._tokens * DECAY_PER_ANSWER + tokens
+        self._ms = self._ms * DECAY_PER_ANSWER + ms
+        self._tokens_squared = self._tokens_squared * DECAY_PER_ANSWER + tokens * tokens
+        self._product = self._product * DECAY_PER_ANSWER + tokens * ms
 
     @property
     def ms_per_token(self) -> float:
         """Time that a token of the prompt takes to be read."""
         if self._weight < MIN_WEIGHT:
-            return FIRST_MS_PER_TOKEN
+            return DEFAULT_MS_PER_TOKEN
         spread = self._tokens_squared - self._tokens**2 / self._weight
         if spread < self._weight:
-            return FIRST_MS_PER_TOKEN
+            return DEFAULT_MS_PER_TOKEN
         slope = (self._product - self._tokens * self._ms / self._weight) / spread
         return min(MAX_MS_PER_TOKEN, max(0.0, slope))
 
@@ -42,16 +42,16 @@
     def usual_ms(self) -> float:
         """Mean time to the first token: the unit in which expected times count as requests."""
         if self._weight < MIN_WEIGHT:
-            return FIRST_USUAL_MS
-        return max(MIN_USUAL_MS, self._ms / self._weight)
+            return DEFAULT_MEAN_TTFT_MS
+        return max(MIN_MEAN_TTFT_MS, self._ms / self._weight)
 
-    def reading_ms(self, tokens: float) -> float:
+    def prefill_ms(self, tokens: float) -> float:
         """Time that so many tokens take to be read."""
         return tokens * self.ms_per_token
 
     def expected_ms(self, tokens: float) -> float:
         """Time to the first token at a server that is as busy as usual."""
         if self._weight < MIN_WEIGHT:
-            return FIRST_USUAL_MS + self.reading_ms(tokens)
+            return DEFAULT_MEAN_TTFT_MS + self.prefill_ms(tokens)
         mean_tokens = self._tokens / self._weight
         return max(0.0, self.usual_ms + (tokens - mean_tokens) * self.ms_per_token)
--- a/cloverrouter/placement/leaving.py
+++ b/cloverrouter/placement/leaving.py
@@ -11,10 +11,10 @@
 
 MARGIN_S = 0.2
 """What is expected to end must do so this long before the process: timers fire late on a busy machine."""
-EARLY_S = 2.5
+EARLY_PHASE_S = 2.5
 """By then those who send clients here have learnt that they should not; they ask for readiness each second,
 and believe the second answer."""
-EARLY_PART = 1 / 3
+EARLY_PHASE_SHARE = 1 / 3
 """The same, where little time is left. What is begun early on an estimate that was wrong still has the other
 two thirds to come true; after that only deadlines count."""
 ESTIMATE_FACTOR = 2.0
@@ -30,7 +30,7 @@
 class Leave:
     """The span between being told to end and the end. Seconds on one steady clock."""
 
-    told_at: float
+    requested_at: float
     ends_at: float
 
 
@@ -51,7 +51,9 @@
     last_end = leave.ends_at - MARGIN_S
     if request.deadline <= last_end:
         return True
-    if now > leave.told_at + min(EARLY_S, (leave.ends_at - leave.told_at) * EARLY_PART):
+    if now > leave.requested_at + min(
+        EARLY_PHASE_S, (leave.ends_at - leave.requested_at) * EARLY_PHASE_SHARE
+    ):
         return False
     if request.can_resume:
         return True
@@ -69,25 +71,25 @@
     def __init__(self) -> None:
         self._recent: dict[str, float] = {}
         self._older: dict[str, float] = {}
-        self._turns_at = 0.0
+        self._rotates_at = 0.0
 
-    def note(self, kind: str, took_s: float, now: float) -> None:
+    def note(self, kind: str, duration_s: float, now: float) -> None:
         """An answer of that kind has come to its end."""
-        self._turn(now)
-        if took_s > self._recent.get(kind, 0.0):
-            self._recent[kind] = took_s
+        self._rotate(now)
+        if duration_s > self._recent.get(kind, 0.0):
+            self._recent[kind] = duration_s
 
     def of(self, kind: str, now: float) -> float | None:
         """The longest; None if none came lately."""
-        self._turn(now)
+        self._rotate(now)
         found = [longest[kind] for longest in (self._recent, self._older) if kind in longest]
         return max(found, default=None)
 
-    def _turn(self, now: float) -> None:
+    def _rotate(self, now: float) -> None:
         """Forget what is too old."""
-        if now < self._turns_at:
+        if now < self._rotates_at:
             return
-        is_fresh = now < self._turns_at + KEPT_S
+        is_fresh = now < self._rotates_at + KEPT_S
         self._older = self._recent if is_fresh else {}
         self._recent = {}
-        self._turns_at = now + KEPT_S
+        self._rotates_at = now + KEPT_S
--- a/cloverrouter/placement/placement_messages.py
+++ b/cloverrouter/placement/placement_messages.py
@@ -26,8 +26,8 @@
     prompt is longer."""
 
     service: str
-    talking_ms: int
-    reading_ms: int
+    decode_heavy_ms: int
+    prefill_heavy_ms: int
 
 
 @message(400)
--- a/cloverrouter/placement/prefix.py
+++ b/cloverrouter/placement/prefix.py
@@ -13,7 +13,7 @@
 import attrs
 
 MAX_HEADER_LENGTH = 8_192
-LIGHT_FACTOR = 16
+SMALL_PREFIX_DIVISOR = 16
 """Shared parts with fewer tokens than the answer may have, divided by this, are no reason for a server."""
 MAX_PARTS = 64
 MAX_ENTRIES = 4_096
@@ -39,15 +39,15 @@
     """Most tokens of the answer; 0 where nothing is told."""
 
     @property
-    def talks(self) -> bool:
+    def is_decode_heavy(self) -> bool:
         """Whether the answer is longer than the prompt: long prompts beside it make its events late."""
         return self.tokens_out > self.tokens
 
     @property
-    def is_light(self) -> bool:
+    def has_small_shared_prefix(self) -> bool:
         """Whether reading the shared parts again is next to nothing beside writing the answer."""
         shared_tokens = sum([part.tokens for part in self.shared])
-        return shared_tokens * LIGHT_FACTOR <= self.tokens_out
+        return shared_tokens * SMALL_PREFIX_DIVISOR <= self.tokens_out
 
     @property
     def subject(self) -> Part | None:
--- a/cloverrouter/placement/quota.py
+++ b/cloverrouter/placement/quota.py
@@ -32,15 +32,15 @@
 
 OWN_FOR_S = 60.0  # whoever tells the size of the fleet must hold it for longer
 START_MARGIN_S = 0.1
-REPORT_S = 0.1  # until the allocator has said how long contact lasts
-REPORTS_IN_CONTACT = 3.5
+DEFAULT_REPORT_INTERVAL_S = 0.1  # until the allocator has said how long contact lasts
+REPORTS_PER_CONTACT = 3.5
 ASK_SPACING_S = 0.005  # asks closer than this are put together
 ASK_WAIT_S = 0.02  # a round trip to the allocator, and its turn
 ANSWER_EXPECTED_S = 0.1  # an ask unanswered for so long is lost
-SILENT_SPACING_S = 0.2  # between asks while they are lost
+SILENT_ASK_SPACING_S = 0.2  # between asks while they are lost
 TICK_SLACK_S = 0.005
-LONGEST_WAIT_S = 2.0
-SHORTEST_REFUSAL_S = 0.05
+MAX_WAIT_S = 2.0
+MIN_REFUSAL_S = 0.05
 
 Effect = Send | Wake
 
@@ -65,14 +65,14 @@
         self._fleet_size = 0
         self._head: str | None = None
         self._epoch = 0
-        self._heard = 0
+        self._acknowledged = 0
         self._standby = Standby(now, now)
-        self._report_s = REPORT_S
+        self._report_interval_s = DEFAULT_REPORT_INTERVAL_S
         self._number = 0
         self._reported_at = now
-        self._wanting: set[str] = set()
+        self._tenants_to_ask: set[str] = set()
         self._asks: dict[int, float] = {}  # number to when it was sent
-        self._asked_at = now - SILENT_SPACING_S
+        self._asked_at = now - SILENT_ASK_SPACING_S
 
     def configure(self, tenants: Mapping[str, TenantLimit], fleet_size: int) -> None:
         """Limits in force from now on, and how many proxies there may be at most; 0 while that is unknown.
@@ -96,8 +96,8 @@
         self._fleet_size = size
         if not size:
             return
-        process_before_is_over = self._started + contact_s(size) + START_MARGIN_S
-        since = max(self._standby.since, process_before_is_over)
+        predecessor_contact_ends = self._started + contact_s(size) + START_MARGIN_S
+        since = max(self._standby.since, predecessor_contact_ends)
         self._standby = Standby(since, max(self._standby.until, self._now + OWN_FOR_S))
 
     def admit(self, tenant: str, tokens: int, now: float, *, again: bool = False) -> float:
@@ -113,16 +113,16 @@
         if not again:
             account.asked_tokens += tokens
         account.advance(now, self._standby)
-        if account.take(tokens):
+        if account.consume(tokens):
             account.run_tokens += tokens
             return 0.0
         if now < account.dry_until:
-            return max(account.dry_until - now, SHORTEST_REFUSAL_S)
+            return max(account.dry_until - now, MIN_REFUSAL_S)
         if self._allocator_is_silent(now):
-            return min(max(account.filling_s(tokens), SHORTEST_REFUSAL_S), LONGEST_WAIT_S)
-        if not again or (now >= account.asking_until and not account.wanted):
-            account.wanted += tokens
-            self._wanting.add(tenant)
+            return min(max(account.fill_time_s(tokens), MIN_REFUSAL_S), MAX_WAIT_S)
+        if not again or (now >= account.answer_due_at and not account.pending_tokens):
+            account.pending_tokens += tokens
+            self._tenants_to_ask.add(tenant)
         return ASK_WAIT_S
 
     def refund(self, tenant: str, tokens: int) -> None:
@@ -135,28 +135,28 @@
     @property
     def wants_credit(self) -> bool:
         """Whether `flush` has something to ask for, once it may."""
-        return bool(self._wanting) and self._head is not None
+        return bool(self._tenants_to_ask) and self._head is not None
 
     def flush(self, now: float) -> list[Effect]:
         """What `admit` wants to be asked for; empty if the last ask was a moment ago."""
         self._now = now
-        if not self._wanting or now - self._asked_at < ASK_SPACING_S:
+        if not self._tenants_to_ask or now - self._asked_at < ASK_SPACING_S:
             return []
-        tokens = dict(self._asked_for(now))
-        self._wanting.clear()
+        tokens = dict(self._collect_asks(now))
+        self._tenants_to_ask.clear()
         return self._ask(now, tokens, {})
 
     def tick(self, now: float) -> list[Effect]:
         """Call each 10 to 50 ms: reports that are due, asks that were put off."""
         self._now = now
         effects = self.flush(now)
-        if now - self._reported_at < self._report_s - TICK_SLACK_S:
+        if now - self._reported_at < self._report_interval_s - TICK_SLACK_S:
             return effects
         self._reported_at = now
         for account in self._accounts.values():
             account.advance(now, self._standby)
-        self._asks = {number: at for number, at in self._asks.items() if now - at < LONGEST_WAIT_S}
-        return effects + self._report() + self._ask_in_advance(now)
+        self._asks = {number: at for number, at in self._asks.items() if now - at < MAX_WAIT_S}
+        return effects + self._report() + self._ask_for_advance(now)
 
     def head_changed(self, ip: str | None, epoch: int) -> None:
         """The allocator now is at `ip`; it is reported to at once.
@@ -167,9 +167,9 @@
             return
         self._head = ip
         self._epoch = epoch
-        self._heard = 0
+        self._acknowledged = 0
         self._asks.clear()
-        self._reported_at = min(self._reported_at, self._now - self._report_s)
+        self._reported_at = min(self._reported_at, self._now - self._report_interval_s)
 
     def receive(self, now: float, ip: str, message: object) -> list[Effect]:
         """A datagram of the allocator."""
@@ -179,8 +179,8 @@
         if message.incarnation != self._incarnation or message.epoch != self._epoch:
             return []
         if isinstance(message, QuotaCredit):
-            return list(self._take_credit(now, message))
-        self._take_contact(now, message)
+            return list(self._receive_credit(now, message))
+        self._receive_contact(now, message)
         return []
 
     def stands_by(self, now: float) -> bool:
@@ -199,7 +199,7 @@
         if self._head is None:
             return True
         unanswered = any(now - at > ANSWER_EXPECTED_S for at in self._asks.values())
-        return unanswered and now - self._asked_at < SILENT_SPACING_S
+        return unanswered and now - self._asked_at < SILENT_ASK_SPACING_S
 
     def _ask(self, now: float, tokens: dict[str, int], spare: dict[str, int]) -> list[Effect]:
         if self._head is None:
@@ -209,28 +209,28 @@
         self._asks[self._number] = now
         return [Send(self._head, QuotaAsk(self._epoch, self._incarnation, self._number, now, tokens, spare))]
 
-    def _ask_in_advance(self, now: float) -> list[Effect]:
+    def _ask_for_advance(self, now: float) -> list[Effect]:
         if now >= self._standby.since or self._allocator_is_silent(now):
             return []
         spare = {
-            tenant: account.to_fill(now, self._standby)
+            tenant: account.tokens_to_fill(now, self._standby)
             for tenant, account in self._accounts.items()
-            if now >= account.dry_until and now >= account.asking_until
+            if now >= account.dry_until and now >= account.answer_due_at
         }
         spare = {tenant: tokens for tenant, tokens in spare.items() if tokens > 0}
         return self._ask(now, {}, spare) if spare else []
 
-    def _asked_for(self, now: float) -> Iterator[tuple[str, int]]:
+    def _collect_asks(self, now: float) -> Iterator[tuple[str, int]]:
         """By tenant: what waits, less what is there."""
-        for tenant in self._wanting:
+        for tenant in self._tenants_to_ask:
             account = self._accounts.get(tenant)
             if account is None:
                 continue
-            yield tenant, int(max(account.wanted - account.available(), 0.0)) + 1
-            account.wanted = 0.0
-            account.asking_until = now + ANSWER_EXPECTED_S
+            yield tenant, int(max(account.pending_tokens - account.available(), 0.0)) + 1
+            account.pending_tokens = 0.0
+            account.answer_due_at = now + ANSWER_EXPECTED_S
 
-    def _take_credit(self, now: float, credit: QuotaCredit) -> Iterator[Effect]:
+    def _receive_credit(self, now: float, credit: QuotaCredit) -> Iterator[Effect]:
         if self._asks.pop(credit.number, None) is None:
             return
         for number in [number for number in self._asks if number < credit.number]:
@@ -241,24 +241,26 @@
             if account is None:
                 continue
             account.advance(now, self._standby)
-            account.asking_until = now
+            account.answer_due_at = now
             if now < until and tenant in credit.tokens:
                 account.receive_credit(credit.tokens[tenant], until)
             account.dry_until = now + credit.dry_for_s.get(tenant, 0.0)
             yield Wake(tenant)
 
-    def _take_contact(self, now: float, contact: QuotaContact) -> None:
-        if contact.number <= self._heard:
+    def _receive_contact(self, now: float, contact: QuotaContact) -> None:
+        if contact.number <= self._acknowledged:
             return
         for account in self._accounts.values():
             account.advance(now, self._standby)
-        self._heard = contact.number
+        self._acknowledged = contact.number
         since = max(self._standby.since, now + contact.contact_for_s)
         self._standby = Standby(since, max(self._standby.until, now + OWN_FOR_S))
-        self._report_s = contact.contact_for_s / REPORTS_IN_CONTACT
+        self._report_interval_s = contact.contact_for_s / REPORTS_PER_CONTACT
 
     def _report(self) -> list[Effect]:
         if self._head is None:
             return []
         self._number += 1
-        return [Send(self._head, QuotaReport(self._epoch, self._incarnation, self._number, self._heard))]
+        return [
+            Send(self._head, QuotaReport(self._epoch, self._incarnation, self._number, self._acknowledged))
+        ]
--- a/cloverrouter/placement/quota_account.py
+++ b/cloverrouter/placement/quota_account.py
@@ -6,7 +6,7 @@
 
 from cloverrouter.placement.quota_plan import TenantPlan
 
-FILLED_PART = 0.7  # of the room: more is asked for in advance when there is less
+REFILL_BELOW_SHARE = 0.7  # of the room: more is asked for in advance when there is less
 
 
 @attrs.frozen(slots=True)
@@ -34,20 +34,20 @@
     credit: float = 0.0
     credit_until: float = 0.0
     dry_until: float = 0.0
-    wanted: float = 0.0  # tokens of requests that wait and have not been asked for
-    asking_until: float = 0.0  # an answer is expected until then
+    pending_tokens: float = 0.0  # tokens of requests that wait and have not been asked for
+    answer_due_at: float = 0.0  # an answer is expected until then
     asked_tokens: int = 0  # of all requests
     run_tokens: int = 0
 
     def advance(self, now: float, standby: Standby) -> None:
         """Fill up to `now`."""
         if self.credit and now >= self.credit_until:
-            self._fill_to(self.credit_until, standby)
+            self._fill_until(self.credit_until, standby)
             self.level = min(self.level + self.credit, self.room(self.credit_until, standby))
             self.credit = 0.0
-        self._fill_to(now, standby)
+        self._fill_until(now, standby)
 
-    def _fill_to(self, now: float, standby: Standby) -> None:
+    def _fill_until(self, now: float, standby: Standby) -> None:
         since, until = max(self.updated_at, standby.since), min(now, standby.until)
         if since < until:
             filled = self.level + (until - since) * self.plan.own_rate
@@ -65,7 +65,7 @@
         """Tokens at hand."""
         return self.level + self.credit
 
-    def take(self, tokens: float) -> bool:
+    def consume(self, tokens: float) -> bool:
         """Credit first, as it spoils sooner."""
         if tokens > self.available():
             return False
@@ -79,12 +79,12 @@
         self.credit_until = min(until, self.credit_until) if self.credit else until
         self.credit += tokens
 
-    def to_fill(self, now: float, standby: Standby) -> int:
+    def tokens_to_fill(self, now: float, standby: Standby) -> int:
         """Tokens to ask for in advance; 0 while there are enough."""
         room = self.room(now, standby)
-        return int(room - self.available()) if self.available() < room * FILLED_PART else 0
+        return int(room - self.available()) if self.available() < room * REFILL_BELOW_SHARE else 0
 
-    def filling_s(self, tokens: float) -> float:
+    def fill_time_s(self, tokens: float) -> float:
         """How long until a proxy that stands by has so many tokens, if it may ever hold them."""
         if tokens > self.plan.line_room + self.plan.own_room or not self.plan.own_rate:
             return float("inf")
--- a/cloverrouter/placement/quota_plan.py
+++ b/cloverrouter/placement/quota_plan.py
@@ -15,8 +15,8 @@
 
 SAFETY = 0.01  # of the allowed tokens: clocks that run at slightly different rates
 STEADY_PART = 0.5  # of the overshoot: for a higher rate; the rest can be stored
-LEAST_STORE_PART = 0.05  # of the allowed tokens: what buckets can store at least, at the rate's expense
-LINE_ROOM_PART = 0.3  # of the store: what proxies may hold in advance, all together
+MIN_STORE_PART = 0.05  # of the allowed tokens: what buckets can store at least, at the rate's expense
+ADVANCE_PART = 0.3  # of the store: what proxies may hold in advance, all together
 POOL_DEBT_TOKENS = 40_000.0  # largest request that the pool serves when it holds next to nothing
 POOL_DEBT_PART = 0.25  # of the store: what the pool may owe at most
 STANDBY_PART = 0.5  # of the pool's rate: what all proxies have together when each is on its own
@@ -24,7 +24,7 @@
 
 CONTACT_S = 0.35
 CONTACT_PER_PROXY_S = 0.003  # so that the reports to the allocator don't grow with the fleet beyond bounds
-LONGEST_CONTACT_S = 1.2
+MAX_CONTACT_S = 1.2
 
 
 @attrs.frozen(slots=True)
@@ -66,21 +66,21 @@
     """Divide a limit over a fleet of at most `fleet_size` proxies; 0: unknown, then a proxy has nothing."""
     allowed = allowed_tokens(limit, rules) * (1 - SAFETY)
     steady = limit.rate * (1 + rules.overshoot * STEADY_PART) * rules.window_s
-    store = max(allowed - steady, allowed * LEAST_STORE_PART)
+    store = max(allowed - steady, allowed * MIN_STORE_PART)
     rate = (allowed - store) / rules.window_s
     debt = min(POOL_DEBT_TOKENS, store * POOL_DEBT_PART)
-    room = store * (1 - LINE_ROOM_PART) - debt
-    each = 1 / fleet_size if fleet_size > 0 else 0.0
+    room = store * (1 - ADVANCE_PART) - debt
+    share = 1 / fleet_size if fleet_size > 0 else 0.0
     return TenantPlan(
         rate=rate,
         room=room,
         debt=debt,
-        line_room=store * LINE_ROOM_PART * each,
-        own_rate=rate * STANDBY_PART * each,
-        own_room=room * STANDBY_ROOM_PART * each,
+        line_room=store * ADVANCE_PART * share,
+        own_rate=rate * STANDBY_PART * share,
+        own_room=room * STANDBY_ROOM_PART * share,
     )
 
 
 def contact_s(fleet_size: int) -> float:
     """For how long an allocator's answer keeps a proxy from standing by."""
-    return min(CONTACT_S + CONTACT_PER_PROXY_S * fleet_size, LONGEST_CONTACT_S)
+    return min(CONTACT_S + CONTACT_PER_PROXY_S * fleet_size, MAX_CONTACT_S)
--- a/cloverrouter/placement/rest_news.py
+++ b/cloverrouter/placement/rest_news.py
@@ -15,7 +15,7 @@
 REPORTERS = 3
 """Proxies that must have lost a request so within `WINDOW_S`: a server that crashes resets connections too,
 but few of them just when they are used."""
-LIMIT_PART = 0.5
+LIMIT_SHARE = 0.5
 """Of the shortest rest that was reported: what may still be used."""
 WARN_S = 5.0
 
@@ -55,4 +55,4 @@
             return None
         self._reports = {}
         shortest = min(rested_ms for _, rested_ms in recent.values())
-        return RestWarning(int(shortest * LIMIT_PART), int(WARN_S * 1000))
+        return RestWarning(int(shortest * LIMIT_SHARE), int(WARN_S * 1000))
--- a/cloverrouter/placement/retries.py
+++ b/cloverrouter/placement/retries.py
@@ -72,7 +72,7 @@
         self._bucket.tokens = 0.0
         return self._random.random() < chance
 
-    def retries(self, now: float) -> float:
+    def available_retries(self, now: float) -> float:
         """How many are there to spend."""
         self._advance(now)
         return self._bucket.tokens / self._bucket.cost
--- a/cloverrouter/placement/room.py
+++ b/cloverrouter/placement/room.py
@@ -8,16 +8,16 @@
 from cloverrouter.placement.options import PlacementOptions
 from cloverrouter.placement.servers import ServiceServers, Standing
 
-ROOM_BASE = 2
-ROOM_FACTOR = 1.5
-"""A server has room while fewer than ``ROOM_BASE + ROOM_FACTOR * mean`` own requests are under way there,"""
-ROOM_PART = 0.17
+BOUND_BASE = 2
+BOUND_MEAN_FACTOR = 1.5
+"""A server has room while fewer than ``BOUND_BASE + BOUND_MEAN_FACTOR * mean`` own requests are under way there,"""
+BOUND_CAPACITY_SHARE = 0.17
 """or less than this part of what it runs at once, other proxies send there too;"""
-ROOM_SHARE = 1.2
+BOUND_FLEET_FACTOR = 1.2
 """or, in larger fleets, less than so many times this proxy's even share of that,"""
-SILENT_PART = 0.5
+SILENT_BOUND_FACTOR = 0.5
 """A server that the head takes for silent has so much of the room of another one."""
-LATE_FACTOR = 3.0
+MAX_DELAY_FACTOR = 3.0
 """and while its answers begin less than so many usual times later than their work explains."""
 
 
@@ -30,32 +30,32 @@
         self._servers = servers
         self._first_token = first_token
         self._options = options
-        self._part = ROOM_PART
+        self._capacity_share = BOUND_CAPACITY_SHARE
 
     def fleet_changed(self, size: int) -> None:
         """So many proxies send to the servers."""
-        self._part = min(ROOM_PART, ROOM_SHARE / max(1, size))
+        self._capacity_share = min(BOUND_CAPACITY_SHARE, BOUND_FLEET_FACTOR / max(1, size))
 
     def having(self, among: Iterable[Standing], now: float) -> list[Standing]:
         """Those that have room."""
-        if not self._options.room_rule:
+        if not self._options.load_bound:
             return list(among)
-        most = ROOM_BASE + ROOM_FACTOR * self._servers.total_in_flight() / len(self._servers.ready)
-        latest_ms = LATE_FACTOR * self._first_token.usual_ms
+        mean_bound = BOUND_BASE + BOUND_MEAN_FACTOR * self._servers.total_in_flight() / len(self._servers.ready)
+        max_delay_ms = MAX_DELAY_FACTOR * self._first_token.usual_ms
         return [
             one
             for one in among
-            if one.in_flight < self._room(one, most)
-            and self.delay_ms(one, now) < latest_ms
+            if one.in_flight < self._bound(one, mean_bound)
+            and self.delay_ms(one, now) < max_delay_ms
         ]
 
-    def _room(self, standing: Standing, most: float) -> float:
+    def _bound(self, state: Standing, mean_bound: float) -> float:
         """How many own requests may be under way there."""
-        room = max(most, standing.server.capacity * self._part)
-        return room * SILENT_PART if standing.server.silent else room
+        bound = max(mean_bound, state.server.capacity * self._capacity_share)
+        return bound * SILENT_BOUND_FACTOR if state.server.silent else bound
 
-    def delay_ms(self, standing: Standing, now: float) -> float:
+    def delay_ms(self, state: Standing, now: float) -> float:
         """How much later than its work explains an answer is expected to begin there."""
         if not self._options.learnt_delays:
             return 0.0
-        return standing.late_ms(now, self._first_token.usual_ms)
+        return state.expected_delay_ms(now, self._first_token.usual_ms)
--- a/cloverrouter/placement/server_load.py
+++ b/cloverrouter/placement/server_load.py
@@ -10,11 +10,11 @@
 
 import attrs
 
-MOST_REQUESTS = 1_000_000
+MAX_COUNT = 1_000_000
 """Numbers beyond all measure name nothing."""
-FIRM_S = 1.0
+FULL_WEIGHT_S = 1.0
 """A reading counts in full for so long,"""
-KEPT_S = 4.0
+EXPIRY_S = 4.0
 """and after so long not at all."""
 _READING = re.compile(rb"[ \t]*([0-9]{1,7})[ \t]*,[ \t]*([0-9]{1,7})[ \t]*,[ \t]*([0-9]{1,7})[ \t]*")
 
@@ -28,7 +28,7 @@
     slots: int
 
     @property
-    def taken(self) -> float:
+    def occupancy(self) -> float:
         """Part of its places that is taken; above 1 where requests wait."""
         return (self.running + self.waiting) / self.slots
 
@@ -44,11 +44,11 @@
     if found is None:
         return None
     running, waiting, slots = (int(number) for number in found.groups())
-    if not slots or max(running, waiting, slots) > MOST_REQUESTS:
+    if not slots or max(running, waiting, slots) > MAX_COUNT:
         return None
     return ServerLoad(running, waiting, slots)
 
 
-def firmness(age_s: float) -> float:
+def reading_weight(age_s: float) -> float:
     """How much a reading of that age still counts, 1 to 0."""
-    return max(0.0, min(1.0, (KEPT_S - age_s) / (KEPT_S - FIRM_S)))
+    return max(0.0, min(1.0, (EXPIRY_S - age_s) / (EXPIRY_S - FULL_WEIGHT_S)))
--- a/cloverrouter/placement/trouble.py
+++ b/cloverrouter/placement/trouble.py
@@ -14,20 +14,20 @@
 
 from cloverrouter.placement.trouble_messages import TroubleReport, TroubleWarning
 
-REPORT_PERIOD_S = 0.1
-REPEAT_S = 0.5
+REPORT_INTERVAL_S = 0.1
+REPEAT_INTERVAL_S = 0.5
 """A proxy reports the same server at most this often."""
-MOST_IDS = 40
+MAX_IDS = 40
 WINDOW_S = 2.0
 """Reports of this span count together."""
 WARN_S = 3.0
 WARN_GROWTH = 1.5
-MOST_WARN_S = 8.0
-CALM_S = 4.0
+MAX_WARN_S = 8.0
+QUIET_S = 4.0
 """After so long without a warning that is in force, the next one is a first one again."""
-REPORTERS_AGAIN = 2
+REPEAT_REPORTERS = 2
 """Proxies whose trials have failed, for the next warning soon after one has run out."""
-SMALL_FLEET, MIDDLE_FLEET = 8, 20
+SMALL_FLEET_SIZE, MEDIUM_FLEET_SIZE = 8, 20
 
 
 class TroubleReporter:
@@ -36,28 +36,28 @@
     def __init__(self, zone: str) -> None:
         self._zone = zone
         self._failed: dict[str, None] = {}
-        self._told_at: dict[str, float] = {}
+        self._reported_at: dict[str, float] = {}
         self._next = 0.0
 
     def failed(self, instance_id: str) -> None:
         """The server failed a request."""
-        if len(self._failed) < MOST_IDS:
+        if len(self._failed) < MAX_IDS:
             self._failed[instance_id] = None
 
     def flush(self, now: float) -> TroubleReport | None:
         """What to send now."""
         if not self._failed or now < self._next:
             return None
-        self._next = now + REPORT_PERIOD_S
-        self._told_at = {key: at for key, at in self._told_at.items() if now - at < REPEAT_S}
-        ids = tuple(key for key in self._failed if key not in self._told_at)
+        self._next = now + REPORT_INTERVAL_S
+        self._reported_at = {key: at for key, at in self._reported_at.items() if now - at < REPEAT_INTERVAL_S}
+        ids = tuple(key for key in self._failed if key not in self._reported_at)
         self._failed.clear()
-        self._told_at.update(dict.fromkeys(ids, now))
+        self._reported_at.update(dict.fromkeys(ids, now))
         return TroubleReport(self._zone, ids) if ids else None
 
 
 @attrs.define(slots=True)
-class _Case:
+class _ReportedServer:
     """One reported server: when each proxy last reported it, and the warning that is in force."""
 
     reports: dict[str, tuple[float, str]] = attrs.field(factory=dict)
@@ -70,48 +70,50 @@
 
     def __init__(self, fleet_size: Callable[[], int]) -> None:
         self._fleet_size = fleet_size
-        self._cases: dict[str, _Case] = {}
+        self._reported: dict[str, _ReportedServer] = {}
 
     def receive(self, now: float, ip: str, report: TroubleReport) -> list[TroubleWarning]:
         """A proxy's report; gives the warnings that all are to hear."""
         self._forget(now)
         warnings = []
-        for instance_id in report.ids[:MOST_IDS]:
-            case = self._cases.setdefault(instance_id, _Case())
-            case.reports[ip] = (now, report.zone)
-            warning = self._warning(now, instance_id, case)
+        for instance_id in report.ids[:MAX_IDS]:
+            reported = self._reported.setdefault(instance_id, _ReportedServer())
+            reported.reports[ip] = (now, report.zone)
+            warning = self._warning(now, instance_id, reported)
             if warning is not None:
                 warnings.append(warning)
         return warnings
 
-    def _warning(self, now: float, instance_id: str, case: _Case) -> TroubleWarning | None:
-        if now < case.warned_until:
+    def _warning(self, now: float, instance_id: str, reported: _ReportedServer) -> TroubleWarning | None:
+        if now < reported.warned_until:
             return None
-        recent = {ip: found for ip, found in case.reports.items() if now - found[0] < WINDOW_S}
-        case.reports = recent
-        is_calm = now - case.warned_until > CALM_S
-        needed = reporters_needed(self._fleet_size()) if is_calm else REPORTERS_AGAIN
+        recent = {ip: found for ip, found in reported.reports.items() if now - found[0] < WINDOW_S}
+        reported.reports = recent
+        is_quiet = now - reported.warned_until > QUIET_S
+        needed = reporters_needed(self._fleet_size()) if is_quiet else REPEAT_REPORTERS
         if len(recent) < needed:
             return None
-        case.span_s = WARN_S if is_calm else min(MOST_WARN_S, case.span_s * WARN_GROWTH)
-        case.warned_until = now + case.span_s
-        case.reports = {}
+        reported.span_s = WARN_S if is_quiet else min(MAX_WARN_S, reported.span_s * WARN_GROWTH)
+        reported.warned_until = now + reported.span_s
+        reported.reports = {}
         zones = {zone for _, zone in recent.values()}
-        return TroubleWarning(zones.pop() if len(zones) == 1 else "", (instance_id,), int(case.span_s * 1000))
+        return TroubleWarning(
+            zones.pop() if len(zones) == 1 else "", (instance_id,), int(reported.span_s * 1000)
+        )
 
     def _forget(self, now: float) -> None:
         old = [
             key
-            for key, case in self._cases.items()
-            if now - case.warned_until > CALM_S
-            and all(now - at >= WINDOW_S for at, _ in case.reports.values())
+            for key, reported in self._reported.items()
+            if now - reported.warned_until > QUIET_S
+            and all(now - at >= WINDOW_S for at, _ in reported.reports.values())
         ]
         for key in old:
-            del self._cases[key]
+            del self._reported[key]
 
 
 def reporters_needed(fleet_size: int) -> int:
     """How many proxies must have found a server failing, so that lost answers here and there don't count."""
-    if fleet_size <= SMALL_FLEET:
+    if fleet_size <= SMALL_FLEET_SIZE:
         return 2
-    return 3 if fleet_size <= MIDDLE_FLEET else 4
+    return 3 if fleet_size <= MEDIUM_FLEET_SIZE else 4
--- a/cloverrouter/placement/trouble_messages.py
+++ b/cloverrouter/placement/trouble_messages.py
@@ -1,6 +1,6 @@
 """What proxies tell each other about servers that fail, by way of the head, as datagrams that may be lost.
 
-Cost: about 15 bytes and 12 for each server, to the head at most every `REPORT_PERIOD_S`; from it to every
+Cost: about 15 bytes and 12 for each server, to the head at most every `REPORT_INTERVAL_S`; from it to every
 proxy, for each server, about once in the time that a warning holds.
 """
 
--- a/tests/system/quota_world.py
+++ b/tests/system/quota_world.py
@@ -19,8 +19,8 @@
 from cloverrouter.placement.quota_plan import STANDBY_PART, QuotaRules, TenantLimit, allowed_tokens
 
 TICK_S = 0.01
-HELD_AT_MOST_S = 0.06  # a request that waits for credit is refused after that
-STICKY_S = 0.4  # for so long after a head was lost, no other can be elected, and it may go on
+MAX_HOLD_S = 0.06  # a request that waits for credit is refused after that
+HEAD_LEASE_S = 0.4  # for so long after a head was lost, no other can be elected, and it may go on
 
 
 @attrs.define
@@ -38,7 +38,7 @@
     confirmed_until: float = 0.0
     note: bytes = b""  # on its disk
     started: float = 0.0  # on its clock
-    life: int = 0
+    incarnation: int = 0
     has_allocated: bool = False  # in this life
     inbox: deque[tuple[str, object]] = attrs.field(factory=deque)
 
@@ -141,13 +141,13 @@
     def restart(self, proxy: Proxy, down_s: float) -> None:
         proxy.down_until = self.now + down_s
         proxy.allocator = None
-        proxy.life += 1
+        proxy.incarnation += 1
         proxy.inbox.clear()
         if self.head is proxy:
             self.lose_head()
-        self.at(proxy.down_until, lambda: self._came_back(proxy))
+        self.at(proxy.down_until, lambda: self._restarted(proxy))
 
-    def _came_back(self, proxy: Proxy) -> None:
+    def _restarted(self, proxy: Proxy) -> None:
         if not self.alive(proxy):
             return
         self.start(proxy)
@@ -156,8 +156,8 @@
     def lose_head(self) -> None:
         """No majority confirms the head any more."""
         if self.head is not None:
-            self.head.confirmed_until = self.now + STICKY_S
-            self.elect_from = self.now + STICKY_S
+            self.head.confirmed_until = self.now + HEAD_LEASE_S
+            self.elect_from = self.now + HEAD_LEASE_S
         self.head = None
 
     def elect(self, proxy: Proxy) -> None:
@@ -286,12 +286,14 @@
         """Write the note that is due: a power loss before it is there loses it."""
         due = proxy.allocator.note_due(proxy.clock(self.now)) if proxy.allocator is not None else None
         if due is not None:
-            life, allocator = proxy.life, proxy.allocator
+            incarnation, allocator = proxy.incarnation, proxy.allocator
             takes_s = self.random.uniform(0.001, 0.01) * (30 if self.random.random() < 0.05 else 1)
-            self.at(self.now + takes_s, lambda: self._noted(proxy, allocator, life, due))
+            self.at(self.now + takes_s, lambda: self._note_written(proxy, allocator, incarnation, due))
 
-    def _noted(self, proxy: Proxy, allocator: QuotaAllocator | None, life: int, kept: KeepNote) -> None:
-        if proxy.life != life:
+    def _note_written(
+        self, proxy: Proxy, allocator: QuotaAllocator | None, incarnation: int, kept: KeepNote
+    ) -> None:
+        if proxy.incarnation != incarnation:
             return
         proxy.note = encode(kept.note)
         if allocator is not None and allocator is proxy.allocator:
@@ -325,9 +327,9 @@
         tally = self.tallies[tenant]
         tally.requests += 1
         tally.asked += tokens
-        self._ask(tenant, tokens, proxy, self.now, self._owed(tenant, tokens), False)
+        self._ask(tenant, tokens, proxy, self.now, self._is_entitled(tenant, tokens), False)
 
-    def _owed(self, tenant: str, tokens: int) -> bool:
+    def _is_entitled(self, tenant: str, tokens: int) -> bool:
         tally, limit = self.tallies[tenant], self.limits[tenant]
         filled = tally.reference_level + (self.now - tally.reference_at) * limit.rate
         tally.reference_level = min(filled, limit.burst)
@@ -350,7 +352,7 @@
             tally.runs.append((self.now, tokens))
             return
         self._send(proxy, list(proxy.holder.flush(clock)))
-        if wait > ASK_WAIT_S or self.now - since > HELD_AT_MOST_S:
+        if wait > ASK_WAIT_S or self.now - since > MAX_HOLD_S:
             return
         tally.waited += not again
         self.at(self.now + 0.008, lambda: self._ask(tenant, tokens, proxy, since, owed, True))
--- a/tests/system/test_fleet_health.py
+++ b/tests/system/test_fleet_health.py
@@ -29,7 +29,7 @@
         self.proxies = [self._proxy(number) for number in range(PROXIES)]
         self.reporters = [TroubleReporter(self.zone(number)) for number in range(PROXIES)]
         self.desk = TroubleDesk(lambda: PROXIES)
-        self.lost = 0
+        self.requests_lost = 0
         self.at_bad = 0
 
     @staticmethod
@@ -48,21 +48,21 @@
             for _ in range(int(REQUESTS_A_SECOND * STEP_S)):
                 self._request(self.random.randrange(PROXIES))
             if self.shares:
-                self._talk()
+                self._exchange_reports()
 
     def _request(self, number: int) -> None:
-        standing = self.proxies[number].pick(NO_PROMPT, (), self.now, careful=True)
-        assert standing is not None
-        is_bad = standing.server.id == "i-0"
+        state = self.proxies[number].pick(NO_PROMPT, (), self.now, careful=True)
+        assert state is not None
+        is_bad = state.server.id == "i-0"
         self.at_bad += is_bad
         if is_bad and self.now < self.until and self.random.random() < self.fail_part:
-            standing.erred(self.now)
+            state.erred(self.now)
             self.reporters[number].failed("i-0")
-            self.lost += 1
+            self.requests_lost += 1
         else:
-            standing.succeeded(self.now)
+            state.succeeded(self.now)
 
-    def _talk(self) -> None:
+    def _exchange_reports(self) -> None:
         for number, reporter in enumerate(self.reporters):
             report = reporter.flush(self.now)
             if report is None:
@@ -73,18 +73,18 @@
                         proxy.warned(warning.ids, warning.for_ms / 1000, self.now)
 
 
-def lost(shares: bool, fail_part: float) -> int:
+def requests_lost(shares: bool, fail_part: float) -> int:
     fleet = Fleet(shares, fail_part, until=8.0)
     fleet.run(8.0)
-    return fleet.lost
+    return fleet.requests_lost
 
 
 def test_a_server_that_fails_everything_costs_few_requests() -> None:
-    assert lost(shares=True, fail_part=1.0) < 30 < lost(shares=False, fail_part=1.0)
+    assert requests_lost(shares=True, fail_part=1.0) < 30 < requests_lost(shares=False, fail_part=1.0)
 
 
 def test_a_grey_server_costs_less_than_without_warnings() -> None:
-    assert 2 * lost(shares=True, fail_part=0.4) < lost(shares=False, fail_part=0.4)
+    assert 2 * requests_lost(shares=True, fail_part=0.4) < requests_lost(shares=False, fail_part=0.4)
 
 
 def test_a_server_that_recovers_gets_its_part_again() -> None:
--- a/tests/system/test_placement_calm.py
+++ b/tests/system/test_placement_calm.py
@@ -6,7 +6,7 @@
 
 import attrs
 
-from cloverrouter.placement.calm import GROW_EVERY_S, KIND_MEMORY_S, SHRINK_AFTER_S, CalmServers
+from cloverrouter.placement.calm import GROW_INTERVAL_S, KIND_EXPIRY_S, SHRINK_AFTER_S, ReservedServers
 from cloverrouter.placement.prefix import parse_prompt
 from cloverrouter.placement.servers import Server, Standing
 
@@ -14,17 +14,17 @@
 USUAL_MS = 40.0
 
 
-def standings(count: int) -> list[Standing]:
+def states(count: int) -> list[Standing]:
     return [
         Standing(Server(f"i-{place}", "model", ("10.0.0.1", place + 1), "east", 12, ready=True), payoff=1.0)
         for place in range(count)
     ]
 
 
-def calm_of(ready: list[Standing]) -> CalmServers:
-    calm = CalmServers()
-    calm.servers_changed(ready)
-    return calm
+def reserved_of(ready: list[Standing]) -> ReservedServers:
+    reserved = ReservedServers()
+    reserved.servers_changed(ready)
+    return reserved
 
 
 def make_late(servers: set[Standing], now: float, ms: float = 2000.0) -> None:
@@ -32,13 +32,13 @@
         one.delayed(ms, now)
 
 
-def test_a_quarter_is_calm_and_all_proxies_agree_on_which() -> None:
-    ready = standings(12)
-    assert len(calm_of(ready).members) == 3
-    assert calm_of(ready).members == calm_of(ready[::-1]).members
+def test_a_quarter_is_reserved_and_all_proxies_agree_on_which() -> None:
+    ready = states(12)
+    assert len(reserved_of(ready).members) == 3
+    assert reserved_of(ready).members == reserved_of(ready[::-1]).members
 
 
-def test_each_zone_has_its_share_of_the_calm_servers() -> None:
+def test_each_zone_has_its_share_of_the_reserved_servers() -> None:
     zones = (
         "east",
         "east",
@@ -53,108 +53,108 @@
         "north",
         "north",
     )
-    ready = standings(12)
-    for standing, zone in zip(ready, zones, strict=True):
-        standing.server = attrs.evolve(standing.server, zone=zone)
-    assert {one.server.zone for one in calm_of(ready).members} == {"east", "west", "north"}
+    ready = states(12)
+    for state, zone in zip(ready, zones, strict=True):
+        state.server = attrs.evolve(state.server, zone=zone)
+    assert {one.server.zone for one in reserved_of(ready).members} == {"east", "west", "north"}
 
 
-def test_a_service_of_three_servers_keeps_none_calm() -> None:
-    calm = calm_of(standings(3))
-    assert not calm.members
-    assert not calm.adapt(NOW, USUAL_MS)
+def test_a_service_of_three_servers_reserves_none() -> None:
+    reserved = reserved_of(states(3))
+    assert not reserved.members
+    assert not reserved.adapt(NOW, USUAL_MS)
 
 
-def test_more_are_calm_while_answers_begin_late_there() -> None:
-    calm = calm_of(standings(10))
-    before = set(calm.members)
-    make_late(calm.members, NOW)
-    assert calm.adapt(NOW, USUAL_MS)
-    assert len(calm.members) == 3
-    assert before < calm.members
-    assert not calm.adapt(NOW + GROW_EVERY_S / 2, USUAL_MS)
+def test_more_are_reserved_while_answers_begin_late_there() -> None:
+    reserved = reserved_of(states(10))
+    before = set(reserved.members)
+    make_late(reserved.members, NOW)
+    assert reserved.adapt(NOW, USUAL_MS)
+    assert len(reserved.members) == 3
+    assert before < reserved.members
+    assert not reserved.adapt(NOW + GROW_INTERVAL_S / 2, USUAL_MS)
 
 
-def test_never_more_than_half_are_calm() -> None:
-    calm = calm_of(standings(10))
+def test_never_more_than_half_are_reserved() -> None:
+    reserved = reserved_of(states(10))
     now = NOW
     for _ in range(20):
-        make_late(calm.members, now)
-        calm.adapt(now, USUAL_MS)
-        now += 2 * GROW_EVERY_S
-    assert len(calm.members) == 5
+        make_late(reserved.members, now)
+        reserved.adapt(now, USUAL_MS)
+        now += 2 * GROW_INTERVAL_S
+    assert len(reserved.members) == 5
 
 
 def test_a_request_that_waits_counts_before_its_answer_begins() -> None:
-    calm = calm_of(standings(8))
-    for key, one in enumerate(calm.members):
+    reserved = reserved_of(states(8))
+    for key, one in enumerate(reserved.members):
         one.sent(key, NOW)
-    assert not calm.adapt(NOW + 0.05, USUAL_MS)
-    assert calm.adapt(NOW + 0.2, USUAL_MS)
+    assert not reserved.adapt(NOW + 0.05, USUAL_MS)
+    assert reserved.adapt(NOW + 0.2, USUAL_MS)
 
 
-def test_fewer_are_calm_again_once_nothing_is_late() -> None:
-    calm = calm_of(standings(10))
-    make_late(calm.members, NOW, 200.0)
-    assert calm.adapt(NOW, USUAL_MS)
+def test_fewer_are_reserved_again_once_nothing_is_late() -> None:
+    reserved = reserved_of(states(10))
+    make_late(reserved.members, NOW, 200.0)
+    assert reserved.adapt(NOW, USUAL_MS)
     sizes = []
     for step in range(1, 40):
-        calm.adapt(NOW + 0.5 * step, USUAL_MS)
-        sizes.append(len(calm.members))
+        reserved.adapt(NOW + 0.5 * step, USUAL_MS)
+        sizes.append(len(reserved.members))
     assert all(before - after <= 1 for before, after in pairwise(sizes))
     assert sizes[int(SHRINK_AFTER_S)] >= 3
     assert sizes[-1] == 2
 
 
 def test_one_late_server_of_several_is_not_enough() -> None:
-    calm = calm_of(standings(16))
-    first = next(iter(calm.members))
+    reserved = reserved_of(states(16))
+    first = next(iter(reserved.members))
     first.delayed(USUAL_MS * 5, NOW)  # smoothed: 1.5 times the usual time, 0.4 in the mean of four
-    assert not calm.adapt(NOW, USUAL_MS)
+    assert not reserved.adapt(NOW, USUAL_MS)
 
 
-def test_they_are_wanted_while_both_kinds_come() -> None:
-    calm = CalmServers()
-    reading = parse_prompt("aa:2500,bb:3800,cc:2900", "m", 60)
-    talking = parse_prompt("aa:50,bb:30,cc:140", "m", 4000)
-    calm.note(reading, NOW)
-    assert not calm.wanted
-    calm.note(talking, NOW + 1)
-    assert calm.wanted
-    calm.note(talking, NOW + KIND_MEMORY_S + 1)
-    assert not calm.wanted
+def test_reservation_is_needed_while_both_kinds_come() -> None:
+    reserved = ReservedServers()
+    prefill_heavy = parse_prompt("aa:2500,bb:3800,cc:2900", "m", 60)
+    decode_heavy = parse_prompt("aa:50,bb:30,cc:140", "m", 4000)
+    reserved.record_request(prefill_heavy, NOW)
+    assert not reserved.is_needed
+    reserved.record_request(decode_heavy, NOW + 1)
+    assert reserved.is_needed
+    reserved.record_request(decode_heavy, NOW + KIND_EXPIRY_S + 1)
+    assert not reserved.is_needed
 
 
-def test_more_are_calm_once_all_proxies_together_fill_them() -> None:
-    calm = calm_of(standings(8))
-    calm.fleet_size = 10
-    first, second = calm.members
+def test_more_are_reserved_once_all_proxies_together_fill_them() -> None:
+    reserved = reserved_of(states(8))
+    reserved.fleet_size = 10
+    first, second = reserved.members
     for key in range(2):
         first.sent(key, NOW)
         second.sent(key, NOW)
         first.heard(key, NOW)
         second.heard(key, NOW)
-        assert calm.adapt(NOW + 1, USUAL_MS) is (key == 1)
-    assert len(calm.members) == 3
-    assert not calm.adapt(NOW + 2, USUAL_MS)  # 40 under way, 36 places: not 1.2 times
+        assert reserved.adapt(NOW + 1, USUAL_MS) is (key == 1)
+    assert len(reserved.members) == 3
+    assert not reserved.adapt(NOW + 2, USUAL_MS)  # 40 under way, 36 places: not 1.2 times
 
 
 def test_a_small_fleet_does_not_fill_them_with_few_requests() -> None:
-    calm = calm_of(standings(8))
-    calm.fleet_size = 3
-    for key, one in enumerate(list(calm.members) * 4):
+    reserved = reserved_of(states(8))
+    reserved.fleet_size = 3
+    for key, one in enumerate(list(reserved.members) * 4):
         one.sent(key, NOW)
         one.heard(key, NOW)
-    assert not calm.adapt(NOW + 1, USUAL_MS)
+    assert not reserved.adapt(NOW + 1, USUAL_MS)
 
 
 def test_late_answers_at_servers_with_many_free_places_call_for_no_more_of_them() -> None:
-    calm = calm_of(standings(8))
-    calm.fleet_size = 10
-    make_late(calm.members, NOW)
-    assert not calm.adapt(NOW, USUAL_MS)
+    reserved = reserved_of(states(8))
+    reserved.fleet_size = 10
+    make_late(reserved.members, NOW)
+    assert not reserved.adapt(NOW, USUAL_MS)
     for key in range(2):
-        for one in calm.members:
+        for one in reserved.members:
             one.sent(key, NOW)
             one.heard(key, NOW)
-    assert calm.adapt(NOW, USUAL_MS)
+    assert reserved.adapt(NOW, USUAL_MS)
--- a/tests/system/test_placement_pick.py
+++ b/tests/system/test_placement_pick.py
@@ -10,9 +10,9 @@
 
 from cloverrouter.placement.admission import absent_retry_after_s, has_time, retry_after_s
 from cloverrouter.placement.first_token import FirstTokenModel
-from cloverrouter.placement.pick import HOME_MISSING, ServicePlacement
+from cloverrouter.placement.pick import HOME_MISSING_SHARE, ServicePlacement
 from cloverrouter.placement.prefix import NO_PROMPT, Prompt, parse_prompt
-from cloverrouter.placement.servers import SILENCE_S, Server, Standing
+from cloverrouter.placement.servers import UNRESPONSIVE_S, Server, Standing
 
 NOW = 100.0
 
@@ -73,7 +73,7 @@
         assert found == home or home == "i-2"
 
 
-def test_a_home_without_room_hands_on() -> None:
+def test_a_home_above_its_load_bound_overflows_to_the_next_server() -> None:
     made = placement()
     home = pick(made, subject(1))
     for key in range(8):
@@ -106,7 +106,7 @@
     long = parse_prompt("aa:2520,bb:3780,cc:100")
     home = pick(made, long)
     made.sent(home, long)
-    home.sent(1, NOW - SILENCE_S / 2)
+    home.sent(1, NOW - UNRESPONSIVE_S / 2)
     assert pick(made, long) is not home
 
 
@@ -136,10 +136,10 @@
     made = placement()
     home = pick(made, subject(1))
     home.sent(1, NOW)
-    assert not home.doubted(NOW + SILENCE_S / 2)
-    assert home.doubted(NOW + SILENCE_S * 2)
-    home.heard(1, NOW + SILENCE_S * 2)
-    assert not home.doubted(NOW + SILENCE_S * 3)
+    assert not home.is_unresponsive(NOW + UNRESPONSIVE_S / 2)
+    assert home.is_unresponsive(NOW + UNRESPONSIVE_S * 2)
+    home.heard(1, NOW + UNRESPONSIVE_S * 2)
+    assert not home.is_unresponsive(NOW + UNRESPONSIVE_S * 3)
 
 
 def test_a_server_that_sends_other_answers_is_not_doubted() -> None:
@@ -147,8 +147,8 @@
     home = pick(made, subject(1))
     home.sent(1, NOW)
     home.alive(NOW + 1)
-    assert not home.doubted(NOW + 1 + SILENCE_S / 2)
-    assert home.doubted(NOW + 1 + SILENCE_S * 2)
+    assert not home.is_unresponsive(NOW + 1 + UNRESPONSIVE_S / 2)
+    assert home.is_unresponsive(NOW + 1 + UNRESPONSIVE_S * 2)
 
 
 def test_if_all_are_to_be_avoided_one_is_picked_all_the_same() -> None:
@@ -196,25 +196,27 @@
         for _ in range(3):
             one.failed()
     made.told(server(5))
-    assert made.servers.standings["i-5"].payoff == pytest.approx(0.8**3)
+    assert made.servers.states["i-5"].payoff == pytest.approx(0.8**3)
 
 
 def test_a_displaced_instance_never_comes_back() -> None:
     made = placement(2)
-    gone = made.servers.ready[0]
-    made.servers.displaced(gone)
+    removed = made.servers.ready[0]
+    made.servers.displaced(removed)
     for _ in range(3):
         made.told(server(0))
         made.settle()
     assert [one.server.id for one in made.servers.ready] == ["i-1"]
 
 
-def test_what_a_server_keeps_is_not_missing() -> None:
+def test_cached_parts_are_not_missing() -> None:
     made = placement()
     home = pick(made, subject(1))
     other = next(one for one in made.servers.ready if one is not home)
     assert made.missing_tokens(other, subject(1)) == 1400
-    assert made.missing_tokens(home, subject(1)) == 200 + HOME_MISSING * 1200  # other proxies sent it there
+    assert (
+        made.missing_tokens(home, subject(1)) == 200 + HOME_MISSING_SHARE * 1200
+    )  # other proxies sent it there
     made.sent(home, subject(1))
     assert made.missing_tokens(home, subject(1)) == 0
     assert made.missing_tokens(home, parse_prompt("aa:800,1001:400,ff:77")) == 77
@@ -247,12 +249,12 @@
     assert has_time(100)
 
 
-def reading(number: int) -> Prompt:
+def prefill_heavy(number: int) -> Prompt:
     """A long prompt with a short answer."""
     return parse_prompt(f"aa:2500,{number + 4096:x}:3800,{number + 90000:x}:2900", "m", 60)
 
 
-def talking(number: int) -> Prompt:
+def decode_heavy(number: int) -> Prompt:
     """A short prompt with a long answer."""
     return parse_prompt(f"bb:50,{number + 8192:x}:30,{number + 90000:x}:140", "m", 4000)
 
@@ -261,22 +263,22 @@
     return Counter(pick(made, prompt, now).server.id for prompt in prompts)
 
 
-def test_requests_that_talk_are_kept_apart_from_long_prompts() -> None:
+def test_decode_heavy_requests_are_kept_apart_from_long_prompts() -> None:
     made = placement(8)
-    pick(made, reading(0))
-    talkers = homes(made, [talking(number) for number in range(200)])
-    readers = homes(made, [reading(number) for number in range(200)])
-    assert len(talkers) == 2
-    assert len(readers) == 8
-    assert sum(readers[one] for one in talkers) < 200 * 2 / 8 / 2
+    pick(made, prefill_heavy(0))
+    decode_heavy_homes = homes(made, [decode_heavy(number) for number in range(200)])
+    prefill_heavy_homes = homes(made, [prefill_heavy(number) for number in range(200)])
+    assert len(decode_heavy_homes) == 2
+    assert len(prefill_heavy_homes) == 8
+    assert sum(prefill_heavy_homes[one] for one in decode_heavy_homes) < 200 * 2 / 8 / 2
 
 
 def test_one_kind_of_requests_has_all_servers() -> None:
     made = placement(8)
-    assert len(homes(made, [reading(number) for number in range(200)])) == 8
-    pick(made, talking(0))
-    assert len(homes(made, [talking(number) for number in range(200)])) == 2
-    assert len(homes(made, [reading(number) for number in range(200)], NOW + 60)) == 8
+    assert len(homes(made, [prefill_heavy(number) for number in range(200)])) == 8
+    pick(made, decode_heavy(0))
+    assert len(homes(made, [decode_heavy(number) for number in range(200)])) == 2
+    assert len(homes(made, [prefill_heavy(number) for number in range(200)], NOW + 60)) == 8
 
 
 def test_long_answers_to_little_that_is_shared_stay_in_the_zone() -> None:
@@ -284,22 +286,22 @@
     for zone in ("east", "west", "north"):
         made = placement(9, zone=zone)
         expected = {f"i-{place}" for place in range(9) if server(place).zone == zone}
-        assert set(homes(made, [talking(7)] * 200)) == expected
+        assert set(homes(made, [decode_heavy(7)] * 200)) == expected
 
 
 def test_a_zone_with_few_servers_is_not_left_alone_with_its_long_answers() -> None:
     made = placement(0)
     for place in range(12):
         made.told(server(place, zone="east" if place < 2 else "west"))
-    assert len(homes(made, [talking(number) for number in range(400)])) == 12
+    assert len(homes(made, [decode_heavy(number) for number in range(400)])) == 12
 
 
 def test_long_answers_leave_a_zone_whose_servers_have_no_room() -> None:
     made = placement(9)
-    for standing in made.servers.ready:
-        if standing.server.zone == "east":
-            standing.delayed(3_000.0, NOW)
-    assert {made.servers.standings[one].server.zone for one in homes(made, [talking(7)] * 50)} == {
+    for state in made.servers.ready:
+        if state.server.zone == "east":
+            state.delayed(3_000.0, NOW)
+    assert {made.servers.states[one].server.zone for one in homes(made, [decode_heavy(7)] * 50)} == {
         "west",
         "north",
     }
@@ -313,66 +315,66 @@
 
 def test_requests_that_tell_no_tokens_have_all_servers() -> None:
     made = placement(8)
-    pick(made, reading(0))
-    pick(made, talking(0))
+    pick(made, prefill_heavy(0))
+    pick(made, decode_heavy(0))
     assert len(homes(made, [subject(number) for number in range(200)])) == 8
 
 
-def test_requests_that_talk_go_on_when_the_calm_servers_have_no_room() -> None:
+def test_decode_heavy_requests_overflow_when_the_reserved_servers_have_no_room() -> None:
     made = placement(8)
-    pick(made, reading(0))
-    calm = pick(made, talking(1))
+    pick(made, prefill_heavy(0))
+    reserved = pick(made, decode_heavy(1))
     for key in range(6):
-        calm.sent(key, NOW)
-        calm.heard(key, NOW)
-    second = pick(made, talking(1))
+        reserved.sent(key, NOW)
+        reserved.heard(key, NOW)
+    second = pick(made, decode_heavy(1))
     for key in range(10, 16):
         second.sent(key, NOW)
         second.heard(key, NOW)
-    third = pick(made, talking(1))
-    assert len({calm.server.id, second.server.id, third.server.id}) == 3
+    third = pick(made, decode_heavy(1))
+    assert len({reserved.server.id, second.server.id, third.server.id}) == 3
 
 
-def test_requests_that_talk_go_on_when_the_calm_servers_are_late() -> None:
+def test_decode_heavy_requests_overflow_when_the_reserved_servers_are_late() -> None:
     made = placement(8)
-    pick(made, reading(0))
-    calm = []
+    pick(made, prefill_heavy(0))
+    reserved = []
     for _ in range(2):
-        calm.append(pick(made, talking(1)))
+        reserved.append(pick(made, decode_heavy(1)))
         for _ in range(10):
-            calm[-1].delayed(300.0, NOW)
-    assert calm[0] is not calm[1]
-    assert pick(made, talking(1)) not in calm
-    assert pick(made, talking(1), NOW + 15) in calm
+            reserved[-1].delayed(300.0, NOW)
+    assert reserved[0] is not reserved[1]
+    assert pick(made, decode_heavy(1)) not in reserved
+    assert pick(made, decode_heavy(1), NOW + 15) in reserved
 
 
 def test_a_server_has_room_by_its_capacity() -> None:
     made = placement(8, capacity=48)
-    pick(made, reading(0))
-    calm = set(homes(made, [talking(number) for number in range(50)]))
+    pick(made, prefill_heavy(0))
+    reserved = set(homes(made, [decode_heavy(number) for number in range(50)]))
     for key in range(6):
-        for one in calm:
-            made.servers.standings[one].sent(key, NOW)
-            made.servers.standings[one].heard(key, NOW)
-    assert set(homes(made, [talking(number) for number in range(50)])) == calm
+        for one in reserved:
+            made.servers.states[one].sent(key, NOW)
+            made.servers.states[one].heard(key, NOW)
+    assert set(homes(made, [decode_heavy(number) for number in range(50)])) == reserved
     for key in range(6, 12):
-        for one in calm:
-            made.servers.standings[one].sent(key, NOW)
-            made.servers.standings[one].heard(key, NOW)
-    assert not calm & set(homes(made, [talking(number) for number in range(50)]))
+        for one in reserved:
+            made.servers.states[one].sent(key, NOW)
+            made.servers.states[one].heard(key, NOW)
+    assert not reserved & set(homes(made, [decode_heavy(number) for number in range(50)]))
 
 
 def test_in_a_larger_fleet_a_server_s_room_is_shared_by_all_proxies() -> None:
     made = placement(8, capacity=48)
     made.fleet_changed(12)
-    pick(made, reading(0))
-    calm = set(homes(made, [talking(number) for number in range(50)]))
+    pick(made, prefill_heavy(0))
+    reserved = set(homes(made, [decode_heavy(number) for number in range(50)]))
     for key in range(4):
-        for one in calm:
-            made.servers.standings[one].sent(key, NOW)
-            made.servers.standings[one].heard(key, NOW)
-    assert set(homes(made, [talking(number) for number in range(50)])) == calm
-    for one in calm:
-        made.servers.standings[one].sent(4, NOW)
-        made.servers.standings[one].heard(4, NOW)
-    assert not calm & set(homes(made, [talking(number) for number in range(50)]))
+        for one in reserved:
+            made.servers.states[one].sent(key, NOW)
+            made.servers.states[one].heard(key, NOW)
+    assert set(homes(made, [decode_heavy(number) for number in range(50)])) == reserved
+    for one in reserved:
+        made.servers.states[one].sent(4, NOW)
+        made.servers.states[one].heard(4, NOW)
+    assert not reserved & set(homes(made, [decode_heavy(number) for number in range(50)]))
--- a/tests/system/test_quota_faults.py
+++ b/tests/system/test_quota_faults.py
@@ -21,7 +21,7 @@
 Patch = Callable[[pytest.MonkeyPatch], None]
 
 
-def played(seed: int) -> None:
+def run_world_with_faults(seed: int) -> None:
     world = World(
         seed, 5, {"a": TenantLimit(100_000, 100_000)}, loss=0.05, doubled=0.2, stalls=0.05, drift=0.003
     )
@@ -33,14 +33,14 @@
     assert world.worst_window("a") <= 1
 
 
-def bound_for_less(patch: pytest.MonkeyPatch) -> None:
-    original = QuotaHolder._take_contact
+def contact_shorter_than_promised(patch: pytest.MonkeyPatch) -> None:
+    original = QuotaHolder._receive_contact
 
     def take(self: QuotaHolder, now: float, contact: QuotaContact) -> None:
         short = QuotaContact(contact.epoch, contact.incarnation, contact.number, 0.1)
         original(self, now, short)
 
-    patch.setattr(QuotaHolder, "_take_contact", take)
+    patch.setattr(QuotaHolder, "_receive_contact", take)
 
 
 def silence_unseen(patch: pytest.MonkeyPatch) -> None:
@@ -64,13 +64,13 @@
 
 
 def a_late_answer_binds_less(patch: pytest.MonkeyPatch) -> None:
-    original = QuotaHolder._take_contact
+    original = QuotaHolder._receive_contact
 
     def take(self: QuotaHolder, now: float, contact: QuotaContact) -> None:
         original(self, now, contact)
         self._standby = Standby(now + contact.contact_for_s - 0.3, self._standby.until)
 
-    patch.setattr(QuotaHolder, "_take_contact", take)
+    patch.setattr(QuotaHolder, "_receive_contact", take)
 
 
 def stands_by_from_the_start(patch: pytest.MonkeyPatch) -> None:
@@ -123,7 +123,7 @@
     patch.setattr(World, "lose_head", lambda self: setattr(self, "head", None))
 
 
-def restarted(seed: int) -> None:
+def run_world_with_restarts(seed: int) -> None:
     """Everything loses power again and again, under a load that varies, and heads change in between."""
     world = World(seed, 5, {"a": TenantLimit(60_000, 60_000)}, drift=0.003, notes=True)
     world.run(4)
@@ -154,7 +154,7 @@
 
 
 FAULTS: list[Patch] = [
-    bound_for_less,
+    contact_shorter_than_promised,
     silence_unseen,
     contact_from_any_report,
     contact_from_the_latest_answer,
@@ -174,7 +174,7 @@
     fault(monkeypatch)
     for seed in range(200):
         try:
-            played(seed)
+            run_world_with_faults(seed)
         except AssertionError:
             return
     pytest.fail("200 worlds did not show it")
@@ -185,7 +185,7 @@
     pools_begin_with_all_that_was_noted(monkeypatch)
     for seed in range(200):
         try:
-            restarted(seed)
+            run_world_with_restarts(seed)
         except AssertionError:
             return
     pytest.fail("200 worlds did not show it")
@@ -193,5 +193,5 @@
 
 def test_without_a_fault_nothing_is_found() -> None:
     for seed in range(12):
-        played(seed)
-        restarted(seed)
+        run_world_with_faults(seed)
+        run_world_with_restarts(seed)
--- a/tests/system/test_retries.py
+++ b/tests/system/test_retries.py
@@ -122,16 +122,16 @@
 
 def test_a_fresh_proxy_has_little_to_spend() -> None:
     budget = FleetRetryBudget(ALLOWANCE, RATIO, WINDOW_S, 11, 0.0, Random(1))
-    assert budget.retries(0.0) == pytest.approx(62 * 0.5 / 11 * 0.2)
+    assert budget.available_retries(0.0) == pytest.approx(62 * 0.5 / 11 * 0.2)
 
 
 def test_what_was_earned_lasts_one_window() -> None:
     budget = FleetRetryBudget(0.0, RATIO, WINDOW_S, 1, 0.0, Random(1))
     for _ in range(100):
         budget.earn(0.5)
-    assert budget.retries(0.5) == pytest.approx(10)
-    assert budget.retries(9.9) == pytest.approx(10)
-    assert budget.retries(11) == 0
+    assert budget.available_retries(0.5) == pytest.approx(10)
+    assert budget.available_retries(9.9) == pytest.approx(10)
+    assert budget.available_retries(11) == 0
 
 
 def test_services_have_budgets_of_their_own() -> None:
--- a/tests/system/test_server_health.py
+++ b/tests/system/test_server_health.py
@@ -9,7 +9,7 @@
 from cloverrouter.placement.pick import ServicePlacement
 from cloverrouter.placement.prefix import NO_PROMPT, parse_prompt
 from cloverrouter.placement.servers import OVERDUE_S, Server, Standing
-from cloverrouter.placement.trouble import REPEAT_S, WARN_S, WINDOW_S, TroubleDesk, TroubleReporter
+from cloverrouter.placement.trouble import REPEAT_INTERVAL_S, WARN_S, WINDOW_S, TroubleDesk, TroubleReporter
 from cloverrouter.placement.trouble_messages import TroubleReport, TroubleWarning
 
 NOW = 100.0
@@ -28,14 +28,14 @@
     return {one.server.id for one in found if one is not None}
 
 
-def usual(standing: Standing, now: float, good: int) -> None:
+def usual(state: Standing, now: float, good: int) -> None:
     for _ in range(good):
-        standing.succeeded(now)
+        state.succeeded(now)
 
 
 def test_a_server_that_fails_is_left_alone_and_tried_again_later() -> None:
     made = placement(4)
-    grey = made.servers.standings["i-0"]
+    grey = made.servers.states["i-0"]
     grey.erred(NOW)
     assert "i-0" not in picked(made, NOW)
     assert "i-0" in picked(made, NOW + 20)
@@ -43,52 +43,52 @@
 
 def test_requests_that_cannot_be_sent_again_come_back_last() -> None:
     made = placement(4)
-    grey = made.servers.standings["i-0"]
+    grey = made.servers.states["i-0"]
     grey.erred(NOW)
     back = next(later for later in range(1, 40) if "i-0" in picked(made, NOW + later))
     assert "i-0" not in picked(made, NOW + back, careful=True)
 
 
 def test_after_a_lost_request_the_ones_that_cannot_be_sent_again_wait_longer() -> None:
-    broken = placement(4).servers.standings["i-0"]
+    broken = placement(4).servers.states["i-0"]
     broken.lost(NOW)
     later = broken.paused_until + 0.1
     assert not broken.avoided(later)
-    assert broken.suspected(later, careful=True) and not broken.suspected(later)
+    assert broken.is_suspect(later, careful=True) and not broken.is_suspect(later)
 
 
 def test_a_good_trial_ends_the_suspicion() -> None:
     made = placement(4)
-    grey = made.servers.standings["i-0"]
+    grey = made.servers.states["i-0"]
     grey.erred(NOW)
     grey.succeeded(NOW + 1)
-    assert not grey.suspected(NOW + 1)
+    assert not grey.is_suspect(NOW + 1)
     assert "i-0" in picked(made, NOW + 6)
 
 
 def test_an_outcome_told_without_its_time_does_no_harm() -> None:
-    grey = placement(4).servers.standings["i-0"]
+    grey = placement(4).servers.states["i-0"]
     grey.erred(NOW)
     grey.succeeded()
     grey.erred(NOW)
-    assert grey.suspected(NOW) and not grey.suspected(NOW + 60)
+    assert grey.is_suspect(NOW) and not grey.is_suspect(NOW + 60)
 
 
 def test_one_failure_among_many_good_answers_is_no_reason() -> None:
     made = placement(4)
-    good = made.servers.standings["i-0"]
+    good = made.servers.states["i-0"]
     usual(good, NOW, 20)
     good.erred(NOW)
-    assert not good.suspected(NOW)
+    assert not good.is_suspect(NOW)
 
 
 def test_a_server_that_turned_bad_after_many_good_answers_is_noticed_soon() -> None:
     made = placement(4)
-    grey = made.servers.standings["i-0"]
+    grey = made.servers.states["i-0"]
     usual(grey, NOW, 200)
     grey.erred(NOW)
     grey.erred(NOW)
-    assert grey.suspected(NOW)
+    assert grey.is_suspect(NOW)
 
 
 def test_the_home_of_a_subject_is_left_while_it_fails() -> None:
@@ -103,20 +103,20 @@
 def test_if_most_are_suspected_only_those_that_failed_last_are_left_alone() -> None:
     made = placement(6)
     for place in range(5):
-        made.servers.standings[f"i-{place}"].erred(NOW + place / 100)
+        made.servers.states[f"i-{place}"].erred(NOW + place / 100)
     usable = made.servers.usable(made.servers.ready, NOW + 0.1)
     assert [one.server.id for one in usable] == ["i-0", "i-1", "i-2", "i-5"]
 
 
 def test_if_all_are_suspected_most_are_used() -> None:
     made = placement(2)
-    for standing in made.servers.ready:
-        standing.erred(NOW)
+    for state in made.servers.ready:
+        state.erred(NOW)
     assert picked(made, NOW) == {"i-0", "i-1"}
 
 
 def test_a_server_that_goes_up_and_down_is_left_alone_for_longer_each_time() -> None:
-    flapping = placement(4).servers.standings["i-0"]
+    flapping = placement(4).servers.states["i-0"]
     pauses = []
     now = NOW
     for _ in range(4):
@@ -130,7 +130,7 @@
 
 def test_a_server_without_a_model_that_turned_slow_gets_less() -> None:
     made = placement(2)
-    slow = made.servers.standings["i-0"]
+    slow = made.servers.states["i-0"]
     for _ in range(20):
         made.first_token.learn(0, 30.0)
         slow.delayed(200.0, NOW)
@@ -139,7 +139,7 @@
 
 def test_a_server_where_a_request_waits_far_too_long_is_suspected_though_it_answers_others() -> None:
     made = placement(4)
-    mute = made.servers.standings["i-0"]
+    mute = made.servers.states["i-0"]
     mute.sent(1, NOW)
     mute.alive(NOW + OVERDUE_S)
     late = NOW + OVERDUE_S * 1.1
@@ -154,8 +154,8 @@
 def test_where_requests_wait_at_many_servers_it_is_load() -> None:
     made = placement(8)
     for place in range(3):
-        made.servers.standings[f"i-{place}"].sent(place, NOW)
-        made.servers.standings[f"i-{place}"].alive(NOW + OVERDUE_S)
+        made.servers.states[f"i-{place}"].sent(place, NOW)
+        made.servers.states[f"i-{place}"].alive(NOW + OVERDUE_S)
     late = NOW + OVERDUE_S * 1.1
     assert made.overdue(late) == []
     assert len(made.servers.usable(made.servers.ready, late)) == 8
@@ -163,7 +163,7 @@
 
 def test_a_request_that_was_never_answered_is_a_failure() -> None:
     made = placement(4)
-    mute = made.servers.standings["i-0"]
+    mute = made.servers.states["i-0"]
     mute.never_answered(NOW)
     assert "i-0" not in picked(made, NOW + 2)
 
@@ -182,9 +182,9 @@
     reporter.failed("i-0")
     assert reporter.flush(NOW) == TroubleReport("east", ("i-0",))
     reporter.failed("i-0")
-    assert reporter.flush(NOW + REPEAT_S / 2) is None
+    assert reporter.flush(NOW + REPEAT_INTERVAL_S / 2) is None
     reporter.failed("i-0")
-    assert reporter.flush(NOW + REPEAT_S * 2) is not None
+    assert reporter.flush(NOW + REPEAT_INTERVAL_S * 2) is not None
 
 
 def desk(fleet_size: int = 80) -> TroubleDesk:
--- a/tests/system/test_server_load.py
+++ b/tests/system/test_server_load.py
@@ -11,9 +11,9 @@
 from cloverrouter.placement.options import PlacementOptions
 from cloverrouter.placement.pick import ServicePlacement
 from cloverrouter.placement.placement_messages import KindsSeen, LoadReading, PlacementNews
-from cloverrouter.placement.placement_news import MOST_TOLD, TOLD_S
+from cloverrouter.placement.placement_news import MAX_READING_AGE_S, MAX_READINGS
 from cloverrouter.placement.prefix import parse_prompt
-from cloverrouter.placement.server_load import FIRM_S, KEPT_S, ServerLoad, parse_load
+from cloverrouter.placement.server_load import EXPIRY_S, FULL_WEIGHT_S, ServerLoad, parse_load
 from cloverrouter.placement.servers import Server
 from tests.system.router_world import SIGNED, World
 
@@ -32,12 +32,12 @@
     return made
 
 
-def talking(number: int = 7) -> str:
+def decode_heavy(number: int = 7) -> str:
     return f"bb:50,{number:x}:30,{number + 9000:x}:140"
 
 
 def picks(made: ServicePlacement, count: int = 60, now: float = NOW) -> Counter[str]:
-    found = [made.pick(parse_prompt(talking(each), "m", 4000), (), now) for each in range(count)]
+    found = [made.pick(parse_prompt(decode_heavy(each), "m", 4000), (), now) for each in range(count)]
     return Counter(one.server.id for one in found if one is not None)
 
 
@@ -69,50 +69,50 @@
 
 
 def test_a_reading_fades() -> None:
-    standing = placement().servers.ready[0]
-    standing.load_told(FULL, NOW)
-    assert standing.taken(NOW) == standing.taken(NOW + FIRM_S) == 1.25
-    assert 0 < standing.taken(NOW + 2) < 1.25
-    assert standing.taken(NOW + KEPT_S) == 0.0
-    assert standing.is_full(NOW)
-    assert not standing.is_full(NOW + FIRM_S)
+    state = placement().servers.ready[0]
+    state.load_told(FULL, NOW)
+    assert state.occupancy(NOW) == state.occupancy(NOW + FULL_WEIGHT_S) == 1.25
+    assert 0 < state.occupancy(NOW + 2) < 1.25
+    assert state.occupancy(NOW + EXPIRY_S) == 0.0
+    assert state.is_full(NOW)
+    assert not state.is_full(NOW + FULL_WEIGHT_S)
 
 
 def test_an_older_reading_does_not_replace_a_newer_one() -> None:
-    standing = placement().servers.ready[0]
-    standing.load_told(EMPTY, NOW)
-    standing.load_told(FULL, NOW - 0.5)
-    assert standing.load == EMPTY
+    state = placement().servers.ready[0]
+    state.load_told(EMPTY, NOW)
+    state.load_told(FULL, NOW - 0.5)
+    assert state.load == EMPTY
 
 
 def test_long_answers_go_to_servers_with_places() -> None:
     made = placement()
-    for standing in made.servers.ready[:4]:
-        standing.load_told(FULL, NOW)
+    for state in made.servers.ready[:4]:
+        state.load_told(FULL, NOW)
     assert set(picks(made)) == {"i-4", "i-5"}
-    assert len(picks(made, now=NOW + KEPT_S)) == 6
+    assert len(picks(made, now=NOW + EXPIRY_S)) == 6
 
 
 def test_of_two_servers_the_less_taken_gets_a_long_answer() -> None:
     made = placement()
-    for place, standing in enumerate(made.servers.ready):
-        standing.load_told(ServerLoad(place, 0, 12), NOW)
+    for place, state in enumerate(made.servers.ready):
+        state.load_told(ServerLoad(place, 0, 12), NOW)
     found = picks(made, 300)
     assert found["i-0"] > found["i-2"] > found["i-4"]
 
 
 def test_servers_that_tell_nothing_are_placed_as_without_loads() -> None:
-    assert picks(placement()) == picks(placement(PlacementOptions(told_loads=False)))
+    assert picks(placement()) == picks(placement(PlacementOptions(reported_loads=False)))
 
 
 def test_if_all_are_full_one_is_picked_all_the_same() -> None:
     made = placement()
-    for standing in made.servers.ready:
-        standing.load_told(FULL, NOW)
+    for state in made.servers.ready:
+        state.load_told(FULL, NOW)
     assert sum(picks(made).values()) == 60
 
 
-def test_a_full_home_hands_on_to_one_that_has_places() -> None:
+def test_a_full_home_overflows_to_a_server_with_free_slots() -> None:
     made = placement()
     prompt = parse_prompt("aa:2500,bb:3800,cc:2900", "m", 60)
     home, second, third, *_ = made.order(prompt)
@@ -122,44 +122,44 @@
     second.load_told(FULL, NOW)
     third.load_told(EMPTY, NOW)
     assert made.pick(prompt, (), NOW) is third
-    assert made.pick(prompt, (), NOW + FIRM_S) is home
+    assert made.pick(prompt, (), NOW + FULL_WEIGHT_S) is home
 
 
 def test_where_all_are_full_parts_stay_at_home() -> None:
     made = placement()
     prompt = parse_prompt("aa:2500,bb:3800,cc:2900", "m", 60)
-    for standing in made.servers.ready:
-        standing.load_told(FULL, NOW)
+    for state in made.servers.ready:
+        state.load_told(FULL, NOW)
     assert made.pick(prompt, (), NOW) is made.order(prompt)[0]
 
 
 def test_proxies_share_what_they_heard() -> None:
     one, other = placement(), placement()
-    one.servers.standings["i-1"].load_told(FULL, NOW - 0.4)
+    one.servers.states["i-1"].load_told(FULL, NOW - 0.4)
     told = placement_news.news({"model": one}, NOW)
     assert told is not None
     [sent] = Decoder().feed(encode(told))
     assert sent == told
     placement_news.take(told, {"model": other}, NOW)
-    standing = other.servers.standings["i-1"]
-    assert standing.load == FULL
-    assert standing.load_at == pytest.approx(NOW - 0.4, abs=0.002)
+    state = other.servers.states["i-1"]
+    assert state.load == FULL
+    assert state.load_at == pytest.approx(NOW - 0.4, abs=0.002)
 
 
 def test_nothing_is_told_that_is_not_new() -> None:
     made = placement()
     assert placement_news.news({"model": made}, NOW) is None
-    made.servers.ready[0].load_told(FULL, NOW - TOLD_S)
+    made.servers.ready[0].load_told(FULL, NOW - MAX_READING_AGE_S)
     assert placement_news.news({"model": made}, NOW) is None
 
 
 def test_a_message_is_bounded() -> None:
     made = placement(count=100)
-    for place, standing in enumerate(made.servers.ready):
-        standing.load_told(FULL, NOW - place / 100)
+    for place, state in enumerate(made.servers.ready):
+        state.load_told(FULL, NOW - place / 100)
     told = placement_news.news({"model": made}, NOW)
     assert told is not None
-    assert [reading.id for reading in told.loads] == [f"i-{place}" for place in range(MOST_TOLD)]
+    assert [reading.id for reading in told.loads] == [f"i-{place}" for place in range(MAX_READINGS)]
 
 
 @pytest.mark.parametrize(
@@ -175,20 +175,20 @@
 def test_readings_that_make_no_sense_are_not_taken(reading: LoadReading) -> None:
     made = placement()
     placement_news.take(PlacementNews((reading,), ()), {"model": made}, NOW)
-    assert all(standing.load is None for standing in made.servers.ready)
+    assert all(state.load is None for state in made.servers.ready)
 
 
 def test_a_proxy_that_met_one_kind_of_requests_hears_of_the_other() -> None:
     one, other = placement(), placement()
     reading = parse_prompt("aa:2500,bb:3800,cc:2900", "m", 60)
-    one.pick(parse_prompt(talking(), "m", 4000), (), NOW - 3)
+    one.pick(parse_prompt(decode_heavy(), "m", 4000), (), NOW - 3)
     one.pick(reading, (), NOW - 1)
     other.pick(reading, (), NOW)
-    assert not other.calm.wanted
+    assert not other.reserved.is_needed
     told = placement_news.news({"model": one}, NOW)
     assert told == PlacementNews((), (KindsSeen("model", 3000, 1000),))
     placement_news.take(told, {"model": other}, NOW)
-    assert other.calm.wanted
+    assert other.reserved.is_needed
     assert placement_news.news({"model": other}, NOW) == PlacementNews((), (KindsSeen("model", 3000, 0),))
     assert placement_news.news({"model": other}, NOW + 30) is None
 
@@ -197,7 +197,7 @@
     made = placement()
     told = PlacementNews((), (KindsSeen("other", 0, 0), KindsSeen("model", -5000, 0)))
     placement_news.take(told, {"model": made}, NOW)
-    assert not made.calm.wanted_at(NOW)
+    assert not made.reserved.is_needed_at(NOW)
 
 
 @pytest.mark.parametrize("value", [b"3,0,12", b"-3,nonsense"])
@@ -208,5 +208,5 @@
     world.last.answer(200, SIGNED, (b"cypresswinch-server-load", value))
     assert (b"cypresswinch-server-load", value) in exchange.headers
     assert server_id is not None
-    standing = world.router.placement("desk").servers.standings[server_id.decode()]
-    assert standing.load == (ServerLoad(3, 0, 12) if value[:1] == b"3" else None)
+    state = world.router.placement("desk").servers.states[server_id.decode()]
+    assert state.load == (ServerLoad(3, 0, 12) if value[:1] == b"3" else None)
