--- a/cloverrouter/placement/__init__.py
+++ b/cloverrouter/placement/__init__.py
@@ -1,1 +1,2 @@
-"""Which server gets a request: server models, prefix affinity, quotas, admission. Pure."""
+"""Chooses a server for each request: server models, prefix affinity, quotas and admission. Performs no
+I/O."""
--- a/cloverrouter/placement/calm.py
+++ b/cloverrouter/placement/calm.py
@@ -1,9 +1,11 @@
-"""Servers kept calm for requests that talk, while there are requests of both kinds.
-
-Long prompts read in a row beside a stream stretch the pauses between its events. So some of the ready
-servers are kept for requests whose answers are longer than their prompts. Which ones is a ranking on which
-all proxies agree without talking; how many follows from what all proxies see alike: whether answers at the
-calm servers begin late.
+"""Reserves some servers for decode-heavy requests while a service gets both decode-heavy and prefill-heavy
+ones.
+
+A request is decode-heavy if its answer is longer than its prompt. Long prompts that are prefilled next to
+such a stream lengthen the pauses between its events, so prefill-heavy requests mostly avoid some of the ready
+servers. Which servers these are follows from a ranking that is the same at all proxies and needs no
+communication. How many they are follows from what all proxies observe alike: whether answers at the reserved
+servers begin late.
 """
 
 from __future__ import annotations
@@ -14,29 +16,33 @@
 from cloverrouter.placement.servers import Standing
 
 MIN_RESERVED_SHARE = 0.25
-"""This part of the servers is kept calm at least,"""
+"""At least this share of the ready servers is reserved."""
 MAX_RESERVED_SHARE = 0.5
-"""and this at most."""
+"""At most this share of the ready servers is reserved."""
 ADMITTED_SHARE = 0.2
-"""Part of the other requests' subjects that may go to calm servers all the same: calm ones have time left."""
+"""Share of the affinity keys of prefill-heavy requests that may use reserved servers all the same, since
+these have spare capacity."""
 KIND_EXPIRY_S = 20.0
-"""So long a kind of request is expected to come again."""
+"""A kind of request that came within this time is expected to come again."""
 GROW_DELAY_FACTOR = 1.0
-"""One more is kept calm when answers begin later at the calm servers, by so many usual times to the first
-token in the mean;"""
+"""One more server is reserved when answers begin late at the reserved servers, by more than this many mean
+times to the first token on average."""
 GROW_INTERVAL_S = 0.3
-"""at most one in this time."""
+"""Minimum time between two increases."""
 MIN_GROW_OCCUPANCY = 0.6
-"""But not while they are less taken than this: what is late then waits for no place there."""
+"""Late answers add no server while the reserved servers are less occupied than this: the delay then doesn't
+come from a lack of slots."""
 GROW_OCCUPANCY = 1.2
-"""One more as well when the requests under way there, taken to be alike at all proxies, fill the calm servers
-so many times over;"""
+"""One more server is also reserved when the requests in flight at the reserved servers exceed their capacity
+by this factor, assuming that every proxy sends them as many as this one."""
 MIN_IN_FLIGHT = 4
-"""with fewer of its own a proxy can't tell chance from load."""
+"""With fewer own requests in flight than this, a proxy cannot tell chance from load."""
 SHRINK_DELAY_FACTOR = 0.5
-"""One less when they have not been later than this"""
+"""One server fewer is reserved once the delay has stayed below this many mean times to the first token for
+`SHRINK_AFTER_S`."""
 SHRINK_AFTER_S = 1.5
-"""for so long."""
+"""How long the delay must have stayed low before the number shrinks; at most one server fewer in this
+time."""
 _RANKING = 0x9E3779B97F4A7C15
 
 
@@ -45,7 +51,7 @@
 
 
 def _interleave_zones(ranked: list[Standing]) -> list[Standing]:
-    """The same servers so that each zone has its turn: the first of all zones, then the second of each."""
+    """Returns the servers interleaved by zone: the first of each zone, then the second of each, and so on."""
     places: Counter[str] = Counter()
     turns: list[tuple[int, Standing]] = []
     for state in ranked:
@@ -55,7 +61,7 @@
 
 
 class ReservedServers:
-    """Which servers of one service are calm, and whether there is a need for it."""
+    """The reserved servers of one service."""
 
     def __init__(self) -> None:
         self.members: set[Standing] = set()
@@ -64,23 +70,23 @@
         self._grew_at = self._late_at = 0.0
         self._decode_heavy_at = self._prefill_heavy_at = -KIND_EXPIRY_S
         self.fleet_size = 1
-        """Proxies that send to the same servers."""
+        """Number of proxies that send to the same servers."""
 
     def __contains__(self, state: Standing) -> bool:
         return state in self.members
 
     @property
     def is_needed(self) -> bool:
-        """Whether requests of both kinds came lately."""
+        """Whether both kinds of request came within `KIND_EXPIRY_S` of each other."""
         return abs(self._decode_heavy_at - self._prefill_heavy_at) <= KIND_EXPIRY_S
 
     def servers_changed(self, ready: list[Standing]) -> None:
-        """These are the ready servers now."""
+        """Recomputes the ranking for the servers that are ready now."""
         self._ranked = _interleave_zones(sorted(ready, key=_rank, reverse=True))
         self._choose()
 
     def record_request(self, prompt: Prompt, now: float) -> None:
-        """A request came."""
+        """Records the arrival of a request."""
         if prompt.is_decode_heavy:
             self._decode_heavy_at = now
         elif prompt.tokens_out:
@@ -88,25 +94,26 @@
 
     @property
     def last_seen_at(self) -> tuple[float, float]:
-        """When requests that talk, and others, came last, here or at other proxies."""
+        """Times of the last decode-heavy and the last prefill-heavy request, here or at another proxy."""
         return self._decode_heavy_at, self._prefill_heavy_at
 
     def is_needed_at(self, now: float) -> bool:
-        """Whether requests of both kinds came lately, seen from now."""
+        """Whether both kinds of request came within `KIND_EXPIRY_S` before `now`."""
         return self.is_needed and now - min(self.last_seen_at) <= KIND_EXPIRY_S
 
     def merge_last_seen(self, decode_heavy_at: float, prefill_heavy_at: float) -> None:
-        """Another proxy knows of requests that came at these times."""
+        """Merges the arrival times that another proxy knows of."""
         self._decode_heavy_at = max(self._decode_heavy_at, decode_heavy_at)
         self._prefill_heavy_at = max(self._prefill_heavy_at, prefill_heavy_at)
 
     def is_avoided_by(self, prompt: Prompt) -> bool:
-        """Whether a request that doesn't talk leaves the calm servers alone."""
+        """Whether a prefill-heavy request avoids the reserved servers."""
         subject = prompt.subject
         return subject is None or subject.key % 1000 >= ADMITTED_SHARE * 1000
 
     def adapt(self, now: float, usual_ms: float) -> bool:
-        """Keep one more or one less of them calm, by how late their answers begin. Whether that changed."""
+        """Reserves one server more or one fewer, depending on how late answers begin at the reserved servers.
+        Returns whether the number changed."""
         if not self.members:
             return False
         delay = (
@@ -129,7 +136,8 @@
         return sum([one.in_flight for one in self.members])
 
     def _occupancy(self) -> float:
-        """Part of the calm servers' places that is taken, if all proxies send them as much as this one."""
+        """Share of the reserved servers' capacity that is in use if every proxy sends them as many requests
+        as this one."""
         capacity = sum([one.server.capacity for one in self.members])
         return self._in_flight() * self.fleet_size / capacity if capacity > 0 else 0.0
 
--- a/cloverrouter/placement/draws.py
+++ b/cloverrouter/placement/draws.py
@@ -1,4 +1,5 @@
-"""The design's choice: the better of two random draws by payoff / (1 + own in flight)."""
+"""Power of two choices: draws two servers at random and takes the one with the higher payoff / (1 + own
+requests in flight)."""
 
 from __future__ import annotations
 
@@ -10,18 +11,19 @@
 from cloverrouter.placement.servers import Standing
 
 LOCAL_ZONE_SHARE = 0.75
-"""Servers of the own zone are preferred where they are at least this part of an even share of all zones."""
+"""The proxy's own zone is preferred if it has at least this part of an even share of the servers of all
+zones."""
 MAX_OCCUPANCY = 0.8
-"""A long answer goes elsewhere while a server tells that more of its places are taken than this."""
+"""A long answer avoids servers that report a higher occupancy than this."""
 OCCUPANCY_WEIGHT = 4.0
-"""How many requests under way a server counts for long answers that tells that all its places are taken."""
+"""Number of requests in flight as which a fully occupied server is counted for long answers."""
 
 Random = Callable[[], float]
-"""A number from 0 up to 1."""
+"""Returns a number from 0 up to, but not including, 1."""
 
 
 class Draws:
-    """Draws among the servers of one service, from a proxy in `zone`."""
+    """Draws among the servers of one service for a proxy in `zone`."""
 
     def __init__(
         self,
@@ -38,7 +40,7 @@
         self._options = options
 
     def better(self, among: list[Standing], now: float) -> Standing:
-        """The better of two draws; of equals, the one in the proxy's own zone."""
+        """Returns the better of two random servers; of equals, the one in the proxy's own zone."""
         first, second = self._draw_two(among)
         value, other_value = self._value(first, now), self._value(second, now)
         if value == other_value:
@@ -46,17 +48,19 @@
         return second if other_value > value else first
 
     def less_loaded(self, among: list[Standing], now: float) -> Standing:
-        """For a long answer: the better of two draws, where what the servers tell of their load counts."""
+        """Returns the better of two random servers for a long answer, also counting the load that the servers
+        report."""
         first, second = self._draw_two(among)
         value = self._value(first, now, OCCUPANCY_WEIGHT)
         return second if self._value(second, now, OCCUPANCY_WEIGHT) > value else first
 
     def with_free_slots(self, among: list[Standing], now: float) -> list[Standing]:
-        """Those that long answers may go to, by what they tell of their load."""
+        """Returns the servers whose reported occupancy is low enough for a long answer."""
         return [one for one in among if self._occupancy(one, now) < MAX_OCCUPANCY]
 
     def in_own_zone(self, among: list[Standing]) -> list[Standing]:
-        """Those in the own zone, if they are two at least and no fewer than a zone's share; else all."""
+        """Returns the servers in the proxy's own zone if there are at least two and about as many as a zone's
+        share; otherwise all."""
         in_own_zone = [one for one in among if self._is_in_own_zone(one)]
         zones = len({one.server.zone for one in among})
         is_enough = len(in_own_zone) >= 2 and len(in_own_zone) * zones >= LOCAL_ZONE_SHARE * len(among)
--- a/cloverrouter/placement/first_token.py
+++ b/cloverrouter/placement/first_token.py
@@ -1,26 +1,28 @@
-"""How long a server takes to its first token: a line over the tokens read, learnt from the answers."""
+"""Estimates the time to the first token (TTFT) as a linear function of the prompt tokens to prefill, learnt
+from answers."""
 
 from __future__ import annotations
 
 DECAY_PER_ANSWER = 0.98
-"""What an old answer still weighs after the next one."""
+"""Factor by which the weight of all earlier answers decays with each new one."""
 DEFAULT_MS_PER_TOKEN = 0.004
 DEFAULT_MEAN_TTFT_MS = 20.0
 MIN_MEAN_TTFT_MS = 2.0
 MAX_MS_PER_TOKEN = 1.0
 MIN_WEIGHT = 5.0
-"""Answers that must have come before the line is believed."""
+"""Weight of the recorded answers (about their number) from which on the fitted estimate replaces the
+defaults."""
 
 
 class FirstTokenModel:
-    """Weighted least squares of the time to the first token over the tokens that had to be read."""
+    """Exponentially weighted least squares of the time to the first token over the tokens to prefill."""
 
     def __init__(self) -> None:
         self._weight = 0.0
         self._tokens = self._ms = self._tokens_squared = self._product = 0.0
 
     def learn(self, tokens: float, ms: float) -> None:
-        """An answer began after that time, with that many tokens to be read."""
+        """Adds one answer: its time to the first token, and the tokens that had to be prefilled."""
         self._weight = self._weight * DECAY_PER_ANSWER + 1.0
         self._tokens = self._tokens * DECAY_PER_ANSWER + tokens
         self._ms = self._ms * DECAY_PER_ANSWER + ms
@@ -29,7 +31,7 @@
 
     @property
     def ms_per_token(self) -> float:
-        """Time that a token of the prompt takes to be read."""
+        """Prefill time of one prompt token, in milliseconds."""
         if self._weight < MIN_WEIGHT:
             return DEFAULT_MS_PER_TOKEN
         spread = self._tokens_squared - self._tokens**2 / self._weight
@@ -40,17 +42,17 @@
 
     @property
     def usual_ms(self) -> float:
-        """Mean time to the first token: the unit in which expected times count as requests."""
+        """Mean time to the first token: the unit in which expected times are converted to requests."""
         if self._weight < MIN_WEIGHT:
             return DEFAULT_MEAN_TTFT_MS
         return max(MIN_MEAN_TTFT_MS, self._ms / self._weight)
 
     def prefill_ms(self, tokens: float) -> float:
-        """Time that so many tokens take to be read."""
+        """Returns the prefill time of this many tokens."""
         return tokens * self.ms_per_token
 
     def expected_ms(self, tokens: float) -> float:
-        """Time to the first token at a server that is as busy as usual."""
+        """Returns the expected time to the first token at a server with average load."""
         if self._weight < MIN_WEIGHT:
             return DEFAULT_MEAN_TTFT_MS + self.prefill_ms(tokens)
         mean_tokens = self._tokens / self._weight
--- a/cloverrouter/placement/health.py
+++ b/cloverrouter/placement/health.py
@@ -1,46 +1,46 @@
-"""How far a server is suspected by what became of this proxy's own requests there."""
+"""Estimates how likely a server fails a request, from the outcomes of this proxy's own requests."""
 
 from __future__ import annotations
 
 import attrs
 
 HALF_LIFE_S = 3.0
-"""What happened so long ago counts half."""
+"""Half-life of the weight of past outcomes."""
 PRIOR_REQUESTS = 2.0
 PRIOR_FAILURES = 0.02
-"""What is believed of a server before anything is known."""
+"""Prior: number of requests, and failures among them, assumed before any outcome is known."""
 MAX_REQUESTS = 6.0
-"""More outcomes than these don't make the belief firmer, so that a change of the server is soon noticed."""
+"""Cap on the number of outcomes that count, so that a change of the server is noticed soon."""
 SUSPECT_RATE = 0.2
-"""A server that is expected to fail more of the requests than this is left to trials."""
+"""A server with a higher expected failure rate than this is suspect and gets only probe requests."""
 NON_RETRYABLE_SUSPECT_RATE = 0.08
-"""The same for requests that can't be sent again: the others are the trials."""
+"""The same for requests that must not be retried: the retryable ones serve as probes."""
 SUCCESS_DISCOUNT = 0.75
-"""Part of the bad outcomes that one good one takes back."""
+"""Share of the recorded failures that one success removes."""
 
 
 @attrs.define(slots=True)
 class FailureRate:
-    """A failure rate that forgets. Once nothing is sent to a suspected server any more, the suspicion fades
-    until it gets a request again; that one is the trial."""
+    """A failure rate whose evidence decays over time. A suspect server gets no requests, so its rate decays
+    until it gets one again; that request is the probe."""
 
     _requests: float = 0.0
     _failures: float = 0.0
     _updated_at: float = 0.0
 
     def record_success(self, now: float) -> None:
-        """An answer of worth came."""
+        """Records a successful request."""
         self._decay(now)
         self._failures *= 1.0 - SUCCESS_DISCOUNT
         self._add(0.0)
 
     def record_failure(self, now: float, weight: float = 1.0) -> None:
-        """The server failed a request; `weight` under 1 where that says less."""
+        """Records a failed request; `weight` is below 1 for weaker evidence."""
         self._decay(now)
         self._add(weight)
 
     def rate(self, now: float) -> float:
-        """Part of the requests that the server is expected to fail."""
+        """Returns the expected share of failing requests."""
         if self._failures < PRIOR_FAILURES:
             return 0.0
         remaining = float(0.5 ** ((now - self._updated_at) / HALF_LIFE_S))
--- a/cloverrouter/placement/leaving.py
+++ b/cloverrouter/placement/leaving.py
@@ -1,8 +1,10 @@
-"""What a process that was told to end still begins: what surely ends before it does.
+"""Decides which requests a process may still start once it was told to shut down: those that surely end
+before it does.
 
-All that is under way when the process ends is cut off. A request that is refused instead has not run, and its
-client can ask another proxy at once. Streams that their clients can resume elsewhere are begun for a while:
-a cut costs such a client the same further try as a refusal, later and only if the stream is so long.
+Everything in flight when the process ends is cut off. A request that is refused instead has not been
+executed, and its client can retry at another proxy at once. Streams that clients can resume elsewhere are
+still started for a while: a cut costs such a client the same additional attempt as a refusal, but later, and
+only if the stream is long.
 """
 
 from __future__ import annotations
@@ -10,25 +12,27 @@
 import attrs
 
 MARGIN_S = 0.2
-"""What is expected to end must do so this long before the process: timers fire late on a busy machine."""
+"""Requests must be expected to end this long before the process, since timers fire late on a busy machine."""
 EARLY_PHASE_S = 2.5
-"""By then those who send clients here have learnt that they should not; they ask for readiness each second,
-and believe the second answer."""
+"""Length of the early phase. Load balancers check readiness every second and act on the second failed check,
+so by its end they have stopped sending clients here."""
 EARLY_PHASE_SHARE = 1 / 3
-"""The same, where little time is left. What is begun early on an estimate that was wrong still has the other
-two thirds to come true; after that only deadlines count."""
+"""Share of the remaining time that the early phase may take if that is less. A request that starts in this
+phase on a wrong estimate has the other two thirds to finish; afterwards only deadlines count."""
 ESTIMATE_FACTOR = 2.0
-"""An answer may take so many times as long as the longest one seen."""
+"""An answer may take this many times as long as the longest one seen."""
 KEPT_S = 30.0
-"""An answer's time is remembered for this long at least, and for twice as long at most."""
+"""A duration is remembered for at least this long and at most twice as long."""
 RETRY_AFTER_S = 0.02
 RETRY_SPREAD_S = 0.06
-"""Other proxies can take a refused request at once; clients of one that leaves are spread a little."""
+"""Another proxy can take a refused request at once; the spread keeps the refused clients from retrying all
+together."""
 
 
 @attrs.frozen(slots=True)
 class Leave:
-    """The span between being told to end and the end. Seconds on one steady clock."""
+    """The time between the request to shut down and the end of the process, in seconds on one monotonic
+    clock."""
 
     requested_at: float
     ends_at: float
@@ -36,18 +40,18 @@
 
 @attrs.frozen(slots=True)
 class Expectation:
-    """What is known of a request before it is begun."""
+    """What is known of a request before it starts."""
 
     deadline: float
-    """It is over then, whatever its server does."""
+    """The request ends at this time at the latest, whatever its server does."""
     longest_s: float | None
-    """The longest that one of its kind took lately; None if nobody knows."""
+    """Longest duration of recent requests of its kind; None if unknown."""
     can_resume: bool
-    """Its client can go on elsewhere after a cut."""
+    """Whether its client can resume at another proxy after a cut."""
 
 
 def may_begin(leave: Leave, now: float, request: Expectation) -> bool:
-    """Whether a request may still be begun."""
+    """Returns whether a request may still be started."""
     last_end = leave.ends_at - MARGIN_S
     if request.deadline <= last_end:
         return True
@@ -61,12 +65,13 @@
 
 
 def leaving_retry_after_s(draw: float) -> float:
-    """When a client that a leaving process refuses should ask again; `draw` from 0 to 1."""
+    """Returns when a client that is refused during the shutdown should retry, in seconds; `draw` is from 0 to
+    1."""
     return RETRY_AFTER_S + RETRY_SPREAD_S * draw
 
 
 class LongestAnswers:
-    """The longest time that an answer of each kind took lately."""
+    """Longest recent duration of an answer by kind of request."""
 
     def __init__(self) -> None:
         self._recent: dict[str, float] = {}
@@ -74,19 +79,19 @@
         self._rotates_at = 0.0
 
     def note(self, kind: str, duration_s: float, now: float) -> None:
-        """An answer of that kind has come to its end."""
+        """Records the duration of a completed answer."""
         self._rotate(now)
         if duration_s > self._recent.get(kind, 0.0):
             self._recent[kind] = duration_s
 
     def of(self, kind: str, now: float) -> float | None:
-        """The longest; None if none came lately."""
+        """Returns the longest duration; None if there is no recent one."""
         self._rotate(now)
         found = [longest[kind] for longest in (self._recent, self._older) if kind in longest]
         return max(found, default=None)
 
     def _rotate(self, now: float) -> None:
-        """Forget what is too old."""
+        """Drops durations that are too old."""
         if now < self._rotates_at:
             return
         is_fresh = now < self._rotates_at + KEPT_S
--- a/cloverrouter/placement/options.py
+++ b/cloverrouter/placement/options.py
@@ -1,4 +1,5 @@
-"""Which mechanisms of placement are in use: all of them, but in an experiment that measures one."""
+"""Switches for the placement mechanisms. All are on, except in an experiment that measures the effect of
+one."""
 
 from __future__ import annotations
 
@@ -7,34 +8,37 @@
 
 @attrs.frozen(slots=True)
 class PlacementOptions:
-    """A switch for each mechanism. What is left with all of them off is the design's comparison of two
-    candidates by payoff / (1 + own in flight)."""
+    """One switch for each mechanism. With all of them off, placement compares two candidates by payoff / (1 +
+    own requests in flight)."""
 
     reserved_servers: bool = True
-    """Some servers are kept from long prompts, for requests that talk (`placement/reserved.py`)."""
+    """Prefill-heavy requests mostly avoid some servers, which are reserved for decode-heavy ones
+    (`placement/calm.py`)."""
     reserved_growth: bool = True
-    """More servers are kept calm while answers begin late there."""
+    """More servers are reserved while answers begin late at the reserved ones."""
     home_advantage: bool = True
-    """The first of a subject's order keeps a request unless the second looks much better."""
+    """The first server of a request's affinity order gets it unless the second looks much better."""
     load_bound: bool = True
-    """A server with many own requests under way, or late answers, hands on to the next of the order."""
+    """A server with many own requests in flight, or with late answers, is skipped for the next one of the
+    order."""
     learnt_delays: bool = True
-    """Answers that begin late count against a server."""
+    """Late first tokens count against a server."""
     cache_model: bool = True
-    """What was sent to a server is taken to be kept there, as far as its memory goes."""
+    """The prompts sent to a server are assumed to be in its prefix cache, up to its capacity."""
     failure_rate: bool = True
-    """Servers that fail requests, here or at other proxies, are left alone for a while."""
+    """Servers that fail requests, here or at other proxies, are avoided for a while."""
     doubts: bool = True
-    """A server that sends nothing while a request waits there is passed over."""
+    """A server that sends nothing while a request waits for its answer is avoided."""
     patience: bool = True
-    """A request that may run again leaves a server that seems to hang."""
+    """A retryable request is moved to another server if its server seems to hang."""
     nearby_streams: bool = True
-    """Long answers to little that is shared come from the own zone, by load."""
+    """Requests with a long answer and a small shared prefix go to servers in the proxy's own zone, by
+    load."""
     reported_loads: bool = True
-    """What servers tell of their load counts, where they do."""
+    """The load that servers report in their answers counts."""
     late_last: bool = True
-    """Requests whose objective has passed let others go first at a server."""
+    """Requests whose latency objective has already passed get the lowest priority at the server."""
 
 
 IN_USE = PlacementOptions()
-"""What the program runs with."""
+"""The options that the program runs with."""
--- a/cloverrouter/placement/pick.py
+++ b/cloverrouter/placement/pick.py
@@ -1,10 +1,11 @@
-"""Which server a request goes to.
-
-The base is the design's comparison of two draws by payoff / (1 + own in flight). Where requests share parts
-of their prompts, the two candidates are not drawn but come from an order of the servers, by rendezvous
-hashing of the last shared part, on which all proxies agree without talking. The comparison then counts the
-time that the missing part of the prompt takes to read, and the first of the order, which keeps what is
-shared, has an advantage.
+"""Chooses the server for a request.
+
+The base is the power of two choices: of two random servers, the one with the higher payoff / (1 + own
+requests in flight). If requests share prompt prefixes, the two candidates are not random. They come from a
+ranking of the servers by rendezvous hashing of the last shared part, which is the same at all proxies without
+communication. The comparison then also counts the prefill time of the tokens that are missing from the
+server's cache, and the first server of the ranking (the "home", which caches the shared prefix) has an
+advantage.
 """
 
 from __future__ import annotations
@@ -22,20 +23,20 @@
 from cloverrouter.placement.servers import Server, ServiceServers, Standing
 
 HOME_ADVANTAGE = 2.0
-"""How many times better the second of the order must look to get the request."""
+"""How many times better the second server of the order must look to get the request instead of the home."""
 HOME_MISSING_SHARE = 0.2
-"""Part of the shared tokens that the first of the order is expected to lack where this proxy sent none there:
-others did."""
+"""Share of the shared tokens expected to be missing at the home if this proxy has not sent them there: other
+proxies have."""
 EXPECTED_TTFT_WEIGHT = 2.0
-"""How many requests under way a wait of the usual time to the first token counts as."""
+"""Number of requests in flight as which a wait of one mean time to the first token is counted."""
 MAX_ORDERS = 2_048
 ORDER_LENGTH = 8
-"""Servers of an order that are kept for the next request of the same subject."""
+"""Number of servers of an order that are cached for later requests with the same affinity key."""
 DEFAULT_KV_TOKENS = 200_000
 
 
 class _Layout(Enum):
-    """Where in an order the servers stand that are kept calm."""
+    """Position of the reserved servers in an order."""
 
     EVEN = 0
     RESERVED_FIRST = 1
@@ -45,8 +46,8 @@
 class ServicePlacement:
     """Places the requests of one service.
 
-    `random` gives numbers from 0 up to 1; `zone` is the proxy's own; `kv_tokens` is what one server's memory
-    holds, None for servers without a model.
+    `random` returns numbers from 0 up to 1; `zone` is the proxy's own; `kv_tokens` is the capacity of one
+    server's prefix cache in tokens, None for servers without a model.
     """
 
     def __init__(
@@ -69,30 +70,30 @@
         self.reserved = ReservedServers()
 
     def configure(self, kv_tokens: int | None) -> None:
-        """The service's settings changed."""
+        """Applies changed settings of the service."""
         self._kv_tokens = kv_tokens
         for cache in self._caches.values():
             cache.capacity_tokens = kv_tokens or DEFAULT_KV_TOKENS
 
     def fleet_changed(self, size: int) -> None:
-        """So many proxies send to the servers."""
+        """Sets the number of proxies that send to the same servers."""
         self.reserved.fleet_size = size
         self._load_bound.fleet_changed(size)
 
     def told(self, server: Server) -> None:
-        """A server of this service was added or changed."""
+        """Adds or updates a server of this service."""
         self.servers.told(server)
 
     def settle(self) -> None:
-        """After one or more servers were told: forget those that have gone."""
-        for removed in self.servers.forget_idle():
+        """Drops the servers that have left. To be called after one or more updates."""
+        for removed in self.servers.remove_departed():
             self._caches.pop(removed, None)
 
     def pick(
         self, prompt: Prompt, tried: Collection[str], now: float, careful: bool = False
     ) -> Standing | None:
-        """The server for a request, none of those already tried; None if there is no other. `careful` for a
-        request that can't be sent again if it fails."""
+        """Returns the server for a request, excluding those already tried; None if no other is ready.
+        `careful`: the request must not be retried if it fails."""
         ready = [one for one in self.servers.ready if one.server.id not in tried]
         if len(ready) < 2:
             return ready[0] if ready else None
@@ -113,28 +114,28 @@
         return self._better(candidates, prompt, now)
 
     def warned(self, ids: Iterable[str], span_s: float, now: float) -> None:
-        """Other proxies found these servers failing: leave them alone for about so long."""
+        """Avoids these servers, which other proxies found failing, for about `span_s` seconds."""
         for instance_id in ids:
             state = self.servers.states.get(instance_id)
             if state is not None:
                 state.warned(now, now + span_s * (0.75 + 0.5 * self._random()))
 
     def overdue(self, now: float) -> list[str]:
-        """The few servers at which requests have been waiting for far too long."""
+        """Returns the ids of the servers with overdue requests, or none if these are many."""
         return [one.server.id for one in self.servers.few_overdue(now)]
 
     def few_overdue(self, now: float) -> bool:
-        """Whether there are other servers, and requests wait for too long at few of them at most."""
+        """Whether there are other servers, and requests are overdue at a few of them at most."""
         found = sum([one.has_overdue_request(now) for one in self.servers.ready])
         return len(self.servers.ready) > 1 and found <= self.servers.max_overdue
 
     def sent(self, state: Standing, prompt: Prompt) -> None:
-        """The prompt went to that server, which will keep its parts."""
+        """Records that the prompt was sent to the server, which will cache its parts."""
         if prompt.parts:
             self._cache(state).sent(prompt)
 
     def missing_tokens(self, state: Standing, prompt: Prompt) -> int:
-        """Tokens of the prompt that the server is expected to have to read."""
+        """Returns the number of prompt tokens that the server is expected to prefill."""
         if not prompt.parts:
             return 0
         if not self._options.cache_model:
@@ -146,8 +147,8 @@
         return missing
 
     def order(self, prompt: Prompt) -> list[Standing]:
-        """The first servers of the order of the prompt's subject, the same at all proxies that know the same
-        servers and kinds of requests."""
+        """Returns the first servers of the order for the prompt's affinity key. The order is the same at all
+        proxies that know the same servers and kinds of request."""
         if self._orders_generation != self.servers.generation:
             self._servers_changed()
         subject = prompt.subject
@@ -162,7 +163,7 @@
         return order
 
     def _layout(self, prompt: Prompt) -> _Layout:
-        """Where in the order the calm servers stand."""
+        """Returns the position of the reserved servers in the order."""
         if not prompt.tokens_out or not self._reserves_servers:
             return _Layout.EVEN
         if prompt.is_decode_heavy:
@@ -183,8 +184,9 @@
     def _candidates(
         self, prompt: Prompt, tried: Collection[str], now: float, careful: bool
     ) -> list[Standing]:
-        """The first two of the order that have room; if none has, the first two that may be used at all. Calm
-        servers and others are not compared: the order has decided between them."""
+        """Returns the first two servers of the order that are below their load bound; if there are none, the
+        first two that are usable. A reserved server is not compared with another one: the order has decided
+        between them."""
         untried = [one for one in self.order(prompt) if one.server.id not in tried]
         usable = self.servers.usable(untried, now, careful)
         with_room = self._load_bound.having(usable, now)
@@ -196,9 +198,10 @@
         return candidates
 
     def _nearby_servers(self, usable: list[Standing], now: float) -> list[Standing]:
-        """Where a long answer to little that is shared may come from: servers with room, the calm ones if
-        there are any, of these the ones in the own zone if they are two at least and no fewer than a zone's
-        share. No server keeps much of use for such requests, and it is the answer that would cross zones."""
+        """Returns the candidates for a long answer with a small shared prefix: servers below their load
+        bound, the reserved ones if there are any, and of these the ones in the proxy's own zone if there are
+        at least two and about as many as a zone's share. Cached prefixes matter little for such requests,
+        while their long answers would cross zones."""
         if self._orders_generation != self.servers.generation:
             self._servers_changed()
         chosen = self._draws.with_free_slots(self._load_bound.having(usable, now), now) or usable
@@ -216,8 +219,8 @@
         self.reserved.servers_changed(self.servers.ready)
 
     def _with_free_slots(self, ordered: list[Standing], now: float) -> list[Standing]:
-        """Where the first told that it is full, those that told that they aren't, if there are any. Danger:
-        where all are full, to hand on only makes parts be read again."""
+        """If the first server reported that it is full, returns those that reported free slots, if there are
+        any. If all are full, the order stays: moving on would only prefill the parts once more elsewhere."""
         if not self._options.reported_loads or not ordered or not ordered[0].is_full(now):
             return ordered
         return [one for one in ordered if one.has_free_slots(now)] or ordered
@@ -232,8 +235,8 @@
         return other if ahead else home
 
     def _value(self, state: Standing, prompt: Prompt, now: float) -> float:
-        """The design's payoff / (1 + own in flight), where the expected time to the first token counts as
-        further requests under way."""
+        """Returns payoff / (1 + own requests in flight), with the expected time to the first token counted as
+        additional requests."""
         load = 1.0 + state.in_flight
         usual_ms = self.first_token.usual_ms
         prefill_ms = self.first_token.prefill_ms(self.missing_tokens(state, prompt))
--- a/cloverrouter/placement/placement_messages.py
+++ b/cloverrouter/placement/placement_messages.py
@@ -1,7 +1,8 @@
-"""What the proxies of a zone tell each other of servers and requests, beside their shuffles.
+"""Messages in which the proxies of a zone share what they know of servers and requests, sent along with their
+gossip shuffles.
 
-Cost: about 20 bytes for each server that tells its load, 32 at most, and 20 for each service with requests of
-two kinds, with each shuffle from the own zone; some 2 KB a second.
+Cost: about 20 bytes for each reported server load (32 loads at most) and 20 for each service with both kinds
+of request, with each shuffle from the own zone; about 2 KB a second.
 """
 
 from __future__ import annotations
@@ -11,7 +12,7 @@
 
 @nested
 class LoadReading:
-    """A server's load, as it told it to a proxy `age_ms` ago."""
+    """A server's load as it was reported to a proxy `age_ms` ago."""
 
     id: str
     running: int
@@ -22,8 +23,8 @@
 
 @nested
 class KindsSeen:
-    """How long ago any proxy got a request of a service whose answer is longer than its prompt, and one whose
-    prompt is longer."""
+    """How long ago any proxy got a decode-heavy request (its answer is longer than its prompt) and a
+    prefill-heavy request of a service."""
 
     service: str
     decode_heavy_ms: int
@@ -32,7 +33,7 @@
 
 @message(400)
 class PlacementNews:
-    """The latest that a proxy knows, of its own and from others."""
+    """The latest state that a proxy knows, from its own observations and from others."""
 
     loads: tuple[LoadReading, ...]
     kinds: tuple[KindsSeen, ...]
--- a/cloverrouter/placement/placement_news.py
+++ b/cloverrouter/placement/placement_news.py
@@ -1,4 +1,4 @@
-"""What proxies share of what they see: each meets few requests and answers, together they meet many."""
+"""Exchanges observations among proxies: each sees few requests and answers, together they see many."""
 
 from __future__ import annotations
 
@@ -11,13 +11,13 @@
 from cloverrouter.placement.servers import Standing
 
 MAX_READING_AGE_S = 2.0
-"""Older readings are not passed on."""
+"""Older load readings are not passed on."""
 MAX_READINGS = 32
-"""Readings in one message, the latest ones."""
+"""Maximum number of load readings in one message; the latest ones are sent."""
 
 
 def news(placements: Mapping[str, ServicePlacement], now: float) -> PlacementNews | None:
-    """What to tell another proxy; None if there is nothing new enough."""
+    """Returns the message for another proxy; None if there is nothing recent enough."""
     states = [one for placement in placements.values() for one in placement.servers.ready]
     loads = _latest_loads(states, now)
     kinds = tuple(
@@ -27,7 +27,7 @@
 
 
 def take(told: PlacementNews, placements: Mapping[str, ServicePlacement], now: float) -> None:
-    """Take over what another proxy tells of known services and servers, where it is newer."""
+    """Applies another proxy's message to known services and servers, where it is newer."""
     for kinds in told.kinds:
         placement = placements.get(kinds.service)
         if placement is not None and min(kinds.decode_heavy_ms, kinds.prefill_heavy_ms) >= 0:
--- a/cloverrouter/placement/prefix.py
+++ b/cloverrouter/placement/prefix.py
@@ -1,7 +1,7 @@
-"""What servers keep of the prompts that this proxy sent them: a model of their caches of prompt parts.
+"""Models the prefix caches of the servers from the prompts that this proxy sent them.
 
-A server keeps the parts of a prompt; a part need not be read again while it and all parts before it are
-kept for the same model. The parts unused for longest give way.
+A server caches the parts of a prompt. A part need not be prefilled again while it and all parts before it are
+cached for the same model. The least recently used parts are evicted.
 """
 
 from __future__ import annotations
@@ -14,17 +14,18 @@
 
 MAX_HEADER_LENGTH = 8_192
 SMALL_PREFIX_DIVISOR = 16
-"""Shared parts with fewer tokens than the answer may have, divided by this, are no reason for a server."""
+"""Shared parts with fewer tokens than the maximum length of the answer divided by this don't influence the
+choice of a server."""
 MAX_PARTS = 64
 MAX_ENTRIES = 4_096
-"""Parts that one server's model holds, whatever their tokens."""
+"""Maximum number of parts in the model of one server, whatever their tokens."""
 _PART = re.compile(r"[ \t]*([0-9a-fA-F]{1,64}):([0-9]{1,9})[ \t]*")
 _MASK = 0xFFFFFFFFFFFFFFFF
 
 
 @attrs.frozen(slots=True)
 class Part:
-    """A part of a prompt. Its key stands for the part with its model and all parts before it."""
+    """A part of a prompt. Its key identifies the part together with its model and all parts before it."""
 
     key: int
     tokens: int
@@ -32,26 +33,28 @@
 
 @attrs.frozen(slots=True)
 class Prompt:
-    """The parts of a prompt in order; empty where nothing is known of it."""
+    """The parts of a prompt in order; empty if nothing is known of it."""
 
     parts: tuple[Part, ...] = ()
     tokens_out: int = 0
-    """Most tokens of the answer; 0 where nothing is told."""
+    """Maximum number of tokens of the answer; 0 if unknown."""
 
     @property
     def is_decode_heavy(self) -> bool:
-        """Whether the answer is longer than the prompt: long prompts beside it make its events late."""
+        """Whether the answer may be longer than the prompt. Long prompts on the same server delay the events
+        of such an answer."""
         return self.tokens_out > self.tokens
 
     @property
     def has_small_shared_prefix(self) -> bool:
-        """Whether reading the shared parts again is next to nothing beside writing the answer."""
+        """Whether prefilling the shared parts again is negligible compared with generating the answer."""
         shared_tokens = sum([part.tokens for part in self.shared])
         return shared_tokens * SMALL_PREFIX_DIVISOR <= self.tokens_out
 
     @property
     def subject(self) -> Part | None:
-        """The last part that other requests may share; the part after it is the request's own."""
+        """The last part that other requests may share, which determines the affinity; the part after it
+        belongs to this request alone. None without parts."""
         if not self.parts:
             return None
         return self.parts[-2] if len(self.parts) > 1 else self.parts[0]
@@ -63,7 +66,7 @@
 
     @property
     def tokens(self) -> int:
-        """Tokens of all parts."""
+        """Number of tokens of all parts."""
         return sum(part.tokens for part in self.parts)
 
 
@@ -71,10 +74,10 @@
 
 
 def parse_prompt(value: str | None, model: str = "", tokens_out: int = 0) -> Prompt:
-    """The prompt that a ``Cypresswinch-Prompt-Prefix`` (``ID:TOKENS,...``, ids in hex) names.
+    """Parses the value of a ``Cypresswinch-Prompt-Prefix`` header (``ID:TOKENS,...``, ids in hex).
 
-    What cannot be read, or is beyond all measure, names nothing: affinity is a help, never a reason to
-    refuse.
+    Returns `NO_PROMPT` for a value that is malformed or beyond the limits: affinity is an optimization and
+    never a reason to refuse a request.
     """
     if not value or len(value) > MAX_HEADER_LENGTH:
         return NO_PROMPT
@@ -93,7 +96,8 @@
 
 
 def mix(value: int) -> int:
-    """64 bits that depend on all bits of a number of 0 or more, and are the same in every process."""
+    """Returns a 64-bit hash of a non-negative number; it depends on all bits and is the same in every
+    process."""
     value = (value ^ (value >> 64)) & _MASK
     value = ((value ^ (value >> 33)) * 0xFF51AFD7ED558CCD) & _MASK
     value = ((value ^ (value >> 33)) * 0xC4CEB9FE1A85EC53) & _MASK
@@ -101,7 +105,7 @@
 
 
 class PrefixCache:
-    """A model of one server's cache: which parts of what was sent there it keeps, by their last use."""
+    """A model of one server's prefix cache: the parts of the prompts sent there, in LRU order."""
 
     def __init__(self, capacity_tokens: int, max_entries: int = MAX_ENTRIES) -> None:
         self.capacity_tokens = capacity_tokens
@@ -113,7 +117,7 @@
         return len(self._parts)
 
     def missing_tokens(self, prompt: Prompt) -> int:
-        """Tokens that the server would have to read: those from the first part on that it doesn't keep."""
+        """Returns the number of tokens to prefill: those from the first part on that is not cached."""
         kept = 0
         for part in prompt.parts:
             if part.key not in self._parts:
@@ -122,7 +126,8 @@
         return prompt.tokens - kept
 
     def sent(self, prompt: Prompt) -> None:
-        """A prompt was sent there: all its parts are the ones used last, the first of them last of all."""
+        """Inserts all parts of a prompt as the most recently used ones, the first part as the very latest,
+        and evicts what exceeds the capacity."""
         for part in reversed(prompt.parts):
             self._use(part)
         while self._parts and (self.tokens > self.capacity_tokens or len(self._parts) > self.max_entries):
@@ -130,7 +135,7 @@
             self.tokens -= tokens
 
     def clear(self) -> None:
-        """The server lost what it kept."""
+        """Empties the model, since the server lost its cache."""
         self._parts.clear()
         self.tokens = 0
 
--- a/cloverrouter/placement/quota.py
+++ b/cloverrouter/placement/quota.py
@@ -1,16 +1,17 @@
-"""What one proxy may run of each tenant: credit that it asks of the allocator's pool, request by request.
-
-Every limited tenant has one bucket here. A request that finds too little in it waits for one round trip
-while credit is asked; some credit is held in advance. If the allocator falls silent, the proxy stands
-by for it: it has an own rate then, an even part of `STANDBY_PART` of each tenant's rate. The
-allocator's answers to reports say how long it may count on the proxy not to; the proxy counts that from
-when the answer arrives, the allocator from when it was sent, so either has the rate, never both.
-Standing by needs nobody: it holds for a proxy that is cut off, and for one that has just started (once
-the contact of the process before it must be over).
-
-The right to an own rate ends `OWN_FOR_S` after the last contact, on this process's own clock; for so
-long, and longer, the fleet's size that the allocator and other proxies know still counts this machine.
-State: some 370 bytes a limited tenant.
+"""Enforces the tenants' quotas at one proxy, with credit borrowed from the allocator's pool on demand.
+
+Every limited tenant has one token bucket here. A request that finds too few tokens in it waits for one round
+trip while credit is requested; some credit is held in advance. If the allocator is silent, the proxy goes
+into standby: it then has a rate of its own, an even part of `STANDBY_PART` of each tenant's rate. The
+allocator's answers to reports tell for how long the proxy must stay out of standby. The proxy counts that
+time from the arrival of the answer, the allocator from its sending, so that never both use the same rate.
+Standby needs no communication: it also applies to a proxy that is cut off, and to one that has just started
+(once the contact of the preceding process must have expired).
+
+The right to standby ends `OWN_FOR_S` after the last contact, on this process's own clock. The fleet size
+known to the allocator and to other proxies still counts this machine for at least that long.
+
+Memory: about 370 bytes a limited tenant.
 """
 
 from __future__ import annotations
@@ -30,14 +31,14 @@
 )
 from cloverrouter.placement.quota_plan import QuotaRules, TenantLimit, contact_s, plan_tenant
 
-OWN_FOR_S = 60.0  # whoever tells the size of the fleet must hold it for longer
+OWN_FOR_S = 60.0  # the fleet size must keep counting a lost machine for longer
 START_MARGIN_S = 0.1
-DEFAULT_REPORT_INTERVAL_S = 0.1  # until the allocator has said how long contact lasts
+DEFAULT_REPORT_INTERVAL_S = 0.1  # until the allocator has told how long contact lasts
 REPORTS_PER_CONTACT = 3.5
-ASK_SPACING_S = 0.005  # asks closer than this are put together
-ASK_WAIT_S = 0.02  # a round trip to the allocator, and its turn
-ANSWER_EXPECTED_S = 0.1  # an ask unanswered for so long is lost
-SILENT_ASK_SPACING_S = 0.2  # between asks while they are lost
+ASK_SPACING_S = 0.005  # requests for credit closer than this are combined
+ASK_WAIT_S = 0.02  # a round trip to the allocator and its processing
+ANSWER_EXPECTED_S = 0.1  # a request for credit that is unanswered for this long counts as lost
+SILENT_ASK_SPACING_S = 0.2  # between requests for credit while they are lost
 TICK_SLACK_S = 0.005
 MAX_WAIT_S = 2.0
 MIN_REFUSAL_S = 0.05
@@ -47,7 +48,7 @@
 
 @attrs.frozen(slots=True)
 class HolderFigures:
-    """One tenant at one proxy: tokens at hand, and asked and run since the start."""
+    """One tenant at one proxy: available tokens, and tokens requested and run since the start."""
 
     tokens: float
     asked_tokens: int
@@ -55,7 +56,7 @@
 
 
 class QuotaHolder:
-    """The quotas of one process. `incarnation`: drawn at random at its start."""
+    """The quotas of one process. `incarnation` is drawn at random at its start."""
 
     def __init__(self, incarnation: int, now: float, rules: QuotaRules | None = None) -> None:
         self._incarnation = incarnation
@@ -71,13 +72,13 @@
         self._number = 0
         self._reported_at = now
         self._tenants_to_ask: set[str] = set()
-        self._asks: dict[int, float] = {}  # number to when it was sent
+        self._asks: dict[int, float] = {}  # time of sending by number
         self._asked_at = now - SILENT_ASK_SPACING_S
 
     def configure(self, tenants: Mapping[str, TenantLimit], fleet_size: int) -> None:
-        """Limits in force from now on, and how many proxies there may be at most; 0 while that is unknown.
+        """Sets the limits, and the maximum number of proxies (0 while it is unknown).
 
-        The size is told by a control plane that is heard now.
+        To be called with a size only if it comes from a control plane that is in contact now.
         """
         self._set_fleet_size(fleet_size)
         limited = {name: limit for name, limit in tenants.items() if limit.rate > 0}
@@ -101,10 +102,11 @@
         self._standby = Standby(since, max(self._standby.until, self._now + OWN_FOR_S))
 
     def admit(self, tenant: str, tokens: int, now: float, *, again: bool = False) -> float:
-        """0.0: the request may run, and its tokens are taken. Otherwise seconds after which to come back.
+        """Returns 0.0 if the request may run, and takes its tokens; otherwise the number of seconds after
+        which to try again.
 
-        Up to `ASK_WAIT_S`: credit is on its way (call `flush`, wait for `Wake` or as long as told, call with
-        `again`). More: a refusal.
+        Up to `ASK_WAIT_S`: credit is being requested. The caller calls `flush`, waits for `Wake` or for that
+        time, and calls again with `again`. More than that: the request is refused.
         """
         self._now = now
         account = self._accounts.get(tenant)
@@ -126,19 +128,20 @@
         return ASK_WAIT_S
 
     def refund(self, tenant: str, tokens: int) -> None:
-        """Give back the tokens of a request that surely never ran and never will."""
+        """Returns the tokens of a request that certainly has not run and never will."""
         account = self._accounts.get(tenant)
         if account is not None:
-            account.level += tokens  # `advance` keeps it within the room
+            account.level += tokens  # `advance` limits it to the capacity
             account.run_tokens -= tokens
 
     @property
     def wants_credit(self) -> bool:
-        """Whether `flush` has something to ask for, once it may."""
+        """Whether `flush` has credit to request once it may."""
         return bool(self._tenants_to_ask) and self._head is not None
 
     def flush(self, now: float) -> list[Effect]:
-        """What `admit` wants to be asked for; empty if the last ask was a moment ago."""
+        """Requests the credit that `admit` needs; returns nothing if the last request was less than
+        `ASK_SPACING_S` ago."""
         self._now = now
         if not self._tenants_to_ask or now - self._asked_at < ASK_SPACING_S:
             return []
@@ -147,7 +150,7 @@
         return self._ask(now, tokens, {})
 
     def tick(self, now: float) -> list[Effect]:
-        """Call each 10 to 50 ms: reports that are due, asks that were put off."""
+        """Sends due reports and postponed requests for credit. To be called every 10 to 50 ms."""
         self._now = now
         effects = self.flush(now)
         if now - self._reported_at < self._report_interval_s - TICK_SLACK_S:
@@ -159,9 +162,10 @@
         return effects + self._report() + self._ask_for_advance(now)
 
     def head_changed(self, ip: str | None, epoch: int) -> None:
-        """The allocator now is at `ip`; it is reported to at once.
+        """Reports to the allocator at `ip` from now on, at once.
 
-        While it is unknown (None) the one before is asked on: it may be there still, or come back.
+        While its address is unknown (None), requests still go to the last one: it may still be there, or come
+        back.
         """
         if ip is None or epoch < self._epoch or (epoch == self._epoch and ip == self._head):
             return
@@ -172,7 +176,7 @@
         self._reported_at = min(self._reported_at, self._now - self._report_interval_s)
 
     def receive(self, now: float, ip: str, message: object) -> list[Effect]:
-        """A datagram of the allocator."""
+        """Handles a datagram from the allocator."""
         self._now = now
         if not isinstance(message, QuotaContact | QuotaCredit):
             return []
@@ -184,11 +188,11 @@
         return []
 
     def stands_by(self, now: float) -> bool:
-        """Whether this proxy is on its own, and may run at its own rate."""
+        """Whether this proxy is in standby and may use its own rate."""
         return self._fleet_size > 0 and self._standby.covers(now)
 
     def figures(self, now: float) -> dict[str, HolderFigures]:
-        """For operators, by tenant."""
+        """Returns the figures for operators by tenant."""
         found = {}
         for name, account in self._accounts.items():
             account.advance(now, self._standby)
@@ -221,7 +225,7 @@
         return self._ask(now, {}, spare) if spare else []
 
     def _collect_asks(self, now: float) -> Iterator[tuple[str, int]]:
-        """By tenant: what waits, less what is there."""
+        """Yields the tokens that waiting requests need beyond the available ones, by tenant."""
         for tenant in self._tenants_to_ask:
             account = self._accounts.get(tenant)
             if account is None:
@@ -234,7 +238,7 @@
         if self._asks.pop(credit.number, None) is None:
             return
         for number in [number for number in self._asks if number < credit.number]:
-            del self._asks[number]  # lost, or late: then it is not used
+            del self._asks[number]  # lost or late; a late answer is ignored
         until = credit.sent_at + credit.valid_for_s
         for tenant in credit.tokens.keys() | credit.dry_for_s.keys():
             account = self._accounts.get(tenant)
--- a/cloverrouter/placement/quota_account.py
+++ b/cloverrouter/placement/quota_account.py
@@ -1,4 +1,4 @@
-"""One limited tenant's bucket at one proxy."""
+"""The token bucket of one limited tenant at one proxy."""
 
 from __future__ import annotations
 
@@ -6,26 +6,27 @@
 
 from cloverrouter.placement.quota_plan import TenantPlan
 
-REFILL_BELOW_SHARE = 0.7  # of the room: more is asked for in advance when there is less
+REFILL_BELOW_SHARE = 0.7  # of the capacity: below it, more credit is requested in advance
 
 
 @attrs.frozen(slots=True)
 class Standby:
-    """When the proxy has its own rate: from the end of contact until its right to it ends."""
+    """The period in which the proxy has its own rate: from the end of contact until its right to standby
+    ends."""
 
     since: float
     until: float
 
     def covers(self, moment: float) -> bool:
-        """Whether the proxy stands by at that moment."""
+        """Returns whether the proxy is in standby at that moment."""
         return self.since <= moment < self.until
 
 
 @attrs.define(slots=True)
 class Account:
-    """Holds credit in advance; while the proxy stands by it fills at the proxy's own rate.
+    """Holds credit in advance; during standby it fills at the proxy's own rate.
 
-    What is left of credit when it runs out stays, as far as there is room for it.
+    Credit that is left when it expires stays in the bucket, up to its capacity.
     """
 
     plan: TenantPlan
@@ -34,13 +35,13 @@
     credit: float = 0.0
     credit_until: float = 0.0
     dry_until: float = 0.0
-    pending_tokens: float = 0.0  # tokens of requests that wait and have not been asked for
-    answer_due_at: float = 0.0  # an answer is expected until then
-    asked_tokens: int = 0  # of all requests
+    pending_tokens: float = 0.0  # tokens of waiting requests that have not been requested yet
+    answer_due_at: float = 0.0  # an answer to the last request for credit is expected until then
+    asked_tokens: int = 0  # of all requests, admitted or not
     run_tokens: int = 0
 
     def advance(self, now: float, standby: Standby) -> None:
-        """Fill up to `now`."""
+        """Fills the bucket up to `now`."""
         if self.credit and now >= self.credit_until:
             self._fill_until(self.credit_until, standby)
             self.level = min(self.level + self.credit, self.room(self.credit_until, standby))
@@ -56,17 +57,17 @@
         self.updated_at = max(now, self.updated_at)
 
     def room(self, now: float, standby: Standby) -> float:
-        """How much the bucket may hold."""
+        """Returns how many tokens the bucket may hold."""
         if now >= standby.until:
             return 0.0
         return self.plan.line_room + (self.plan.own_room if now >= standby.since else 0.0)
 
     def available(self) -> float:
-        """Tokens at hand."""
+        """Returns the number of tokens that can be taken now."""
         return self.level + self.credit
 
     def consume(self, tokens: float) -> bool:
-        """Credit first, as it spoils sooner."""
+        """Takes tokens if there are enough; uses credit first, as it expires sooner."""
         if tokens > self.available():
             return False
         from_credit = min(tokens, self.credit)
@@ -75,17 +76,18 @@
         return True
 
     def receive_credit(self, tokens: float, until: float) -> None:
-        """Tokens to run until then."""
+        """Adds credit that is valid until then."""
         self.credit_until = min(until, self.credit_until) if self.credit else until
         self.credit += tokens
 
     def tokens_to_fill(self, now: float, standby: Standby) -> int:
-        """Tokens to ask for in advance; 0 while there are enough."""
+        """Returns the number of tokens to request in advance; 0 while there are enough."""
         room = self.room(now, standby)
         return int(room - self.available()) if self.available() < room * REFILL_BELOW_SHARE else 0
 
     def fill_time_s(self, tokens: float) -> float:
-        """How long until a proxy that stands by has so many tokens, if it may ever hold them."""
+        """Returns the time until a proxy in standby has this many tokens; infinity if it can never hold
+        them."""
         if tokens > self.plan.line_room + self.plan.own_room or not self.plan.own_rate:
             return float("inf")
         return (tokens - self.available()) / self.plan.own_rate
--- a/cloverrouter/placement/quota_messages.py
+++ b/cloverrouter/placement/quota_messages.py
@@ -1,9 +1,8 @@
-"""What proxies and the allocator of quotas say to each other, as datagrams that may be lost, doubled or
-late.
+"""Messages between proxies and the quota allocator, sent as datagrams that may be lost, duplicated or late.
 
-Cost: a report and its answer are 23 and 28 bytes, an ask 41, a credit 49; each further tenant in an ask or
-credit adds its name and a few bytes. `sent_at` is on the proxy's steady clock and is read only by the proxy
-that sent it.
+Cost: a report and its answer are 23 and 28 bytes, a request for credit 41, a credit 49; each further tenant
+in a request or credit adds its name and a few bytes. `sent_at` is on the proxy's monotonic clock and is read
+only by the proxy that sent it.
 """
 
 from __future__ import annotations
@@ -15,17 +14,19 @@
 
 @message(350)
 class QuotaReport:
-    """Proxy to allocator, several in each `contact_for_s`: I am there, and have heard this answer."""
+    """Proxy to allocator, several times in each `contact_for_s`: a heartbeat that acknowledges the newest
+    answer received."""
 
     epoch: int
-    incarnation: int  # drawn at the start of the process
+    incarnation: int  # drawn at random at the start of the process
     number: int
-    heard: int  # number of the newest report that an answer has come to; 0: none in this epoch yet
+    heard: int  # number of the newest report for which an answer has arrived; 0: none in this epoch yet
 
 
 @message(351)
 class QuotaContact:
-    """Allocator to proxy, for each report: don't stand by until `contact_for_s` after this has arrived."""
+    """Allocator to proxy, in answer to each report: the proxy must not enter standby until `contact_for_s`
+    after the arrival of this message."""
 
     epoch: int
     incarnation: int
@@ -35,7 +36,8 @@
 
 @message(353)
 class QuotaAsk:
-    """Proxy to allocator: tokens by tenant that requests wait for, and that could be held in advance."""
+    """Proxy to allocator, a request for credit: tokens by tenant for waiting requests, and tokens that could
+    be held in advance (`spare`)."""
 
     epoch: int
     incarnation: int
@@ -49,7 +51,7 @@
 class QuotaCredit:
     """Allocator to proxy: tokens that may be run until `valid_for_s` after `sent_at`.
 
-    Where there were too few, `dry_for_s` tells how many seconds to wait before the next ask.
+    If there were too few, `dry_for_s` tells how many seconds to wait before the next request for credit.
     """
 
     epoch: int
@@ -63,7 +65,7 @@
 
 @message(355)
 class QuotaHandover:
-    """An allocator that has stopped for good to the next head: what is left of its pools, by tenant."""
+    """Allocator that has stopped for good to the next head: what is left of its pools, by tenant."""
 
     epoch: int  # of the new head
     from_epoch: int
@@ -72,6 +74,6 @@
 
 @attrs.frozen(slots=True)
 class Wake:
-    """Effect: tokens or an answer came for a tenant; requests that wait may call `admit` again."""
+    """Effect: tokens or a refusal arrived for a tenant; waiting requests may call `admit` again."""
 
     tenant: str
--- a/cloverrouter/placement/rest_news.py
+++ b/cloverrouter/placement/rest_news.py
@@ -1,7 +1,7 @@
-"""Servers that forget idle connections, as many proxies see it together.
+"""Detects servers that drop idle connections, from the reports of many proxies.
 
-Each proxy learns it by a request that it loses (`http/rest.py`), and a request on such a connection can't be
-sent again where it may run only once. So the first proxies that lose one tell all the others.
+A proxy finds out by losing a request (`http/rest.py`), and a request lost on such a connection cannot be
+retried if it may run only once. So the first proxies that lose one warn all the others by way of the head.
 """
 
 from __future__ import annotations
@@ -13,26 +13,26 @@
 REPORT_SPACING_S = 0.5
 WINDOW_S = 1.0
 REPORTERS = 3
-"""Proxies that must have lost a request so within `WINDOW_S`: a server that crashes resets connections too,
+"""Proxies that must have lost a request this way within `WINDOW_S`. A crashing server resets connections too,
 but few of them just when they are used."""
 LIMIT_SHARE = 0.5
-"""Of the shortest rest that was reported: what may still be used."""
+"""Share of the shortest reported idle time up to which connections may still be reused."""
 WARN_S = 5.0
 
 
 class RestReporter:
-    """A proxy's side: what it has to tell."""
+    """Collects the resets at one proxy and reports them to the head."""
 
     def __init__(self) -> None:
         self._rested_s = math.inf
         self._next = 0.0
 
     def forgotten(self, rested_s: float) -> None:
-        """A request was lost on a connection that had rested so long."""
+        """Records that a request was lost on a connection that had been idle for `rested_s`."""
         self._rested_s = min(self._rested_s, rested_s)
 
     def flush(self, now: float) -> RestReport | None:
-        """What to send now."""
+        """Returns the report that is due; None if there is none."""
         if self._rested_s == math.inf or now < self._next:
             return None
         rested_s, self._rested_s = self._rested_s, math.inf
@@ -41,13 +41,13 @@
 
 
 class RestDesk:
-    """The head's side."""
+    """Aggregates the reports of all proxies at the head."""
 
     def __init__(self) -> None:
         self._reports: dict[str, tuple[float, int]] = {}
 
     def receive(self, now: float, ip: str, report: RestReport) -> RestWarning | None:
-        """A proxy's report; gives the warning that all are to hear."""
+        """Handles a proxy's report and returns the warning to send to all proxies, if one is due."""
         self._reports[ip] = (now, report.rested_ms)
         recent = {key: found for key, found in self._reports.items() if now - found[0] < WINDOW_S}
         self._reports = recent
--- a/cloverrouter/placement/retries.py
+++ b/cloverrouter/placement/retries.py
@@ -1,13 +1,13 @@
-"""What one proxy of a fleet may spend on retries, and how long a retry waits.
-
-The rule: over all proxies, in each sliding window, the arrivals at a service beyond the first of each
-request are at most ratio x requests + allowance, where the requests of the window, of the one before or
-of the one half-way count, whichever are most. Proxies don't talk about it. Each has the design's token
-bucket: an answer earns half the ratio, a retry spends one whole. Its capacity is what it earned in the
-last window, and beside that a part of `FLOOR_PART` of the allowance. So what N proxies spend in a
-window is at most what they stored (FLOOR_PART x allowance + ratio/2 x answers of the window before) and
-what they earn (ratio/2 x answers of the window); a restart adds `START_PART` of a floor. The rest of
-the allowance is left for restarts, and for answers that come a window after their requests.
+"""Limits what one proxy of a fleet may spend on retries, and computes how long a retry waits.
+
+The rule: over all proxies, in each sliding window, the arrivals at a service beyond the first of each request
+are at most ratio x requests + allowance. The requests counted are those of the window, of the one before or
+of the one half-way between, whichever are most. The proxies don't communicate about it. Each has a token
+bucket: an answer earns half the ratio, a retry costs one whole token. Its capacity is what it earned in the
+last window plus its part of `FLOOR_PART` of the allowance. So what N proxies spend in a window is at most
+what they stored (FLOOR_PART x allowance + ratio/2 x answers of the window before) plus what they earn
+(ratio/2 x answers of the window); a restart adds `START_PART` of a floor. The rest of the allowance covers
+restarts, and answers that come a window after their requests.
 """
 
 from __future__ import annotations
@@ -26,17 +26,18 @@
     backoff_ms,
 )
 
-FLOOR_PART = 0.5  # of the allowance: what all proxies together may store without having earned it lately
+FLOOR_PART = 0.5  # of the allowance: what all proxies together may store beyond recent earnings
 START_PART = 0.2  # of its floor: what a proxy has at its start
 EARNED_PART = 0.5  # of the rule's ratio: what an answer earns
-SLOTS = 10  # of a window: how finely what was earned in it is known
+SLOTS = 10  # number of slots of a window: resolution at which earned tokens are tracked
 
 
 class FleetRetryBudget:
-    """One service's retries at one proxy of at most `fleet_size`. `ratio` and `window_s` are the rule's.
+    """The retry budget of one service at one proxy of at most `fleet_size`. `ratio` and `window_s` are those
+    of the rule.
 
-    A bucket that holds less than one retry is spent whole for the chance of one, so that proxies with few
-    requests retry as often as they may together.
+    A bucket that holds less than one retry is emptied for a proportional chance of one, so that proxies with
+    few requests together retry as often as they may.
     """
 
     def __init__(
@@ -52,19 +53,19 @@
         self._bucket.tokens = self._floor * START_PART
 
     def resize(self, allowance: float, fleet_size: int) -> None:
-        """The fleet has grown, or shrunk."""
+        """Adapts the floor to a changed fleet size."""
         self._floor = allowance * FLOOR_PART / max(fleet_size, 1) * self._bucket.cost
         self._set_capacity()
 
     def earn(self, now: float) -> None:
-        """A request of the service was answered."""
+        """Records that a request of the service was answered."""
         self._advance(now)
         self._slots[-1] += 1
         self._set_capacity()
         self._bucket.earn()
 
     def spend(self, now: float) -> bool:
-        """Pay for one arrival beyond a request's first. False: it may not be made."""
+        """Pays for one arrival beyond a request's first. Returns False if it may not be made."""
         self._advance(now)
         if self._bucket.spend():
             return True
@@ -73,7 +74,7 @@
         return self._random.random() < chance
 
     def available_retries(self, now: float) -> float:
-        """How many are there to spend."""
+        """Returns the number of retries that can be paid for now."""
         self._advance(now)
         return self._bucket.tokens / self._bucket.cost
 
@@ -92,7 +93,7 @@
 
 @attrs.define(slots=True)
 class RetryBudgets:
-    """The budgets of all services at one proxy, made as services are met."""
+    """The retry budgets of all services at one proxy, created on first use."""
 
     allowance: float
     ratio: float
@@ -103,15 +104,15 @@
     _by_service: dict[str, FleetRetryBudget] = attrs.field(factory=dict)
 
     def earn(self, service: str) -> None:
-        """A request was answered."""
+        """Records that a request was answered."""
         self._of(service).earn(self.clock())
 
     def spend(self, service: str) -> bool:
-        """Pay for one more arrival of a request; False if that is not covered."""
+        """Pays for one more arrival of a request. Returns False if the budget doesn't cover it."""
         return self._of(service).spend(self.clock())
 
     def resize(self, fleet_size: int) -> None:
-        """How many proxies there may be now, at most."""
+        """Sets the maximum number of proxies."""
         if fleet_size == self.fleet_size:
             return
         self.fleet_size = fleet_size
@@ -119,7 +120,7 @@
             budget.resize(self.allowance, fleet_size)
 
     def keep_only(self, services: set[str]) -> None:
-        """Services that are configured; others are forgotten."""
+        """Drops the budgets of services that are no longer configured."""
         for name in self._by_service.keys() - services:
             del self._by_service[name]
 
@@ -134,7 +135,7 @@
 
 @attrs.define(slots=True)
 class Backoff:
-    """The waits of one request's retries: decorrelated jitter inside its deadline. In milliseconds."""
+    """The backoff of one request's retries, in milliseconds: decorrelated jitter within its deadline."""
 
     deadline_ms: float
     base_ms: float = BACKOFF_BASE_MS
@@ -142,7 +143,7 @@
     previous_ms: float = attrs.field(default=attrs.Factory(lambda self: self.base_ms, takes_self=True))
 
     def next_ms(self, now_ms: float, random: Random) -> float | None:
-        """How long to wait before the next attempt; None if nothing useful is left of the time."""
+        """Returns how long to wait before the next attempt; None if too little time is left."""
         remaining = self.deadline_ms - now_ms - DEADLINE_MARGIN_MS
         if remaining <= 0:
             return None
--- a/cloverrouter/placement/server_load.py
+++ b/cloverrouter/placement/server_load.py
@@ -1,7 +1,8 @@
-"""What a server tells of its load in its answers: requests running, requests waiting, and its places.
+"""Parses the load that a server reports in its answers: requests running, requests waiting, and its slots.
 
-It is as old as the answer, and other proxies hear other answers: a reading counts in full for a second, then
-less and less. Nothing rests on it: a server that tells none, or nonsense, is placed by what is seen of it.
+A reading is as old as its answer, and other proxies get other answers: it counts in full for a second, then
+less and less. Nothing depends on it: a server that reports no load, or an invalid one, is judged by the
+proxy's own observations.
 """
 
 from __future__ import annotations
@@ -11,17 +12,17 @@
 import attrs
 
 MAX_COUNT = 1_000_000
-"""Numbers beyond all measure name nothing."""
+"""A reading with a larger number is ignored."""
 FULL_WEIGHT_S = 1.0
-"""A reading counts in full for so long,"""
+"""A reading counts in full up to this age,"""
 EXPIRY_S = 4.0
-"""and after so long not at all."""
+"""and not at all from this age on."""
 _READING = re.compile(rb"[ \t]*([0-9]{1,7})[ \t]*,[ \t]*([0-9]{1,7})[ \t]*,[ \t]*([0-9]{1,7})[ \t]*")
 
 
 @attrs.frozen(slots=True)
 class ServerLoad:
-    """One reading."""
+    """One load reading."""
 
     running: int
     waiting: int
@@ -29,14 +30,14 @@
 
     @property
     def occupancy(self) -> float:
-        """Part of its places that is taken; above 1 where requests wait."""
+        """Share of the slots in use; above 1 if requests wait."""
         return (self.running + self.waiting) / self.slots
 
 
 def parse_load(values: list[bytes]) -> ServerLoad | None:
-    """The reading in the values of an answer's ``Cypresswinch-Server-Load`` fields.
+    """Parses the values of an answer's ``Cypresswinch-Server-Load`` fields.
 
-    None where there is no field, more than one, or one that can't be a load.
+    Returns None if there is no field, more than one, or an invalid one.
     """
     if len(values) != 1:
         return None
@@ -50,5 +51,5 @@
 
 
 def reading_weight(age_s: float) -> float:
-    """How much a reading of that age still counts, 1 to 0."""
+    """Returns the weight of a reading of that age, from 1 to 0."""
     return max(0.0, min(1.0, (EXPIRY_S - age_s) / (EXPIRY_S - FULL_WEIGHT_S)))
--- a/cloverrouter/placement/trouble.py
+++ b/cloverrouter/placement/trouble.py
@@ -1,9 +1,9 @@
-"""Servers that fail, as many proxies see it together.
+"""Detects failing servers from the reports of many proxies.
 
-In a large fleet a proxy sends so few requests to a server that it would have to lose one to each bad server
-before it avoids it, and again for each trial. So proxies report failures to the head, and the head warns all
-of a server that several have reported within a short while. A warning runs out by itself, for each proxy at
-another moment: the first few requests after that are the trials of the whole fleet.
+In a large fleet a proxy sends few requests to each server. Alone, it would have to lose one request to each
+bad server before it avoids it, and another for each probe. So proxies report failures to the head, and the
+head warns all proxies of a server that several have reported within a short time. A warning expires at a
+different moment at each proxy: the first few requests after that are the probes for the whole fleet.
 """
 
 from __future__ import annotations
@@ -16,22 +16,22 @@
 
 REPORT_INTERVAL_S = 0.1
 REPEAT_INTERVAL_S = 0.5
-"""A proxy reports the same server at most this often."""
+"""Minimum time between two reports of the same server by one proxy."""
 MAX_IDS = 40
 WINDOW_S = 2.0
-"""Reports of this span count together."""
+"""Reports within this time count together."""
 WARN_S = 3.0
 WARN_GROWTH = 1.5
 MAX_WARN_S = 8.0
 QUIET_S = 4.0
-"""After so long without a warning that is in force, the next one is a first one again."""
+"""After this long without a warning in force, the next warning has the initial length again."""
 REPEAT_REPORTERS = 2
-"""Proxies whose trials have failed, for the next warning soon after one has run out."""
+"""Number of proxies whose probes must have failed for a repeated warning soon after one has expired."""
 SMALL_FLEET_SIZE, MEDIUM_FLEET_SIZE = 8, 20
 
 
 class TroubleReporter:
-    """A proxy's side: what it has to tell."""
+    """Collects the failures at one proxy and reports them to the head."""
 
     def __init__(self, zone: str) -> None:
         self._zone = zone
@@ -40,12 +40,12 @@
         self._next = 0.0
 
     def failed(self, instance_id: str) -> None:
-        """The server failed a request."""
+        """Records that the server failed a request."""
         if len(self._failed) < MAX_IDS:
             self._failed[instance_id] = None
 
     def flush(self, now: float) -> TroubleReport | None:
-        """What to send now."""
+        """Returns the report that is due; None if there is none."""
         if not self._failed or now < self._next:
             return None
         self._next = now + REPORT_INTERVAL_S
@@ -58,7 +58,7 @@
 
 @attrs.define(slots=True)
 class _ReportedServer:
-    """One reported server: when each proxy last reported it, and the warning that is in force."""
+    """One reported server: when each proxy last reported it, and the warning in force."""
 
     reports: dict[str, tuple[float, str]] = attrs.field(factory=dict)
     warned_until: float = 0.0
@@ -66,14 +66,14 @@
 
 
 class TroubleDesk:
-    """The head's side. `fleet_size` tells how many proxies there are."""
+    """Aggregates the reports of all proxies at the head. `fleet_size` returns the number of proxies."""
 
     def __init__(self, fleet_size: Callable[[], int]) -> None:
         self._fleet_size = fleet_size
         self._reported: dict[str, _ReportedServer] = {}
 
     def receive(self, now: float, ip: str, report: TroubleReport) -> list[TroubleWarning]:
-        """A proxy's report; gives the warnings that all are to hear."""
+        """Handles a proxy's report and returns the warnings to send to all proxies."""
         self._forget(now)
         warnings = []
         for instance_id in report.ids[:MAX_IDS]:
@@ -113,7 +113,8 @@
 
 
 def reporters_needed(fleet_size: int) -> int:
-    """How many proxies must have found a server failing, so that lost answers here and there don't count."""
+    """Returns how many proxies must have found a server failing, so that isolated lost answers don't
+    count."""
     if fleet_size <= SMALL_FLEET_SIZE:
         return 2
     return 3 if fleet_size <= MEDIUM_FLEET_SIZE else 4
--- a/tests/system/quota_world.py
+++ b/tests/system/quota_world.py
@@ -1,4 +1,5 @@
-"""A fleet of quota holders and their allocators on a fake clock: load, network, faults, and the outcome."""
+"""Simulates a fleet of quota holders and their allocators on a fake clock, with load, network and faults, and
+records the outcome."""
 
 from __future__ import annotations
 
@@ -19,13 +20,13 @@
 from cloverrouter.placement.quota_plan import STANDBY_PART, QuotaRules, TenantLimit, allowed_tokens
 
 TICK_S = 0.01
-MAX_HOLD_S = 0.06  # a request that waits for credit is refused after that
-HEAD_LEASE_S = 0.4  # for so long after a head was lost, no other can be elected, and it may go on
+MAX_HOLD_S = 0.06  # a request that has waited for credit for this long is refused
+HEAD_LEASE_S = 0.4  # after a head is lost: it may go on for this long, and no other can be elected
 
 
 @attrs.define
 class Proxy:
-    """One machine: a holder, and perhaps an allocator."""
+    """One machine: a holder, and an allocator while it is the head."""
 
     ip: str
     holder: QuotaHolder
@@ -37,9 +38,9 @@
     allocator: QuotaAllocator | None = None
     confirmed_until: float = 0.0
     note: bytes = b""  # on its disk
-    started: float = 0.0  # on its clock
+    started: float = 0.0  # on its own clock
     incarnation: int = 0
-    has_allocated: bool = False  # in this life
+    has_allocated: bool = False  # since its last start
     inbox: deque[tuple[str, object]] = attrs.field(factory=deque)
 
     def clock(self, now: float) -> float:
@@ -48,12 +49,12 @@
 
 @attrs.define
 class Tally:
-    """One tenant's requests."""
+    """The requests of one tenant, in tokens where not said otherwise."""
 
     asked: int = 0
     run: int = 0
-    owed: int = 0  # by a single bucket of rate and burst that sees all requests
-    owed_run: int = 0  # of these, run
+    owed: int = 0  # admitted by a single reference bucket that sees all requests
+    owed_run: int = 0  # the part of these that has run
     reference_level: float = 0.0
     reference_at: float = 0.0
     runs: list[tuple[float, int]] = attrs.field(factory=list)
@@ -65,7 +66,8 @@
 
 
 class World:
-    """`loss`: part of the datagrams that are lost. Latency is drawn for each; some come twice."""
+    """Simulates the fleet. `loss` and `doubled` are the shares of datagrams that are lost and duplicated;
+    latency is drawn for each one."""
 
     def __init__(
         self,
@@ -154,14 +156,14 @@
         self._tell_head(proxy)
 
     def lose_head(self) -> None:
-        """No majority confirms the head any more."""
+        """Takes the confirmation by a majority from the head."""
         if self.head is not None:
             self.head.confirmed_until = self.now + HEAD_LEASE_S
             self.elect_from = self.now + HEAD_LEASE_S
         self.head = None
 
     def elect(self, proxy: Proxy) -> None:
-        """A new head, as soon as the one before surely is none."""
+        """Elects a new head, as soon as the one before certainly is no head any more."""
         self.lose_head()
         if not self.awake(proxy) or self.now < proxy.cut_until:
             self.at(self.now + 0.5, lambda: self._elect_another(proxy))
@@ -187,7 +189,7 @@
         self._lead(proxy)
 
     def change_view(self) -> None:
-        """A new epoch under the same head."""
+        """Starts a new epoch under the same head."""
         if self.head is None or self.head.allocator is None:
             return
         self.epoch += 1
@@ -206,7 +208,7 @@
             self._retire(proxy)
 
     def _retire(self, proxy: Proxy) -> None:
-        """A head that learns of the next one hands over to it."""
+        """Makes a former head hand over to the new one."""
         if proxy.allocator is None or self.head is None or proxy is self.head:
             return
         last = proxy.clock(min(self.now, proxy.confirmed_until))
@@ -215,7 +217,7 @@
         self._send(proxy, [handover])
 
     def configure(self, limits: dict[str, TenantLimit], spread_s: float = 1.0) -> None:
-        """Every proxy has the new limits within `spread_s`."""
+        """Gives every proxy the new limits within `spread_s`."""
         self.limits = limits
         for tenant in limits:
             self.tallies.setdefault(tenant, Tally(reference_at=self.now))
@@ -283,7 +285,7 @@
     # disks
 
     def _note(self, proxy: Proxy) -> None:
-        """Write the note that is due: a power loss before it is there loses it."""
+        """Writes the note that is due; a power loss before the write completes loses it."""
         due = proxy.allocator.note_due(proxy.clock(self.now)) if proxy.allocator is not None else None
         if due is not None:
             incarnation, allocator = proxy.incarnation, proxy.allocator
@@ -304,7 +306,7 @@
                 self._note(proxy)
 
     def check(self) -> None:
-        """At no moment is more of a rate in use than there is."""
+        """Asserts that never more of a rate is in use than there is."""
         used = 0.0
         for proxy in self.proxies:
             if not self.alive(proxy):
@@ -319,7 +321,7 @@
     # load
 
     def request(self, tenant: str, tokens: int, proxy: Proxy) -> None:
-        """One request; clients of a proxy that is down or frozen meet another one."""
+        """Sends one request; the client of a proxy that is down or frozen tries another one."""
         if not self.awake(proxy):
             proxy = self.random.choice(self.proxies)
             if not self.awake(proxy):
@@ -358,7 +360,7 @@
         self.at(self.now + 0.008, lambda: self._ask(tenant, tokens, proxy, since, owed, True))
 
     def worst_window(self, tenant: str) -> float:
-        """The largest number of tokens run in any window, as a part of what the rule allows."""
+        """Returns the largest number of tokens run in any window, as a share of what the rule allows."""
         allowed = allowed_tokens(self.limits[tenant], self.rules)
         inside: deque[tuple[float, int]] = deque()
         total = worst = 0
@@ -373,14 +375,15 @@
 
 @attrs.define
 class Load:
-    """A tenant's clients: requests by a Poisson process whose rate and spread over proxies change."""
+    """A tenant's clients: requests by a Poisson process whose rate and distribution over the proxies
+    change."""
 
     world: World
     tenant: str
     tokens_per_s: float
     mean_tokens: int = 9_000
     weights: list[float] = attrs.field(factory=list)
-    factor: float = 1.0  # of the rate, now
+    factor: float = 1.0  # current factor on the rate
 
     def __attrs_post_init__(self) -> None:
         self._shift()
--- a/tests/system/test_fleet_health.py
+++ b/tests/system/test_fleet_health.py
@@ -1,4 +1,4 @@
-"""A fleet in which each proxy sends a server hardly anything: how many requests does a bad server cost?"""
+"""How many requests a bad server costs in a fleet in which each proxy sends it only few."""
 
 from __future__ import annotations
 
@@ -14,11 +14,11 @@
 REQUESTS_A_SECOND = 500
 STEP_S = 0.05
 DELAY_STEPS = 1
-"""Steps that a report or a warning is on its way."""
+"""Steps that a report or a warning is in transit."""
 
 
 class Fleet:
-    """Proxies, the head's desk, and one server that fails part of what it gets between two moments."""
+    """The proxies, the head's aggregator, and one server that fails a share of its requests until `until`."""
 
     def __init__(self, shares: bool, fail_part: float, until: float) -> None:
         self.random = Random(5)
--- a/tests/system/test_placement_calm.py
+++ b/tests/system/test_placement_calm.py
@@ -1,4 +1,5 @@
-"""How many servers are kept calm: a quarter, more while answers begin late there, and less again."""
+"""How many servers are reserved: a quarter, more while answers begin late there, and fewer again
+afterwards."""
 
 from __future__ import annotations
 
@@ -109,7 +110,7 @@
 def test_one_late_server_of_several_is_not_enough() -> None:
     reserved = reserved_of(states(16))
     first = next(iter(reserved.members))
-    first.delayed(USUAL_MS * 5, NOW)  # smoothed: 1.5 times the usual time, 0.4 in the mean of four
+    first.delayed(USUAL_MS * 5, NOW)  # smoothed: 1.5 mean TTFTs, 0.4 on average over the four
     assert not reserved.adapt(NOW, USUAL_MS)
 
 
@@ -136,7 +137,7 @@
         second.heard(key, NOW)
         assert reserved.adapt(NOW + 1, USUAL_MS) is (key == 1)
     assert len(reserved.members) == 3
-    assert not reserved.adapt(NOW + 2, USUAL_MS)  # 40 under way, 36 places: not 1.2 times
+    assert not reserved.adapt(NOW + 2, USUAL_MS)  # 40 in flight on 36 slots: not 1.2 times
 
 
 def test_a_small_fleet_does_not_fill_them_with_few_requests() -> None:
--- a/tests/system/test_placement_pick.py
+++ b/tests/system/test_placement_pick.py
@@ -1,4 +1,4 @@
-"""Which server is picked: agreement between proxies, affinity, its bound, and what failures do."""
+"""Server selection: agreement between proxies, affinity and its load bound, and the effect of failures."""
 
 from __future__ import annotations
 
@@ -57,7 +57,7 @@
     assert max(homes.values()) < 2 * min(homes.values())
 
 
-def test_a_subject_s_home_does_not_depend_on_the_request_s_own_part() -> None:
+def test_the_home_does_not_depend_on_the_request_s_own_part() -> None:
     made = placement()
     homes = {pick(made, parse_prompt(f"aa:8,bb:4,{own:x}:2")).server.id for own in range(1, 20)}
     assert len(homes) == 1
@@ -82,7 +82,7 @@
     assert pick(made, subject(1)) is not home
 
 
-def test_a_home_that_is_a_little_busier_keeps_a_subject_that_is_long_to_read() -> None:
+def test_a_slightly_busier_home_keeps_a_subject_with_a_long_prefill() -> None:
     made = placement()
     long = parse_prompt("aa:2520,bb:3780,cc:100")
     home = pick(made, long)
@@ -91,7 +91,7 @@
     assert pick(made, long) is home
 
 
-def test_a_home_that_is_busier_loses_a_subject_that_is_read_at_once() -> None:
+def test_a_busier_home_loses_a_subject_with_a_short_prefill() -> None:
     made = placement()
     short = parse_prompt("aa:20,bb:30,cc:10")
     home = pick(made, short)
@@ -132,7 +132,7 @@
     assert not home.avoided(NOW)
 
 
-def test_a_silent_server_is_doubted_while_a_request_waits_there() -> None:
+def test_a_server_that_sends_nothing_is_unresponsive_while_a_request_waits() -> None:
     made = placement()
     home = pick(made, subject(1))
     home.sent(1, NOW)
@@ -142,7 +142,7 @@
     assert not home.is_unresponsive(NOW + UNRESPONSIVE_S * 3)
 
 
-def test_a_server_that_sends_other_answers_is_not_doubted() -> None:
+def test_a_server_that_sends_other_answers_is_responsive() -> None:
     made = placement()
     home = pick(made, subject(1))
     home.sent(1, NOW)
@@ -187,7 +187,7 @@
     cold = made.servers.ready[0]
     made.told(server(0, warm_at=NOW + 5))
     assert all(pick(made) is not cold for _ in range(20))
-    assert all(pick(made, now=NOW + 6) is cold for _ in range(20))  # it is in the own zone
+    assert all(pick(made, now=NOW + 6) is cold for _ in range(20))  # it is in the proxy's own zone
 
 
 def test_a_new_server_begins_at_the_mean_of_the_others() -> None:
@@ -216,7 +216,7 @@
     assert made.missing_tokens(other, subject(1)) == 1400
     assert (
         made.missing_tokens(home, subject(1)) == 200 + HOME_MISSING_SHARE * 1200
-    )  # other proxies sent it there
+    )  # other proxies are assumed to have sent most of it there
     made.sent(home, subject(1))
     assert made.missing_tokens(home, subject(1)) == 0
     assert made.missing_tokens(home, parse_prompt("aa:800,1001:400,ff:77")) == 77
@@ -239,7 +239,7 @@
     assert model.usual_ms == pytest.approx(12.0)
 
 
-def test_clients_are_told_to_come_back_within_the_time_that_they_have() -> None:
+def test_the_retry_after_is_within_the_remaining_time() -> None:
     assert 0.01 <= retry_after_s(20, 600, 0.5) <= 0.2
     assert retry_after_s(20, -5, 0.5) == pytest.approx(0.01)
     assert retry_after_s(20, 5000, 0.0) < retry_after_s(400, 5000, 0.0)
@@ -250,12 +250,12 @@
 
 
 def prefill_heavy(number: int) -> Prompt:
-    """A long prompt with a short answer."""
+    """Returns a prefill-heavy prompt: long, with a short answer."""
     return parse_prompt(f"aa:2500,{number + 4096:x}:3800,{number + 90000:x}:2900", "m", 60)
 
 
 def decode_heavy(number: int) -> Prompt:
-    """A short prompt with a long answer."""
+    """Returns a decode-heavy prompt: short, with a long answer."""
     return parse_prompt(f"bb:50,{number + 8192:x}:30,{number + 90000:x}:140", "m", 4000)
 
 
@@ -273,7 +273,7 @@
     assert sum(prefill_heavy_homes[one] for one in decode_heavy_homes) < 200 * 2 / 8 / 2
 
 
-def test_one_kind_of_requests_has_all_servers() -> None:
+def test_a_single_kind_of_request_may_use_all_servers() -> None:
     made = placement(8)
     assert len(homes(made, [prefill_heavy(number) for number in range(200)])) == 8
     pick(made, decode_heavy(0))
@@ -281,15 +281,15 @@
     assert len(homes(made, [prefill_heavy(number) for number in range(200)], NOW + 60)) == 8
 
 
-def test_long_answers_to_little_that_is_shared_stay_in_the_zone() -> None:
-    """In each zone all of its servers are used, also for one and the same subject."""
+def test_long_answers_with_a_small_shared_prefix_stay_in_the_zone() -> None:
+    """All servers of the zone are used, even for a single affinity key."""
     for zone in ("east", "west", "north"):
         made = placement(9, zone=zone)
         expected = {f"i-{place}" for place in range(9) if server(place).zone == zone}
         assert set(homes(made, [decode_heavy(7)] * 200)) == expected
 
 
-def test_a_zone_with_few_servers_is_not_left_alone_with_its_long_answers() -> None:
+def test_long_answers_leave_a_zone_with_few_servers() -> None:
     made = placement(0)
     for place in range(12):
         made.told(server(place, zone="east" if place < 2 else "west"))
@@ -307,13 +307,13 @@
     }
 
 
-def test_a_long_answer_to_much_that_is_shared_keeps_its_home() -> None:
+def test_a_long_answer_with_a_large_shared_prefix_keeps_its_home() -> None:
     made = placement(9)
     chat = parse_prompt("bb:500,cc:1500,dd:140", "m", 4000)
     assert len(homes(made, [chat] * 50)) == 1
 
 
-def test_requests_that_tell_no_tokens_have_all_servers() -> None:
+def test_requests_without_token_counts_may_use_all_servers() -> None:
     made = placement(8)
     pick(made, prefill_heavy(0))
     pick(made, decode_heavy(0))
@@ -348,7 +348,7 @@
     assert pick(made, decode_heavy(1), NOW + 15) in reserved
 
 
-def test_a_server_has_room_by_its_capacity() -> None:
+def test_the_load_bound_grows_with_the_capacity() -> None:
     made = placement(8, capacity=48)
     pick(made, prefill_heavy(0))
     reserved = set(homes(made, [decode_heavy(number) for number in range(50)]))
@@ -364,7 +364,7 @@
     assert not reserved & set(homes(made, [decode_heavy(number) for number in range(50)]))
 
 
-def test_in_a_larger_fleet_a_server_s_room_is_shared_by_all_proxies() -> None:
+def test_in_a_larger_fleet_the_load_bound_is_divided_among_all_proxies() -> None:
     made = placement(8, capacity=48)
     made.fleet_changed(12)
     pick(made, prefill_heavy(0))
--- a/tests/system/test_placement_prefix.py
+++ b/tests/system/test_placement_prefix.py
@@ -1,4 +1,4 @@
-"""The model of a server's cache of prompt parts, against a plain one; and how prompts are read."""
+"""The prefix cache model, checked against a simple reference model, and the parsing of prompt headers."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class PlainCache:
-    """Parts in a list, the ones used last at its end."""
+    """Reference model: parts in a list, the most recently used at its end."""
 
     def __init__(self, capacity: int, most: int) -> None:
         self.capacity = capacity
@@ -41,7 +41,7 @@
 
 
 @given(st.lists(prompts(), max_size=30), prompts(), st.integers(0, 120), st.integers(1, 5))
-def test_the_cache_keeps_what_the_plain_one_keeps(
+def test_the_cache_agrees_with_the_reference_model(
     sent: list[Prompt], asked: Prompt, capacity: int, most: int
 ) -> None:
     cache, plain = PrefixCache(capacity, most), PlainCache(capacity, most)
@@ -53,7 +53,7 @@
         assert len(cache) == len(plain.parts)
 
 
-def test_a_prompt_is_read_from_its_header() -> None:
+def test_a_prompt_is_parsed_from_its_header() -> None:
     prompt = parse_prompt("5c1e07a2:800,91BD3F06:410, e4402b7d:250", "m")
     assert [part.tokens for part in prompt.parts] == [800, 410, 250]
     assert prompt.tokens == 1460
@@ -93,13 +93,13 @@
         "aa:\u0665",
     ],
 )
-def test_what_cannot_be_read_names_no_prompt(value: str | None) -> None:
+def test_a_malformed_header_gives_no_prompt(value: str | None) -> None:
     assert parse_prompt(value) == NO_PROMPT
     assert NO_PROMPT.subject is None
 
 
 @given(st.text(max_size=60))
-def test_reading_a_prompt_never_fails(value: str) -> None:
+def test_parsing_a_prompt_never_fails(value: str) -> None:
     parse_prompt(value)
 
 
--- a/tests/system/test_quota_cores.py
+++ b/tests/system/test_quota_cores.py
@@ -1,4 +1,4 @@
-"""Holder and allocator by single messages on a fake clock."""
+"""Quota holder and allocator, driven by single messages on a fake clock."""
 
 from __future__ import annotations
 
@@ -44,8 +44,8 @@
     return made
 
 
-def in_touch() -> QuotaHolder:
-    """A holder that was told not to stand by from now to START + 1."""
+def holder_in_contact() -> QuotaHolder:
+    """Returns a holder that must stay out of standby from now until START + 1, with its tokens used up."""
     one = holder()
     one.receive(START, HEAD, contact(sent(one.tick(START - 0.1), QuotaReport), lasts_s=1.0))
     one.admit("a", int(one.figures(START)["a"].tokens), START)
@@ -53,7 +53,7 @@
 
 
 def sent(effects: list[Effect], kind: type[T]) -> T:
-    """The one message of this kind among the effects."""
+    """Returns the only message of this type among the effects."""
     (found,) = [
         effect.message for effect in effects if isinstance(effect, Send) and isinstance(effect.message, kind)
     ]
@@ -84,7 +84,7 @@
         assert holder().admit("a", 200, 0.0) > 0
 
     def test_a_request_waits_for_credit(self) -> None:
-        one = in_touch()
+        one = holder_in_contact()
         assert one.admit("a", BIG, 1.0) == ASK_WAIT_S
         ask = sent(one.flush(1.0), QuotaAsk)
         assert BIG <= ask.tokens["a"] <= BIG + 1
@@ -93,14 +93,14 @@
         assert one.admit("a", BIG, 1.005) > 0
 
     def test_requests_that_wait_are_asked_for_together(self) -> None:
-        one = in_touch()
+        one = holder_in_contact()
         for _ in range(3):
             one.admit("a", BIG, 1.0)
         assert sent(one.flush(1.0), QuotaAsk).tokens["a"] > 2.5 * BIG
         assert one.flush(1.0) == []
 
     def test_an_ask_a_moment_after_another_is_put_off(self) -> None:
-        one = in_touch()
+        one = holder_in_contact()
         one.admit("a", BIG, 1.0)
         one.flush(1.0)
         one.admit("a", BIG, 1.001)
@@ -109,7 +109,7 @@
         assert sent(one.tick(1.02), QuotaAsk)
 
     def test_credit_that_comes_twice_counts_once(self) -> None:
-        one = in_touch()
+        one = holder_in_contact()
         one.admit("a", BIG, 1.0)
         ask = sent(one.flush(1.0), QuotaAsk)
         one.receive(1.004, HEAD, credit(ask, BIG))
@@ -118,21 +118,21 @@
         assert one.admit("a", BIG, 1.006, again=True) > 0
 
     def test_credit_runs_out(self) -> None:
-        one = in_touch()
+        one = holder_in_contact()
         one.admit("a", BIG, 1.0)
         ask = sent(one.flush(1.0), QuotaAsk)
         one.receive(1.004, HEAD, credit(ask, BIG))
         assert one.admit("a", BIG, 1.0 + CREDIT_S + 0.001, again=True) > 0
 
     def test_credit_that_comes_late_is_not_used(self) -> None:
-        one = in_touch()
+        one = holder_in_contact()
         one.admit("a", BIG, 1.0)
         ask = sent(one.flush(1.0), QuotaAsk)
         one.receive(1.2, HEAD, credit(ask, BIG))
         assert one.admit("a", BIG, 1.2, again=True) > 0
 
     def test_what_is_left_of_credit_stays_within_the_room(self) -> None:
-        one = in_touch()
+        one = holder_in_contact()
         one.admit("a", BIG, 1.0)
         ask = sent(one.flush(1.0), QuotaAsk)
         one.receive(1.004, HEAD, credit(ask, BIG))
@@ -140,7 +140,7 @@
         assert one.figures(1.13)["a"].tokens == pytest.approx(PLAN.line_room)
 
     def test_a_dry_pool_refuses_until_it_is_said_to_fill(self) -> None:
-        one = in_touch()
+        one = holder_in_contact()
         one.admit("a", BIG, 1.0)
         ask = sent(one.flush(1.0), QuotaAsk)
         one.receive(1.004, HEAD, credit(ask, 0, dry_s=0.7))
@@ -155,7 +155,7 @@
         assert one.admit("a", BIG, 1.15) > ASK_WAIT_S
 
     def test_tokens_of_a_request_that_never_ran_come_back(self) -> None:
-        one = in_touch()
+        one = holder_in_contact()
         one.admit("a", BIG, 1.0)
         ask = sent(one.flush(1.0), QuotaAsk)
         one.receive(1.004, HEAD, credit(ask, BIG))
@@ -178,7 +178,7 @@
         assert one.figures(50.1)["a"].tokens == pytest.approx(PLAN.line_room)
 
     def test_a_process_that_starts_does_not_stand_by_at_once(self) -> None:
-        """The one before it at this address may have been told not to."""
+        """The preceding process at this address may still have to stay out of standby."""
         one = holder()
         assert not one.stands_by(contact_s(FLEET))
         assert one.stands_by(contact_s(FLEET) + 0.2)
@@ -273,8 +273,8 @@
     return one.figures(now)["a"].idle_part
 
 
-def talk(one: QuotaAllocator, now: float, proxies: int = FLEET) -> None:
-    """All these report, and confirm the answer a moment later."""
+def exchange_reports(one: QuotaAllocator, now: float, proxies: int = FLEET) -> None:
+    """Makes these proxies report, and acknowledge the answer 10 ms later."""
     number = round(now * 20)
     for index in range(proxies):
         one.receive(now, f"10.0.0.{index}", report(number))
@@ -284,7 +284,7 @@
 def in_contact(now: float) -> QuotaAllocator:
     one = allocator(now - 20)
     for moment in range(100):
-        talk(one, now - 10 + moment / 10)
+        exchange_reports(one, now - 10 + moment / 10)
     return one
 
 
@@ -313,7 +313,7 @@
         one = allocator(10.0)
         one.receive(10.0, "10.0.0.1", QuotaHandover(3, 2, {"a": int(PLAN.room + PLAN.debt)}))
         assert one.figures(10.2)["a"].tokens < 0.25 * PLAN.room
-        talk(one, 10.3)
+        exchange_reports(one, 10.3)
         assert one.figures(10.32)["a"].tokens > 0.8 * PLAN.room
 
     def test_what_is_handed_over_is_lent_once(self) -> None:
@@ -331,8 +331,8 @@
             sum(lent(one, 30.0, BIG) for _ in range(100))
             for _ in range(times):
                 one.receive(30.0, "10.0.0.1", QuotaHandover(3, 2, {"a": 5_000}))
-        once.receive(30.0, "10.0.0.1", QuotaHandover(3, 1, {"a": 5_000}))  # another's
-        later = 30.0 + 2 * CREDIT_S  # the credit that fills the pool's room has run out
+        once.receive(30.0, "10.0.0.1", QuotaHandover(3, 1, {"a": 5_000}))  # another allocator's
+        later = 30.0 + 2 * CREDIT_S  # the credit that fills the pool's capacity has expired
         more = once.figures(later)["a"].tokens - thrice.figures(later)["a"].tokens
         assert more == pytest.approx(5_000)
 
@@ -370,19 +370,19 @@
     def test_all_flows_to_the_pool_while_all_proxies_talk(self) -> None:
         one = allocator(10.0)
         assert idle(one, 11.0) == 1 - STANDBY_PART
-        talk(one, 11.0)
+        exchange_reports(one, 11.0)
         assert idle(one, 11.01) == 1
 
     def test_the_part_of_a_proxy_that_fell_silent_does_not(self) -> None:
         one = allocator(10.0)
-        talk(one, 11.0)
+        exchange_reports(one, 11.0)
         for index in range(FLEET - 1):
             one.receive(11.2, f"10.0.0.{index}", report(222, heard=221))
             one.receive(11.4, f"10.0.0.{index}", report(223, heard=222))
         assert idle(one, 11.4) == pytest.approx(1 - STANDBY_PART / FLEET)
 
     def test_contact_that_is_not_confirmed_is_none(self) -> None:
-        """Reports come in, but none says that an answer has come back."""
+        """Reports arrive, but none acknowledges an answer."""
         one = allocator(10.0)
         for number in range(1, 20):
             one.receive(11 + number / 10, "10.0.0.1", report(number))
@@ -404,7 +404,7 @@
 
     def test_a_restarted_proxy_is_bound_by_what_the_process_before_was_told(self) -> None:
         one = allocator(10.0)
-        talk(one, 11.0)
+        exchange_reports(one, 11.0)
         one.receive(11.1, "10.0.0.0", report(1, incarnation=8))
         assert idle(one, 11.1) == 1
 
@@ -415,7 +415,7 @@
         assert idle(one, 11.1) == 1 - STANDBY_PART
 
     def test_a_report_that_comes_again_later_binds_its_proxy_no_longer(self) -> None:
-        """The proxy heeds the first answer only."""
+        """The proxy applies only the first answer."""
         one = allocator(10.0)
         one.receive(11.0, "10.0.0.1", report(1))
         one.receive(11.3, "10.0.0.1", report(1))
@@ -430,20 +430,20 @@
 
     def test_where_the_fleet_is_unknown_half_flows(self) -> None:
         one = allocator(10.0, fleet=0)
-        talk(one, 11.0)
+        exchange_reports(one, 11.0)
         assert idle(one, 11.01) == 1 - STANDBY_PART
 
     def test_more_proxies_than_there_should_be_add_nothing(self) -> None:
         one = allocator(10.0)
-        talk(one, 11.0, FLEET + 3)
+        exchange_reports(one, 11.0, FLEET + 3)
         assert idle(one, 11.01) == 1
 
     def test_a_proxy_silent_for_long_is_forgotten_and_may_come_back(self) -> None:
         one = allocator(10.0)
-        talk(one, 11.0)
+        exchange_reports(one, 11.0)
         one.tick(60.0)
         assert idle(one, 60.0) == 1 - STANDBY_PART
-        talk(one, 60.0)
+        exchange_reports(one, 60.0)
         assert idle(one, 60.01) == 1
 
 
--- a/tests/system/test_quota_faults.py
+++ b/tests/system/test_quota_faults.py
@@ -1,4 +1,4 @@
-"""Faults put into the quotas on purpose: the world's checks find each of them."""
+"""Mutation tests of the quotas: each seeded fault must be detected by the checks of the simulated world."""
 
 from __future__ import annotations
 
@@ -124,7 +124,8 @@
 
 
 def run_world_with_restarts(seed: int) -> None:
-    """Everything loses power again and again, under a load that varies, and heads change in between."""
+    """Plays repeated power losses of all machines under a varying load, with changes of the head in
+    between."""
     world = World(seed, 5, {"a": TenantLimit(60_000, 60_000)}, drift=0.003, notes=True)
     world.run(4)
     load = Load(world, "a", 600_000)
@@ -181,7 +182,7 @@
 
 
 def test_pools_that_begin_with_all_that_was_noted_are_found(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The other faults of the notes are the explorer's, in the scope `credit`."""
+    """The explorer covers the other faults of the notes, in the scope `credit`."""
     pools_begin_with_all_that_was_noted(monkeypatch)
     for seed in range(200):
         try:
--- a/tests/system/test_quota_lives.py
+++ b/tests/system/test_quota_lives.py
@@ -1,4 +1,5 @@
-"""What quotas' messages name: the head's epoch and the proxy's life. Those of others count for nothing."""
+"""Quota messages name the head's epoch and the proxy's incarnation; messages of another epoch or incarnation
+are ignored."""
 
 from __future__ import annotations
 
@@ -30,7 +31,7 @@
 
 
 def holder() -> QuotaHolder:
-    """One that has asked the allocator for credit, and not been answered."""
+    """Returns a holder that has requested credit from the allocator and got no answer."""
     found = QuotaHolder(INCARNATION, 10.0)
     found.head_changed(HEAD, EPOCH)
     found.configure(LIMITS, 5)
--- a/tests/system/test_retries.py
+++ b/tests/system/test_retries.py
@@ -1,4 +1,5 @@
-"""Retries over a blind fleet keep the rule's window; waits keep the deadline."""
+"""A fleet of proxies without communication keeps the retry rule in every window, and backoff keeps the
+deadline."""
 
 from __future__ import annotations
 
@@ -14,7 +15,7 @@
 
 
 class Fleet:
-    """Proxies that each want to retry whatever fails, and are restarted in herds."""
+    """Proxies that each try to retry whatever fails, and many of which restart at once."""
 
     def __init__(self, seed: int, size: int, requests_per_s: float) -> None:
         self.random = Random(seed)
@@ -31,7 +32,7 @@
         return FleetRetryBudget(ALLOWANCE, RATIO, WINDOW_S, self.size, self.now, self.random)
 
     def run(self, seconds: float, failing: float, storm: float = 0.0) -> None:
-        """`failing`: the part of arrivals that fail. `storm`: further wishes for a retry a second."""
+        """`failing`: share of arrivals that fail. `storm`: additional retry attempts a second."""
         end = self.now + seconds
         while True:
             self.now += self.random.expovariate(self.requests_per_s + storm)
@@ -66,7 +67,7 @@
                 self.budgets[index] = self.fresh()
 
     def worst_excess(self) -> float:
-        """How far the worst window is over what the rule allows; negative if it is kept."""
+        """Returns by how much the worst window exceeds what the rule allows; negative if none does."""
         excess = -ALLOWANCE
         for index, end in enumerate(self.retries):
             start = end - WINDOW_S
@@ -95,7 +96,7 @@
         max_size=8,
     ),
 )
-def test_a_blind_fleet_keeps_the_rule_through_failures_and_restarts(
+def test_a_fleet_without_communication_keeps_the_rule_through_failures_and_restarts(
     seed: int, size: int, requests_per_s: float, phases: list[tuple[float, float, float, float]]
 ) -> None:
     fleet = Fleet(seed, size, requests_per_s)
@@ -111,7 +112,7 @@
     ("size", "requests_per_s", "least"), [(11, 60, 0.98), (83, 60, 0.75), (83, 1_000, 0.98), (350, 60, 0.4)]
 )
 def test_a_usual_share_of_failures_is_retried(size: int, requests_per_s: float, least: float) -> None:
-    """Where a proxy has under a request a second, it can store too little."""
+    """With less than one request a second, a proxy cannot store enough for all its retries."""
     fleet = Fleet(5, size, requests_per_s)
     fleet.run(15, 0.02)
     fleet.wanted = 0
@@ -138,7 +139,7 @@
     budgets = RetryBudgets(ALLOWANCE, RATIO, WINDOW_S, 1, lambda: 1.0, Random(1))
     for _ in range(200):
         budgets.earn("one")
-    assert sum(budgets.spend("one") for _ in range(100)) in (26, 27)  # 6.2 at the start, and 20 earned
+    assert sum(budgets.spend("one") for _ in range(100)) in (26, 27)  # 6.2 at the start, 20 earned
     assert sum(budgets.spend("other") for _ in range(100)) in (6, 7)
 
 
--- a/tests/system/test_server_health.py
+++ b/tests/system/test_server_health.py
@@ -1,5 +1,5 @@
-"""Servers that fail while all that is told of them is good: what a proxy makes of its own outcomes, and of
-those of others."""
+"""How a proxy handles servers that look good in the server list but fail: its own outcomes, and those of
+other proxies."""
 
 from __future__ import annotations
 
@@ -28,12 +28,12 @@
     return {one.server.id for one in found if one is not None}
 
 
-def usual(state: Standing, now: float, good: int) -> None:
+def record_successes(state: Standing, now: float, good: int) -> None:
     for _ in range(good):
         state.succeeded(now)
 
 
-def test_a_server_that_fails_is_left_alone_and_tried_again_later() -> None:
+def test_a_failing_server_is_avoided_and_tried_again_later() -> None:
     made = placement(4)
     grey = made.servers.states["i-0"]
     grey.erred(NOW)
@@ -41,7 +41,7 @@
     assert "i-0" in picked(made, NOW + 20)
 
 
-def test_requests_that_cannot_be_sent_again_come_back_last() -> None:
+def test_non_retryable_requests_return_to_a_failed_server_last() -> None:
     made = placement(4)
     grey = made.servers.states["i-0"]
     grey.erred(NOW)
@@ -49,7 +49,7 @@
     assert "i-0" not in picked(made, NOW + back, careful=True)
 
 
-def test_after_a_lost_request_the_ones_that_cannot_be_sent_again_wait_longer() -> None:
+def test_after_a_lost_connection_non_retryable_requests_avoid_the_server_for_longer() -> None:
     broken = placement(4).servers.states["i-0"]
     broken.lost(NOW)
     later = broken.paused_until + 0.1
@@ -66,7 +66,7 @@
     assert "i-0" in picked(made, NOW + 6)
 
 
-def test_an_outcome_told_without_its_time_does_no_harm() -> None:
+def test_an_outcome_without_a_time_does_no_harm() -> None:
     grey = placement(4).servers.states["i-0"]
     grey.erred(NOW)
     grey.succeeded()
@@ -77,7 +77,7 @@
 def test_one_failure_among_many_good_answers_is_no_reason() -> None:
     made = placement(4)
     good = made.servers.states["i-0"]
-    usual(good, NOW, 20)
+    record_successes(good, NOW, 20)
     good.erred(NOW)
     assert not good.is_suspect(NOW)
 
@@ -85,7 +85,7 @@
 def test_a_server_that_turned_bad_after_many_good_answers_is_noticed_soon() -> None:
     made = placement(4)
     grey = made.servers.states["i-0"]
-    usual(grey, NOW, 200)
+    record_successes(grey, NOW, 200)
     grey.erred(NOW)
     grey.erred(NOW)
     assert grey.is_suspect(NOW)
@@ -100,7 +100,7 @@
     assert made.pick(SUBJECT, (), NOW + 20) is home
 
 
-def test_if_most_are_suspected_only_those_that_failed_last_are_left_alone() -> None:
+def test_if_most_servers_are_suspect_only_those_that_failed_last_are_avoided() -> None:
     made = placement(6)
     for place in range(5):
         made.servers.states[f"i-{place}"].erred(NOW + place / 100)
@@ -115,7 +115,7 @@
     assert picked(made, NOW) == {"i-0", "i-1"}
 
 
-def test_a_server_that_goes_up_and_down_is_left_alone_for_longer_each_time() -> None:
+def test_a_flapping_server_is_paused_for_longer_each_time() -> None:
     flapping = placement(4).servers.states["i-0"]
     pauses = []
     now = NOW
@@ -191,7 +191,7 @@
     return TroubleDesk(lambda: fleet_size)
 
 
-def told(one: TroubleDesk, now: float, proxies: range, zone: str = "") -> list[TroubleWarning]:
+def receive_reports(one: TroubleDesk, now: float, proxies: range, zone: str = "") -> list[TroubleWarning]:
     warnings = []
     for place in proxies:
         report = TroubleReport(zone or ("east", "west")[place % 2], ("i-0",))
@@ -200,41 +200,41 @@
 
 
 def test_all_are_warned_of_what_several_proxies_found() -> None:
-    assert told(desk(), NOW, range(3)) == []
-    assert told(desk(), NOW, range(4)) == [TroubleWarning("", ("i-0",), int(WARN_S * 1000))]
-    assert len(told(desk(6), NOW, range(2))) == 1
+    assert receive_reports(desk(), NOW, range(3)) == []
+    assert receive_reports(desk(), NOW, range(4)) == [TroubleWarning("", ("i-0",), int(WARN_S * 1000))]
+    assert len(receive_reports(desk(6), NOW, range(2))) == 1
 
 
 def test_one_proxy_s_own_trouble_warns_nobody() -> None:
     one = desk()
     for later in range(20):
-        assert told(one, NOW + later / 10, range(1)) == []
+        assert receive_reports(one, NOW + later / 10, range(1)) == []
 
 
 def test_lost_answers_here_and_there_warn_nobody() -> None:
     one = desk()
     for place in range(20):
-        assert told(one, NOW + place * WINDOW_S / 2, range(place, place + 1)) == []
+        assert receive_reports(one, NOW + place * WINDOW_S / 2, range(place, place + 1)) == []
 
 
 def test_what_only_one_zone_finds_concerns_that_zone() -> None:
-    assert [each.zone for each in told(desk(), NOW, range(5), "west")] == ["west"]
+    assert [each.zone for each in receive_reports(desk(), NOW, range(5), "west")] == ["west"]
 
 
 def test_warnings_grow_while_the_trials_fail() -> None:
     one = desk()
-    first = told(one, NOW, range(10))
-    again = told(one, NOW + WARN_S + 0.5, range(10))
-    much_later = told(one, NOW + 60, range(10))
+    first = receive_reports(one, NOW, range(10))
+    again = receive_reports(one, NOW + WARN_S + 0.5, range(10))
+    much_later = receive_reports(one, NOW + 60, range(10))
     assert len(first) == len(again) == 1
     assert again[0].for_ms > first[0].for_ms == much_later[0].for_ms
 
 
 def test_two_failed_trials_are_enough_for_the_next_warning() -> None:
     one = desk()
-    told(one, NOW, range(4))
-    assert told(one, NOW + WARN_S + 0.2, range(1)) == []
-    assert len(told(one, NOW + WARN_S + 0.3, range(1, 2))) == 1
+    receive_reports(one, NOW, range(4))
+    assert receive_reports(one, NOW + WARN_S + 0.2, range(1)) == []
+    assert len(receive_reports(one, NOW + WARN_S + 0.3, range(1, 2))) == 1
 
 
 def test_reports_and_warnings_are_messages() -> None:
--- a/tests/system/test_server_load.py
+++ b/tests/system/test_server_load.py
@@ -1,4 +1,4 @@
-"""What servers tell of their load: read with care, shared among proxies, and what it changes in placement."""
+"""The load that servers report: its parsing, its exchange among proxies, and its effect on placement."""
 
 from __future__ import annotations
 
@@ -41,7 +41,7 @@
     return Counter(one.server.id for one in found if one is not None)
 
 
-def test_a_load_is_read() -> None:
+def test_a_load_is_parsed() -> None:
     assert parse_load([b"7,2,12"]) == ServerLoad(7, 2, 12)
     assert parse_load([b" 7 , 2 , 12 "]) == ServerLoad(7, 2, 12)
 
@@ -64,11 +64,11 @@
         [b"\xb2,0,12"],
     ],
 )
-def test_what_can_t_be_a_load_tells_nothing(values: list[bytes]) -> None:
+def test_an_invalid_load_is_ignored(values: list[bytes]) -> None:
     assert parse_load(values) is None
 
 
-def test_a_reading_fades() -> None:
+def test_the_weight_of_a_reading_decays() -> None:
     state = placement().servers.ready[0]
     state.load_told(FULL, NOW)
     assert state.occupancy(NOW) == state.occupancy(NOW + FULL_WEIGHT_S) == 1.25
@@ -85,7 +85,7 @@
     assert state.load == EMPTY
 
 
-def test_long_answers_go_to_servers_with_places() -> None:
+def test_long_answers_go_to_servers_with_free_slots() -> None:
     made = placement()
     for state in made.servers.ready[:4]:
         state.load_told(FULL, NOW)
@@ -93,7 +93,7 @@
     assert len(picks(made, now=NOW + EXPIRY_S)) == 6
 
 
-def test_of_two_servers_the_less_taken_gets_a_long_answer() -> None:
+def test_of_two_servers_the_less_occupied_gets_a_long_answer() -> None:
     made = placement()
     for place, state in enumerate(made.servers.ready):
         state.load_told(ServerLoad(place, 0, 12), NOW)
@@ -101,7 +101,7 @@
     assert found["i-0"] > found["i-2"] > found["i-4"]
 
 
-def test_servers_that_tell_nothing_are_placed_as_without_loads() -> None:
+def test_servers_without_reported_loads_are_placed_by_observation_alone() -> None:
     assert picks(placement()) == picks(placement(PlacementOptions(reported_loads=False)))
 
 
@@ -125,7 +125,7 @@
     assert made.pick(prompt, (), NOW + FULL_WEIGHT_S) is home
 
 
-def test_where_all_are_full_parts_stay_at_home() -> None:
+def test_if_all_servers_are_full_the_home_is_kept() -> None:
     made = placement()
     prompt = parse_prompt("aa:2500,bb:3800,cc:2900", "m", 60)
     for state in made.servers.ready:
@@ -133,20 +133,20 @@
     assert made.pick(prompt, (), NOW) is made.order(prompt)[0]
 
 
-def test_proxies_share_what_they_heard() -> None:
+def test_proxies_share_load_readings() -> None:
     one, other = placement(), placement()
     one.servers.states["i-1"].load_told(FULL, NOW - 0.4)
-    told = placement_news.news({"model": one}, NOW)
-    assert told is not None
-    [sent] = Decoder().feed(encode(told))
-    assert sent == told
-    placement_news.take(told, {"model": other}, NOW)
+    update = placement_news.news({"model": one}, NOW)
+    assert update is not None
+    [sent] = Decoder().feed(encode(update))
+    assert sent == update
+    placement_news.take(update, {"model": other}, NOW)
     state = other.servers.states["i-1"]
     assert state.load == FULL
     assert state.load_at == pytest.approx(NOW - 0.4, abs=0.002)
 
 
-def test_nothing_is_told_that_is_not_new() -> None:
+def test_old_readings_are_not_sent() -> None:
     made = placement()
     assert placement_news.news({"model": made}, NOW) is None
     made.servers.ready[0].load_told(FULL, NOW - MAX_READING_AGE_S)
@@ -157,9 +157,9 @@
     made = placement(count=100)
     for place, state in enumerate(made.servers.ready):
         state.load_told(FULL, NOW - place / 100)
-    told = placement_news.news({"model": made}, NOW)
-    assert told is not None
-    assert [reading.id for reading in told.loads] == [f"i-{place}" for place in range(MAX_READINGS)]
+    update = placement_news.news({"model": made}, NOW)
+    assert update is not None
+    assert [reading.id for reading in update.loads] == [f"i-{place}" for place in range(MAX_READINGS)]
 
 
 @pytest.mark.parametrize(
@@ -172,36 +172,36 @@
         LoadReading("unknown", 1, 0, 12, 10),
     ],
 )
-def test_readings_that_make_no_sense_are_not_taken(reading: LoadReading) -> None:
+def test_invalid_readings_are_ignored(reading: LoadReading) -> None:
     made = placement()
     placement_news.take(PlacementNews((reading,), ()), {"model": made}, NOW)
     assert all(state.load is None for state in made.servers.ready)
 
 
-def test_a_proxy_that_met_one_kind_of_requests_hears_of_the_other() -> None:
+def test_a_proxy_learns_of_the_other_kind_of_request_from_its_peers() -> None:
     one, other = placement(), placement()
     reading = parse_prompt("aa:2500,bb:3800,cc:2900", "m", 60)
     one.pick(parse_prompt(decode_heavy(), "m", 4000), (), NOW - 3)
     one.pick(reading, (), NOW - 1)
     other.pick(reading, (), NOW)
     assert not other.reserved.is_needed
-    told = placement_news.news({"model": one}, NOW)
-    assert told == PlacementNews((), (KindsSeen("model", 3000, 1000),))
-    placement_news.take(told, {"model": other}, NOW)
+    update = placement_news.news({"model": one}, NOW)
+    assert update == PlacementNews((), (KindsSeen("model", 3000, 1000),))
+    placement_news.take(update, {"model": other}, NOW)
     assert other.reserved.is_needed
     assert placement_news.news({"model": other}, NOW) == PlacementNews((), (KindsSeen("model", 3000, 0),))
     assert placement_news.news({"model": other}, NOW + 30) is None
 
 
-def test_kinds_of_a_service_that_is_not_known_or_of_the_future_are_not_taken() -> None:
+def test_request_kinds_of_an_unknown_service_or_from_the_future_are_ignored() -> None:
     made = placement()
-    told = PlacementNews((), (KindsSeen("other", 0, 0), KindsSeen("model", -5000, 0)))
-    placement_news.take(told, {"model": made}, NOW)
+    update = PlacementNews((), (KindsSeen("other", 0, 0), KindsSeen("model", -5000, 0)))
+    placement_news.take(update, {"model": made}, NOW)
     assert not made.reserved.is_needed_at(NOW)
 
 
 @pytest.mark.parametrize("value", [b"3,0,12", b"-3,nonsense"])
-def test_the_answer_goes_back_with_the_field_as_it_came(value: bytes) -> None:
+def test_the_load_field_is_forwarded_unchanged(value: bytes) -> None:
     world = World().set_up()
     exchange = world.ask("/once/x")
     server_id = world.last.field(b"cypresswinch-expected-instance")
