--- a/cloverrouter/placement/quota.py
+++ b/cloverrouter/placement/quota.py
@@ -9,7 +9,7 @@
 (once the contact of the preceding process must have expired).
 
 The right to standby ends `OWN_FOR_S` after the last contact, on this process's own clock. The fleet size
-known to the allocator and to other proxies still counts this machine for at least that long.
+known to the allocator and to other proxies counts this machine for longer than that.
 
 Memory: about 370 bytes a limited tenant.
 """
@@ -128,7 +128,7 @@
         return ASK_WAIT_S
 
     def refund(self, tenant: str, tokens: int) -> None:
-        """Returns the tokens of a request that certainly has not run and never will."""
+        """Gives back the tokens of a request that certainly has not run and never will."""
         account = self._accounts.get(tenant)
         if account is not None:
             account.level += tokens  # `advance` limits it to the capacity
@@ -136,7 +136,7 @@
 
     @property
     def wants_credit(self) -> bool:
-        """Whether `flush` has credit to request once it may."""
+        """Whether `flush` will request credit, perhaps only after `ASK_SPACING_S`."""
         return bool(self._tenants_to_ask) and self._head is not None
 
     def flush(self, now: float) -> list[Effect]:
--- a/tests/system/quota_world.py
+++ b/tests/system/quota_world.py
@@ -156,7 +156,7 @@
         self._tell_head(proxy)
 
     def lose_head(self) -> None:
-        """Takes the confirmation by a majority from the head."""
+        """Ends the confirmation of the head by a majority."""
         if self.head is not None:
             self.head.confirmed_until = self.now + HEAD_LEASE_S
             self.elect_from = self.now + HEAD_LEASE_S
