--- a/cloverrouter/placement/health.py
+++ b/cloverrouter/placement/health.py
@@ -13,7 +13,7 @@
 """Cap on the number of outcomes that count, so that a change of the server is noticed soon."""
 SUSPECT_RATE = 0.2
 """A server with a higher expected failure rate than this is suspect and gets only probe requests."""
-NON_RETRYABLE_SUSPECT_RATE = 0.08
+NO_RETRY_SUSPECT_RATE = 0.08
 """The same for requests that must not be retried: the retryable ones serve as probes."""
 SUCCESS_DISCOUNT = 0.75
 """Share of the recorded failures that one success removes."""
--- a/cloverrouter/placement/servers.py
+++ b/cloverrouter/placement/servers.py
@@ -12,7 +12,7 @@
 
 import attrs
 
-from cloverrouter.placement.health import NON_RETRYABLE_SUSPECT_RATE, SUSPECT_RATE, FailureRate
+from cloverrouter.placement.health import NO_RETRY_SUSPECT_RATE, SUSPECT_RATE, FailureRate
 from cloverrouter.placement.options import IN_USE, PlacementOptions
 from cloverrouter.placement.prefix import mix
 from cloverrouter.placement.server_load import FULL_WEIGHT_S, ServerLoad, reading_weight
@@ -229,7 +229,7 @@
         """Returns whether it is likely to fail a request; `careful` for one that must not be retried."""
         if now < self.warned_until:
             return True
-        return self.failure_rate.rate(now) > (NON_RETRYABLE_SUSPECT_RATE if careful else SUSPECT_RATE)
+        return self.failure_rate.rate(now) > (NO_RETRY_SUSPECT_RATE if careful else SUSPECT_RATE)
 
     def expected_payoff(self, now: float) -> float:
         """Returns the payoff, reduced during warm-up. Penalties decay, since a server that looks worse than
