--- a/cloverrouter/placement/calm.py
+++ b/cloverrouter/placement/calm.py
@@ -117,7 +117,9 @@
         if not self.members:
             return False
         delay = (
-            sum([one.expected_delay_ms(now, usual_ms) for one in self.members]) / len(self.members) / usual_ms
+            sum([one.expected_delay_ms(now, usual_ms) for one in self.members])
+            / len(self.members)
+            / usual_ms
         )
         occupancy = self._occupancy()
         full = occupancy > GROW_OCCUPANCY and self._in_flight() >= MIN_IN_FLIGHT
--- a/cloverrouter/placement/draws.py
+++ b/cloverrouter/placement/draws.py
@@ -83,5 +83,7 @@
     def _value(self, state: Standing, now: float, occupancy_weight: float = 0.0) -> float:
         usual_ms = self._first_token.usual_ms
         delay_ms = max(0.0, self._load_bound.delay_ms(state, now) - usual_ms)
-        load = 1.0 + state.in_flight + delay_ms / usual_ms + occupancy_weight * self._occupancy(state, now)
+        load = (
+            1.0 + state.in_flight + delay_ms / usual_ms + occupancy_weight * self._occupancy(state, now)
+        )
         return round(state.expected_payoff(now) / load, 2)
--- a/tests/system/test_fleet_health.py
+++ b/tests/system/test_fleet_health.py
@@ -39,7 +39,9 @@
     def _proxy(self, number: int) -> ServicePlacement:
         made = ServicePlacement(Random(number).random, self.zone(number))
         for place in range(SERVERS):
-            made.told(Server(f"i-{place}", "app", ("10.0.0.1", place + 1), self.zone(place), 6, ready=True))
+            made.told(
+                Server(f"i-{place}", "app", ("10.0.0.1", place + 1), self.zone(place), 6, ready=True)
+            )
         return made
 
     def run(self, seconds: float) -> None:
--- a/tests/system/test_placement_calm.py
+++ b/tests/system/test_placement_calm.py
@@ -17,7 +17,9 @@
 
 def states(count: int) -> list[Standing]:
     return [
-        Standing(Server(f"i-{place}", "model", ("10.0.0.1", place + 1), "east", 12, ready=True), payoff=1.0)
+        Standing(
+            Server(f"i-{place}", "model", ("10.0.0.1", place + 1), "east", 12, ready=True), payoff=1.0
+        )
         for place in range(count)
     ]
 
--- a/tests/system/test_placement_pick.py
+++ b/tests/system/test_placement_pick.py
@@ -243,7 +243,11 @@
     assert 0.01 <= retry_after_s(20, 600, 0.5) <= 0.2
     assert retry_after_s(20, -5, 0.5) == pytest.approx(0.01)
     assert retry_after_s(20, 5000, 0.0) < retry_after_s(400, 5000, 0.0)
-    assert retry_after_s(20, 5000, 0.0) < absent_retry_after_s(5000, 0.0) < absent_retry_after_s(5000, 1.0)
+    assert (
+        retry_after_s(20, 5000, 0.0)
+        < absent_retry_after_s(5000, 0.0)
+        < absent_retry_after_s(5000, 1.0)
+    )
     assert absent_retry_after_s(600, 1.0) < 0.2
     assert not has_time(0)
     assert has_time(100)
--- a/tests/system/test_server_health.py
+++ b/tests/system/test_server_health.py
@@ -191,7 +191,9 @@
     return TroubleDesk(lambda: fleet_size)
 
 
-def receive_reports(one: TroubleDesk, now: float, proxies: range, zone: str = "") -> list[TroubleWarning]:
+def receive_reports(
+    one: TroubleDesk, now: float, proxies: range, zone: str = ""
+) -> list[TroubleWarning]:
     warnings = []
     for place in proxies:
         report = TroubleReport(zone or ("east", "west")[place % 2], ("i-0",))
--- a/tests/system/test_server_load.py
+++ b/tests/system/test_server_load.py
@@ -189,7 +189,9 @@
     assert update == PlacementNews((), (KindsSeen("model", 3000, 1000),))
     placement_news.take(update, {"model": other}, NOW)
     assert other.reserved.is_needed
-    assert placement_news.news({"model": other}, NOW) == PlacementNews((), (KindsSeen("model", 3000, 0),))
+    assert placement_news.news({"model": other}, NOW) == PlacementNews(
+        (), (KindsSeen("model", 3000, 0),)
+    )
     assert placement_news.news({"model": other}, NOW + 30) is None
 
 
