--- a/cloverrouter/placement/health.py
+++ b/cloverrouter/placement/health.py
@@ -53,9 +53,9 @@
         self._failures *= remaining
         self._updated_at = now
 
-    def _add(self, record_failure: float) -> None:
+    def _add(self, failure: float) -> None:
         self._requests += 1.0
-        self._failures += record_failure
+        self._failures += failure
         if self._requests > MAX_REQUESTS:
             self._failures *= MAX_REQUESTS / self._requests
             self._requests = MAX_REQUESTS
--- a/cloverrouter/placement/leaving.py
+++ b/cloverrouter/placement/leaving.py
@@ -17,7 +17,7 @@
 """Length of the early phase. Load balancers check readiness every second and act on the second failed check,
 so by its end they have stopped sending clients here."""
 EARLY_PHASE_SHARE = 1 / 3
-"""Share of the remaining time that the early phase may take if that is less. A request that starts in this
+"""Share of the time until the end that the early phase takes if that is less. A request that starts in this
 phase on a wrong estimate has the other two thirds to finish; afterwards only deadlines count."""
 ESTIMATE_FACTOR = 2.0
 """An answer may take this many times as long as the longest one seen."""
@@ -50,13 +50,13 @@
     """Whether its client can resume at another proxy after a cut."""
 
 
-def may_begin(leave: Leave, now: float, request: Expectation) -> bool:
+def may_begin(shutdown: Leave, now: float, request: Expectation) -> bool:
     """Returns whether a request may still be started."""
-    last_end = leave.ends_at - MARGIN_S
+    last_end = shutdown.ends_at - MARGIN_S
     if request.deadline <= last_end:
         return True
-    if now > leave.requested_at + min(
-        EARLY_PHASE_S, (leave.ends_at - leave.requested_at) * EARLY_PHASE_SHARE
+    if now > shutdown.requested_at + min(
+        EARLY_PHASE_S, (shutdown.ends_at - shutdown.requested_at) * EARLY_PHASE_SHARE
     ):
         return False
     if request.can_resume:
--- a/cloverrouter/placement/placement_messages.py
+++ b/cloverrouter/placement/placement_messages.py
@@ -27,8 +27,8 @@
     prefill-heavy request of a service."""
 
     service: str
-    decode_heavy_ms: int
-    prefill_heavy_ms: int
+    decode_heavy_age_ms: int
+    prefill_heavy_age_ms: int
 
 
 @message(400)
--- a/cloverrouter/placement/placement_news.py
+++ b/cloverrouter/placement/placement_news.py
@@ -30,9 +30,9 @@
     """Applies another proxy's message to known services and servers, where it is newer."""
     for kinds in told.kinds:
         placement = placements.get(kinds.service)
-        if placement is not None and min(kinds.decode_heavy_ms, kinds.prefill_heavy_ms) >= 0:
+        if placement is not None and min(kinds.decode_heavy_age_ms, kinds.prefill_heavy_age_ms) >= 0:
             placement.reserved.merge_last_seen(
-                now - kinds.decode_heavy_ms / 1000, now - kinds.prefill_heavy_ms / 1000
+                now - kinds.decode_heavy_age_ms / 1000, now - kinds.prefill_heavy_age_ms / 1000
             )
     states = {key: one for each in placements.values() for key, one in each.servers.states.items()}
     for reading in told.loads:
--- a/cloverrouter/placement/rest_news.py
+++ b/cloverrouter/placement/rest_news.py
@@ -24,20 +24,20 @@
     """Collects the resets at one proxy and reports them to the head."""
 
     def __init__(self) -> None:
-        self._rested_s = math.inf
+        self._idle_s = math.inf
         self._next = 0.0
 
-    def forgotten(self, rested_s: float) -> None:
-        """Records that a request was lost on a connection that had been idle for `rested_s`."""
-        self._rested_s = min(self._rested_s, rested_s)
+    def forgotten(self, idle_s: float) -> None:
+        """Records that a request was lost on a connection that had been idle for `idle_s`."""
+        self._idle_s = min(self._idle_s, idle_s)
 
     def flush(self, now: float) -> RestReport | None:
         """Returns the report that is due; None if there is none."""
-        if self._rested_s == math.inf or now < self._next:
+        if self._idle_s == math.inf or now < self._next:
             return None
-        rested_s, self._rested_s = self._rested_s, math.inf
+        idle_s, self._idle_s = self._idle_s, math.inf
         self._next = now + REPORT_SPACING_S
-        return RestReport(math.ceil(rested_s * 1000))
+        return RestReport(math.ceil(idle_s * 1000))
 
 
 class RestDesk:
@@ -48,11 +48,11 @@
 
     def receive(self, now: float, ip: str, report: RestReport) -> RestWarning | None:
         """Handles a proxy's report and returns the warning to send to all proxies, if one is due."""
-        self._reports[ip] = (now, report.rested_ms)
+        self._reports[ip] = (now, report.idle_ms)
         recent = {key: found for key, found in self._reports.items() if now - found[0] < WINDOW_S}
         self._reports = recent
         if len(recent) < REPORTERS:
             return None
         self._reports = {}
-        shortest = min(rested_ms for _, rested_ms in recent.values())
+        shortest = min(idle_ms for _, idle_ms in recent.values())
         return RestWarning(int(shortest * LIMIT_SHARE), int(WARN_S * 1000))
--- a/cloverrouter/placement/servers.py
+++ b/cloverrouter/placement/servers.py
@@ -37,9 +37,9 @@
 """A server is avoided once a request has waited this long for its answer to begin, whatever else the server
 sends."""
 MAX_SUSPECTS_DIVISOR = 3
-"""One server in this many is avoided if more than half are suspect."""
+"""If more than half of the servers are suspect, only one server in this many is avoided."""
 FEW_DIVISOR = 3
-"""One server in this many counts as few."""
+"""Overdue requests at no more than one server in this many are blamed on the servers, not on load."""
 WARMUP_FACTOR = 0.5
 """Factor on the payoff of a server that is still warming up."""
 
--- a/cloverrouter/placement/trouble_messages.py
+++ b/cloverrouter/placement/trouble_messages.py
@@ -28,10 +28,10 @@
 
 @message(392)
 class RestReport:
-    """Proxy to head: a connection that had been idle for `rested_ms` was reset as soon as it was used
+    """Proxy to head: a connection that had been idle for `idle_ms` was reset as soon as it was used
     again."""
 
-    rested_ms: int
+    idle_ms: int
 
 
 @message(393)
