--- a/benchmarks/quotas.py
+++ b/benchmarks/quotas.py
@@ -84,10 +84,10 @@
     made.run(BEFORE_S)
     tally = made.tallies["a"]
     asked, run, waited, requests, sent = tally.asked, tally.run, tally.waited, tally.requests, made.sent
-    owed = tally.owed
+    owed = tally.entitled
     made.run(STEADY_S)
     refused = 1 - (tally.run - run) / (tally.asked - asked)
-    alone = 1 - (tally.owed - owed) / (tally.asked - asked)
+    alone = 1 - (tally.entitled - owed) / (tally.asked - asked)
     return (
         f"asks {(tally.asked - asked) / rate / STEADY_S:5.2f} of its rate, runs "
         f"{(tally.run - run) / rate / STEADY_S:5.3f}, refused {max(refused, 0):6.2%} "
--- a/cloverrouter/control/fleet_size.py
+++ b/cloverrouter/control/fleet_size.py
@@ -1,6 +1,6 @@
 """How many machines there are: the largest count of the last while.
 
-Quotas and retry budgets are divided by it, and a machine that is cut off keeps its part for `OWN_FOR_S` of
+Quotas and retry budgets are divided by it, and a machine that is cut off keeps its part for `STANDBY_S` of
 `placement/quota.py`; so a smaller count is believed only after longer than that.
 """
 
--- a/cloverrouter/control/quota_allocator.py
+++ b/cloverrouter/control/quota_allocator.py
@@ -200,7 +200,7 @@
         self._mark_silent()
         self._advance_all(now)
         part = idle_part(self._talking_part()) if now >= self._opens_at else 0.0
-        return {name: PoolFigures(pool.level, pool.plan.room, part) for name, pool in self._pools.items()}
+        return {name: PoolFigures(pool.level, pool.plan.capacity, part) for name, pool in self._pools.items()}
 
     def _talking_part(self) -> float:
         """Of the proxies, as far as they are known."""
@@ -275,7 +275,7 @@
             return []
         if peer.incarnation != report.incarnation:
             peer.begin(report.incarnation)
-        peer.confirmed(report.heard)
+        peer.confirmed(report.acknowledged)
         if peer.silent and peer.idle_until > self._now:
             self._count(peer, talking=True, since=self._now)
         if not peer.silent:
--- a/cloverrouter/control/quota_pool.py
+++ b/cloverrouter/control/quota_pool.py
@@ -6,7 +6,7 @@
 
 import attrs
 
-from cloverrouter.placement.quota_plan import STANDBY_PART, STANDBY_ROOM_PART, TenantPlan
+from cloverrouter.placement.quota_plan import STANDBY_CAPACITY_PART, STANDBY_PART, TenantPlan
 
 KEPT_PART = 0.5  # of the room: for requests that wait, not for holding in advance
 SHORTEST_DRY_S = 0.03
@@ -46,7 +46,7 @@
             self._parked = max(self._parked - stored, 0.0)
         while self._credits and self._credits[0][0] <= now:
             self._credit_out -= self._credits.popleft()[1]
-        room = self.plan.room * (1 - STANDBY_ROOM_PART * (1 - talking_part))
+        room = self.plan.capacity * (1 - STANDBY_CAPACITY_PART * (1 - talking_part))
         unparked = max(min(self._parked, room - self._credit_out - self.level), 0.0)
         self._parked -= unparked
         self.level = min(self.level + unparked, room - self._credit_out)
@@ -65,7 +65,7 @@
 
     def lend_spare(self, wanted: int, until: float) -> int:
         """What no request waits for: only out of what the pool has beyond `KEPT_PART`."""
-        beyond = int(self.level - self.plan.room * KEPT_PART)
+        beyond = int(self.level - self.plan.capacity * KEPT_PART)
         return self._lend(min(wanted, beyond), until) if beyond > 0 else 0
 
     def _lend(self, tokens: int, until: float) -> int:
@@ -83,7 +83,7 @@
 
         Proxies may have run all that they can store by themselves, since nobody knows for how long they did.
         """
-        return int(self.plan.debt + self.plan.room * (1 - STANDBY_ROOM_PART))
+        return int(self.plan.debt + self.plan.capacity * (1 - STANDBY_CAPACITY_PART))
 
     def begin_with(self, tokens: int) -> None:
         """An earlier allocator at this disk has surely not lent so many. Call right after it was made."""
--- a/cloverrouter/daemon/traffic.py
+++ b/cloverrouter/daemon/traffic.py
@@ -17,12 +17,12 @@
 from cloverrouter.http.client import ConnectionPool
 from cloverrouter.http.server import Server as HttpServer
 from cloverrouter.http.server import ServerLimits
+from cloverrouter.placement.failure_reports import FailureReporter
+from cloverrouter.placement.idle_resets import IdleResetReporter
 from cloverrouter.placement.quota import QuotaHolder
 from cloverrouter.placement.quota_plan import QuotaRules, TenantLimit
-from cloverrouter.placement.rest_news import RestReporter
 from cloverrouter.placement.retries import RetryBudgets
 from cloverrouter.placement.servers import Server
-from cloverrouter.placement.trouble import TroubleReporter
 from cloverrouter.placement.trouble_messages import RestWarning, TroubleWarning
 from cloverrouter.router.bounds import RouterBounds
 from cloverrouter.router.router import Router
@@ -76,9 +76,9 @@
             log.request,
             self.traces,
         )
-        self.trouble = TroubleReporter(settings.zone)
+        self.trouble = FailureReporter(settings.zone)
         self.router.on_trouble = self._trouble_met
-        self.rests = RestReporter()
+        self.rests = IdleResetReporter()
         self._pool.on_forgotten = self._connection_forgotten
         self.on_trouble: Callable[[], None] = _nothing
         """Called soon after servers have failed requests: `trouble` has something to tell."""
@@ -136,11 +136,11 @@
         self.budgets.resize(size)
 
     def _trouble_met(self, instance_id: str) -> None:
-        self.trouble.failed(instance_id)
+        self.trouble.record_failure(instance_id)
         self._tell_soon()
 
     def _connection_forgotten(self, rested_s: float) -> None:
-        self.rests.forgotten(rested_s)
+        self.rests.record_reset(rested_s)
         self._tell_soon()
 
     def _tell_soon(self) -> None:
--- a/cloverrouter/daemon/trouble_news.py
+++ b/cloverrouter/daemon/trouble_news.py
@@ -6,8 +6,8 @@
 
 from cloverrouter.daemon.logs import Log
 from cloverrouter.daemon.traffic import Traffic
-from cloverrouter.placement.rest_news import RestDesk
-from cloverrouter.placement.trouble import TroubleDesk
+from cloverrouter.placement.failure_reports import FailureAggregator
+from cloverrouter.placement.idle_resets import IdleResetAggregator
 from cloverrouter.placement.trouble_messages import RestReport, RestWarning, TroubleReport, TroubleWarning
 
 
@@ -32,8 +32,8 @@
         self._lead_until = lead_until
         self._proxies = proxies
         self._log = log
-        self._failing = TroubleDesk(lambda: traffic.fleet_size)
-        self._forgetting = RestDesk()
+        self._failing = FailureAggregator(lambda: traffic.fleet_size)
+        self._forgetting = IdleResetAggregator()
 
     def report(self, now: float) -> None:
         """Tell the head what happened here."""
--- a/cloverrouter/placement/admission.py
+++ b/cloverrouter/placement/admission.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-LEAST_TIME_MS = 8.0
+MIN_TIME_LEFT_MS = 8.0
 """A request with less time left before its deadline cannot be answered in time by any server."""
 RETRY_AFTER_MIN_S = 0.05
 RETRY_AFTER_MAX_S = 2.0
@@ -19,18 +19,18 @@
 
 def has_time(left_ms: float) -> bool:
     """Returns whether a request with this much time left may still be sent."""
-    return left_ms >= LEAST_TIME_MS
+    return left_ms >= MIN_TIME_LEFT_MS
 
 
-def retry_after_s(usual_ms: float, left_ms: float, draw: float) -> float:
+def retry_after_s(mean_ttft_ms: float, left_ms: float, draw: float) -> float:
     """Returns when a slot is likely free at servers that are full, in seconds: after one to three mean times
     to the first token. `draw` (0 to 1) spreads the clients so that those refused together don't retry
     together."""
-    wait = usual_ms / 1000 * (1.0 + 2.0 * draw)
+    wait = mean_ttft_ms / 1000 * (1.0 + 2.0 * draw)
     return _capped(min(max(wait, RETRY_AFTER_MIN_S), RETRY_AFTER_MAX_S), left_ms)
 
 
-def absent_retry_after_s(left_ms: float, draw: float) -> float:
+def no_servers_retry_after_s(left_ms: float, draw: float) -> float:
     """Returns when a server may be available again while none can be reached, in seconds."""
     return _capped(NO_SERVERS_RETRY_S * (1.0 + draw), left_ms)
 
--- a/cloverrouter/placement/draws.py
+++ b/cloverrouter/placement/draws.py
@@ -6,9 +6,9 @@
 from collections.abc import Callable
 
 from cloverrouter.placement.first_token import FirstTokenModel
+from cloverrouter.placement.load_bound import LoadBound
 from cloverrouter.placement.options import PlacementOptions
-from cloverrouter.placement.room import Room
-from cloverrouter.placement.servers import Standing
+from cloverrouter.placement.servers import ServerState
 
 LOCAL_ZONE_SHARE = 0.75
 """The proxy's own zone is preferred if it has at least this part of an even share of the servers of all
@@ -30,7 +30,7 @@
         random: Random,
         zone: str,
         first_token: FirstTokenModel,
-        load_bound: Room,
+        load_bound: LoadBound,
         options: PlacementOptions,
     ) -> None:
         self._random = random
@@ -39,7 +39,7 @@
         self._load_bound = load_bound
         self._options = options
 
-    def better(self, among: list[Standing], now: float) -> Standing:
+    def better(self, among: list[ServerState], now: float) -> ServerState:
         """Returns the better of two random servers; of equals, the one in the proxy's own zone."""
         first, second = self._draw_two(among)
         value, other_value = self._value(first, now), self._value(second, now)
@@ -47,18 +47,18 @@
             return second if self._is_in_own_zone(second) and not self._is_in_own_zone(first) else first
         return second if other_value > value else first
 
-    def less_loaded(self, among: list[Standing], now: float) -> Standing:
+    def less_loaded(self, among: list[ServerState], now: float) -> ServerState:
         """Returns the better of two random servers for a long answer, also counting the load that the servers
         report."""
         first, second = self._draw_two(among)
         value = self._value(first, now, OCCUPANCY_WEIGHT)
         return second if self._value(second, now, OCCUPANCY_WEIGHT) > value else first
 
-    def with_free_slots(self, among: list[Standing], now: float) -> list[Standing]:
+    def with_free_slots(self, among: list[ServerState], now: float) -> list[ServerState]:
         """Returns the servers whose reported occupancy is low enough for a long answer."""
         return [one for one in among if self._occupancy(one, now) < MAX_OCCUPANCY]
 
-    def in_own_zone(self, among: list[Standing]) -> list[Standing]:
+    def in_own_zone(self, among: list[ServerState]) -> list[ServerState]:
         """Returns the servers in the proxy's own zone if there are at least two and about as many as a zone's
         share; otherwise all."""
         in_own_zone = [one for one in among if self._is_in_own_zone(one)]
@@ -66,24 +66,24 @@
         is_enough = len(in_own_zone) >= 2 and len(in_own_zone) * zones >= LOCAL_ZONE_SHARE * len(among)
         return in_own_zone if is_enough else among
 
-    def _draw_two(self, among: list[Standing]) -> tuple[Standing, Standing]:
+    def _draw_two(self, among: list[ServerState]) -> tuple[ServerState, ServerState]:
         first = self._draw_one(among)
         others = [one for one in among if one is not first]
         return first, self._draw_one(others) if others else first
 
-    def _draw_one(self, among: list[Standing]) -> Standing:
+    def _draw_one(self, among: list[ServerState]) -> ServerState:
         return among[int(self._random() * len(among))]
 
-    def _is_in_own_zone(self, state: Standing) -> bool:
+    def _is_in_own_zone(self, state: ServerState) -> bool:
         return state.server.zone == self._zone
 
-    def _occupancy(self, state: Standing, now: float) -> float:
+    def _occupancy(self, state: ServerState, now: float) -> float:
         return state.occupancy(now) if self._options.reported_loads else 0.0
 
-    def _value(self, state: Standing, now: float, occupancy_weight: float = 0.0) -> float:
-        usual_ms = self._first_token.usual_ms
-        delay_ms = max(0.0, self._load_bound.delay_ms(state, now) - usual_ms)
+    def _value(self, state: ServerState, now: float, occupancy_weight: float = 0.0) -> float:
+        mean_ttft_ms = self._first_token.mean_ttft_ms
+        delay_ms = max(0.0, self._load_bound.delay_ms(state, now) - mean_ttft_ms)
         load = (
-            1.0 + state.in_flight + delay_ms / usual_ms + occupancy_weight * self._occupancy(state, now)
+            1.0 + state.in_flight + delay_ms / mean_ttft_ms + occupancy_weight * self._occupancy(state, now)
         )
         return round(state.expected_payoff(now) / load, 2)
--- a/cloverrouter/placement/trouble.py
+++ b/cloverrouter/placement/failure_reports.py
@@ -30,7 +30,7 @@
 SMALL_FLEET_SIZE, MEDIUM_FLEET_SIZE = 8, 20
 
 
-class TroubleReporter:
+class FailureReporter:
     """Collects the failures at one proxy and reports them to the head."""
 
     def __init__(self, zone: str) -> None:
@@ -39,7 +39,7 @@
         self._reported_at: dict[str, float] = {}
         self._next = 0.0
 
-    def failed(self, instance_id: str) -> None:
+    def record_failure(self, instance_id: str) -> None:
         """Records that the server failed a request."""
         if len(self._failed) < MAX_IDS:
             self._failed[instance_id] = None
@@ -65,7 +65,7 @@
     span_s: float = 0.0
 
 
-class TroubleDesk:
+class FailureAggregator:
     """Aggregates the reports of all proxies at the head. `fleet_size` returns the number of proxies."""
 
     def __init__(self, fleet_size: Callable[[], int]) -> None:
--- a/cloverrouter/placement/first_token.py
+++ b/cloverrouter/placement/first_token.py
@@ -41,7 +41,7 @@
         return min(MAX_MS_PER_TOKEN, max(0.0, slope))
 
     @property
-    def usual_ms(self) -> float:
+    def mean_ttft_ms(self) -> float:
         """Mean time to the first token: the unit in which expected times are converted to requests."""
         if self._weight < MIN_WEIGHT:
             return DEFAULT_MEAN_TTFT_MS
@@ -56,4 +56,4 @@
         if self._weight < MIN_WEIGHT:
             return DEFAULT_MEAN_TTFT_MS + self.prefill_ms(tokens)
         mean_tokens = self._tokens / self._weight
-        return max(0.0, self.usual_ms + (tokens - mean_tokens) * self.ms_per_token)
+        return max(0.0, self.mean_ttft_ms + (tokens - mean_tokens) * self.ms_per_token)
--- a/cloverrouter/placement/rest_news.py
+++ b/cloverrouter/placement/idle_resets.py
@@ -10,9 +10,9 @@
 
 from cloverrouter.placement.trouble_messages import RestReport, RestWarning
 
-REPORT_SPACING_S = 0.5
+REPORT_INTERVAL_S = 0.5
 WINDOW_S = 1.0
-REPORTERS = 3
+MIN_REPORTERS = 3
 """Proxies that must have lost a request this way within `WINDOW_S`. A crashing server resets connections too,
 but few of them just when they are used."""
 LIMIT_SHARE = 0.5
@@ -20,14 +20,14 @@
 WARN_S = 5.0
 
 
-class RestReporter:
+class IdleResetReporter:
     """Collects the resets at one proxy and reports them to the head."""
 
     def __init__(self) -> None:
         self._idle_s = math.inf
         self._next = 0.0
 
-    def forgotten(self, idle_s: float) -> None:
+    def record_reset(self, idle_s: float) -> None:
         """Records that a request was lost on a connection that had been idle for `idle_s`."""
         self._idle_s = min(self._idle_s, idle_s)
 
@@ -36,11 +36,11 @@
         if self._idle_s == math.inf or now < self._next:
             return None
         idle_s, self._idle_s = self._idle_s, math.inf
-        self._next = now + REPORT_SPACING_S
+        self._next = now + REPORT_INTERVAL_S
         return RestReport(math.ceil(idle_s * 1000))
 
 
-class RestDesk:
+class IdleResetAggregator:
     """Aggregates the reports of all proxies at the head."""
 
     def __init__(self) -> None:
@@ -51,7 +51,7 @@
         self._reports[ip] = (now, report.idle_ms)
         recent = {key: found for key, found in self._reports.items() if now - found[0] < WINDOW_S}
         self._reports = recent
-        if len(recent) < REPORTERS:
+        if len(recent) < MIN_REPORTERS:
             return None
         self._reports = {}
         shortest = min(idle_ms for _, idle_ms in recent.values())
--- a/cloverrouter/placement/room.py
+++ b/cloverrouter/placement/load_bound.py
@@ -6,7 +6,7 @@
 
 from cloverrouter.placement.first_token import FirstTokenModel
 from cloverrouter.placement.options import PlacementOptions
-from cloverrouter.placement.servers import ServiceServers, Standing
+from cloverrouter.placement.servers import ServerState, ServiceServers
 
 BOUND_BASE = 2
 BOUND_MEAN_FACTOR = 1.5
@@ -24,7 +24,7 @@
 the first token."""
 
 
-class Room:
+class LoadBound:
     """The load bounds of one service's servers."""
 
     def __init__(
@@ -39,12 +39,12 @@
         """Sets the number of proxies that send to the same servers."""
         self._capacity_share = min(BOUND_CAPACITY_SHARE, BOUND_FLEET_FACTOR / max(1, size))
 
-    def having(self, among: Iterable[Standing], now: float) -> list[Standing]:
+    def below_bound(self, among: Iterable[ServerState], now: float) -> list[ServerState]:
         """Returns the servers that are below their bound."""
         if not self._options.load_bound:
             return list(among)
         limit = BOUND_BASE + BOUND_MEAN_FACTOR * self._servers.total_in_flight() / len(self._servers.ready)
-        max_delay_ms = MAX_DELAY_FACTOR * self._first_token.usual_ms
+        max_delay_ms = MAX_DELAY_FACTOR * self._first_token.mean_ttft_ms
         return [
             one
             for one in among
@@ -52,14 +52,14 @@
             and self.delay_ms(one, now) < max_delay_ms
         ]
 
-    def _bound(self, state: Standing, mean_bound: float) -> float:
+    def _bound(self, state: ServerState, mean_bound: float) -> float:
         """Returns how many own requests may be in flight at the server."""
         bound = max(mean_bound, state.server.capacity * self._capacity_share)
         return bound * SILENT_BOUND_FACTOR if state.server.silent else bound
 
-    def delay_ms(self, state: Standing, now: float) -> float:
+    def delay_ms(self, state: ServerState, now: float) -> float:
         """Returns how much later than its work explains an answer is expected to begin there, in
         milliseconds."""
         if not self._options.learnt_delays:
             return 0.0
-        return state.expected_delay_ms(now, self._first_token.usual_ms)
+        return state.expected_delay_ms(now, self._first_token.mean_ttft_ms)
--- a/cloverrouter/placement/options.py
+++ b/cloverrouter/placement/options.py
@@ -13,7 +13,7 @@
 
     reserved_servers: bool = True
     """Prefill-heavy requests mostly avoid some servers, which are reserved for decode-heavy ones
-    (`placement/calm.py`)."""
+    (`placement/reserved_servers.py`)."""
     reserved_growth: bool = True
     """More servers are reserved while answers begin late at the reserved ones."""
     home_advantage: bool = True
--- a/cloverrouter/placement/placement_news.py
+++ b/cloverrouter/placement/placement_exchange.py
@@ -4,11 +4,11 @@
 
 from collections.abc import Iterable, Mapping
 
-from cloverrouter.placement.calm import KIND_EXPIRY_S
 from cloverrouter.placement.pick import ServicePlacement
 from cloverrouter.placement.placement_messages import KindsSeen, LoadReading, PlacementNews
+from cloverrouter.placement.reserved_servers import KIND_EXPIRY_S
 from cloverrouter.placement.server_load import MAX_COUNT, ServerLoad
-from cloverrouter.placement.servers import Standing
+from cloverrouter.placement.servers import ServerState
 
 MAX_READING_AGE_S = 2.0
 """Older load readings are not passed on."""
@@ -16,7 +16,7 @@
 """Maximum number of load readings in one message; the latest ones are sent."""
 
 
-def news(placements: Mapping[str, ServicePlacement], now: float) -> PlacementNews | None:
+def outgoing_update(placements: Mapping[str, ServicePlacement], now: float) -> PlacementNews | None:
     """Returns the message for another proxy; None if there is nothing recent enough."""
     states = [one for placement in placements.values() for one in placement.servers.ready]
     loads = _latest_loads(states, now)
@@ -26,29 +26,29 @@
     return PlacementNews(loads, kinds) if loads or kinds else None
 
 
-def take(told: PlacementNews, placements: Mapping[str, ServicePlacement], now: float) -> None:
+def apply_update(received: PlacementNews, placements: Mapping[str, ServicePlacement], now: float) -> None:
     """Applies another proxy's message to known services and servers, where it is newer."""
-    for kinds in told.kinds:
+    for kinds in received.kinds:
         placement = placements.get(kinds.service)
         if placement is not None and min(kinds.decode_heavy_age_ms, kinds.prefill_heavy_age_ms) >= 0:
             placement.reserved.merge_last_seen(
                 now - kinds.decode_heavy_age_ms / 1000, now - kinds.prefill_heavy_age_ms / 1000
             )
     states = {key: one for each in placements.values() for key, one in each.servers.states.items()}
-    for reading in told.loads:
+    for reading in received.loads:
         state = states.get(reading.id)
         if state is not None and _is_valid(reading):
             load = ServerLoad(reading.running, reading.waiting, reading.slots)
-            state.load_told(load, now - reading.age_ms / 1000)
+            state.update_load(load, now - reading.age_ms / 1000)
 
 
-def _latest_loads(states: Iterable[Standing], now: float) -> tuple[LoadReading, ...]:
+def _latest_loads(states: Iterable[ServerState], now: float) -> tuple[LoadReading, ...]:
     fresh = [one for one in states if one.load is not None and now - one.load_at < MAX_READING_AGE_S]
     latest = sorted(fresh, key=lambda one: one.load_at, reverse=True)[:MAX_READINGS]
     return tuple([_reading(one, now) for one in latest])
 
 
-def _reading(state: Standing, now: float) -> LoadReading:
+def _reading(state: ServerState, now: float) -> LoadReading:
     load = state.load
     assert load is not None
     age_ms = max(0, int((now - state.load_at) * 1000))
--- a/cloverrouter/placement/prefix.py
+++ b/cloverrouter/placement/prefix.py
@@ -52,7 +52,7 @@
         return shared_tokens * SMALL_PREFIX_DIVISOR <= self.tokens_out
 
     @property
-    def subject(self) -> Part | None:
+    def affinity_part(self) -> Part | None:
         """The last part that other requests may share, which determines the affinity; the part after it
         belongs to this request alone. None without parts."""
         if not self.parts:
@@ -125,7 +125,7 @@
             kept += part.tokens
         return prompt.tokens - kept
 
-    def sent(self, prompt: Prompt) -> None:
+    def record_sent(self, prompt: Prompt) -> None:
         """Inserts all parts of a prompt as the most recently used ones, the first part as the very latest,
         and evicts what exceeds the capacity."""
         for part in reversed(prompt.parts):
--- a/cloverrouter/placement/quota.py
+++ b/cloverrouter/placement/quota.py
@@ -8,7 +8,7 @@
 Standby needs no communication: it also applies to a proxy that is cut off, and to one that has just started
 (once the contact of the preceding process must have expired).
 
-The right to standby ends `OWN_FOR_S` after the last contact, on this process's own clock. The fleet size
+The right to standby ends `STANDBY_S` after the last contact, on this process's own clock. The fleet size
 known to the allocator and to other proxies counts this machine for longer than that.
 
 Memory: about 370 bytes a limited tenant.
@@ -31,7 +31,7 @@
 )
 from cloverrouter.placement.quota_plan import QuotaRules, TenantLimit, contact_s, plan_tenant
 
-OWN_FOR_S = 60.0  # the fleet size must keep counting a lost machine for longer
+STANDBY_S = 60.0  # the fleet size must keep counting a lost machine for longer
 START_MARGIN_S = 0.1
 DEFAULT_REPORT_INTERVAL_S = 0.1  # until the allocator has told how long contact lasts
 REPORTS_PER_CONTACT = 3.5
@@ -99,7 +99,7 @@
             return
         predecessor_contact_ends = self._started + contact_s(size) + START_MARGIN_S
         since = max(self._standby.since, predecessor_contact_ends)
-        self._standby = Standby(since, max(self._standby.until, self._now + OWN_FOR_S))
+        self._standby = Standby(since, max(self._standby.until, self._now + STANDBY_S))
 
     def admit(self, tenant: str, tokens: int, now: float, *, again: bool = False) -> float:
         """Returns 0.0 if the request may run, and takes its tokens; otherwise the number of seconds after
@@ -258,7 +258,7 @@
             account.advance(now, self._standby)
         self._acknowledged = contact.number
         since = max(self._standby.since, now + contact.contact_for_s)
-        self._standby = Standby(since, max(self._standby.until, now + OWN_FOR_S))
+        self._standby = Standby(since, max(self._standby.until, now + STANDBY_S))
         self._report_interval_s = contact.contact_for_s / REPORTS_PER_CONTACT
 
     def _report(self) -> list[Effect]:
--- a/cloverrouter/placement/quota_account.py
+++ b/cloverrouter/placement/quota_account.py
@@ -44,7 +44,7 @@
         """Fills the bucket up to `now`."""
         if self.credit and now >= self.credit_until:
             self._fill_until(self.credit_until, standby)
-            self.level = min(self.level + self.credit, self.room(self.credit_until, standby))
+            self.level = min(self.level + self.credit, self.capacity(self.credit_until, standby))
             self.credit = 0.0
         self._fill_until(now, standby)
 
@@ -52,15 +52,15 @@
         since, until = max(self.updated_at, standby.since), min(now, standby.until)
         if since < until:
             filled = self.level + (until - since) * self.plan.own_rate
-            self.level = min(filled, self.plan.line_room + self.plan.own_room)
-        self.level = min(self.level, self.room(now, standby))
+            self.level = min(filled, self.plan.base_capacity + self.plan.own_capacity)
+        self.level = min(self.level, self.capacity(now, standby))
         self.updated_at = max(now, self.updated_at)
 
-    def room(self, now: float, standby: Standby) -> float:
+    def capacity(self, now: float, standby: Standby) -> float:
         """Returns how many tokens the bucket may hold."""
         if now >= standby.until:
             return 0.0
-        return self.plan.line_room + (self.plan.own_room if now >= standby.since else 0.0)
+        return self.plan.base_capacity + (self.plan.own_capacity if now >= standby.since else 0.0)
 
     def available(self) -> float:
         """Returns the number of tokens that can be taken now."""
@@ -82,12 +82,12 @@
 
     def tokens_to_fill(self, now: float, standby: Standby) -> int:
         """Returns the number of tokens to request in advance; 0 while there are enough."""
-        room = self.room(now, standby)
-        return int(room - self.available()) if self.available() < room * REFILL_BELOW_SHARE else 0
+        capacity = self.capacity(now, standby)
+        return int(capacity - self.available()) if self.available() < capacity * REFILL_BELOW_SHARE else 0
 
     def fill_time_s(self, tokens: float) -> float:
         """Returns the time until a proxy in standby has this many tokens; infinity if it can never hold
         them."""
-        if tokens > self.plan.line_room + self.plan.own_room or not self.plan.own_rate:
+        if tokens > self.plan.base_capacity + self.plan.own_capacity or not self.plan.own_rate:
             return float("inf")
         return (tokens - self.available()) / self.plan.own_rate
--- a/cloverrouter/placement/quota_messages.py
+++ b/cloverrouter/placement/quota_messages.py
@@ -20,7 +20,7 @@
     epoch: int
     incarnation: int  # drawn at random at the start of the process
     number: int
-    heard: int  # number of the newest report that was answered; 0: none in this epoch yet
+    acknowledged: int  # number of the newest report that was answered; 0: none in this epoch yet
 
 
 @message(351)
--- a/cloverrouter/placement/quota_plan.py
+++ b/cloverrouter/placement/quota_plan.py
@@ -20,7 +20,7 @@
 POOL_DEBT_TOKENS = 40_000.0  # largest request that the pool serves when it is nearly empty
 POOL_DEBT_PART = 0.25  # of the store: the maximum debt of the pool
 STANDBY_PART = 0.5  # of the pool's rate: what all proxies have together when each is in standby
-STANDBY_ROOM_PART = 0.8  # of the pool's capacity: likewise
+STANDBY_CAPACITY_PART = 0.8  # of the pool's capacity: likewise
 
 CONTACT_S = 0.35
 CONTACT_PER_PROXY_S = 0.003  # limits the rate of reports to the allocator in large fleets
@@ -50,11 +50,11 @@
     """The parts of one tenant's limit, in tokens and tokens a second."""
 
     rate: float  # of the pool while all proxies are in contact
-    room: float  # likewise
+    capacity: float  # likewise
     debt: float  # of the pool
-    line_room: float  # of one proxy, at all times
+    base_capacity: float  # of one proxy, at all times
     own_rate: float  # of one proxy in standby
-    own_room: float  # likewise, in addition to `line_room`
+    own_capacity: float  # likewise, in addition to `base_capacity`
 
 
 def allowed_tokens(limit: TenantLimit, rules: QuotaRules) -> float:
@@ -70,15 +70,15 @@
     store = max(allowed - steady, allowed * MIN_STORE_PART)
     rate = (allowed - store) / rules.window_s
     debt = min(POOL_DEBT_TOKENS, store * POOL_DEBT_PART)
-    room = store * (1 - ADVANCE_PART) - debt
+    capacity = store * (1 - ADVANCE_PART) - debt
     share = 1 / fleet_size if fleet_size > 0 else 0.0
     return TenantPlan(
         rate=rate,
-        room=room,
+        capacity=capacity,
         debt=debt,
-        line_room=store * ADVANCE_PART * share,
+        base_capacity=store * ADVANCE_PART * share,
         own_rate=rate * STANDBY_PART * share,
-        own_room=room * STANDBY_ROOM_PART * share,
+        own_capacity=capacity * STANDBY_CAPACITY_PART * share,
     )
 
 
--- a/cloverrouter/placement/calm.py
+++ b/cloverrouter/placement/reserved_servers.py
@@ -13,7 +13,7 @@
 from collections import Counter
 
 from cloverrouter.placement.prefix import Prompt, mix
-from cloverrouter.placement.servers import Standing
+from cloverrouter.placement.servers import ServerState
 
 MIN_RESERVED_SHARE = 0.25
 """At least this share of the ready servers is reserved."""
@@ -46,14 +46,14 @@
 _RANKING = 0x9E3779B97F4A7C15
 
 
-def _rank(state: Standing) -> int:
+def _rank(state: ServerState) -> int:
     return mix(_RANKING ^ state.seed)
 
 
-def _interleave_zones(ranked: list[Standing]) -> list[Standing]:
+def _interleave_zones(ranked: list[ServerState]) -> list[ServerState]:
     """Returns the servers interleaved by zone: the first of each zone, then the second of each, and so on."""
     places: Counter[str] = Counter()
-    turns: list[tuple[int, Standing]] = []
+    turns: list[tuple[int, ServerState]] = []
     for state in ranked:
         turns.append((places[state.server.zone], state))
         places[state.server.zone] += 1
@@ -64,15 +64,15 @@
     """The reserved servers of one service."""
 
     def __init__(self) -> None:
-        self.members: set[Standing] = set()
-        self._ranked: list[Standing] = []
+        self.members: set[ServerState] = set()
+        self._ranked: list[ServerState] = []
         self._extra = 0
         self._grew_at = self._late_at = 0.0
         self._decode_heavy_at = self._prefill_heavy_at = -KIND_EXPIRY_S
         self.fleet_size = 1
         """Number of proxies that send to the same servers."""
 
-    def __contains__(self, state: Standing) -> bool:
+    def __contains__(self, state: ServerState) -> bool:
         return state in self.members
 
     @property
@@ -80,7 +80,7 @@
         """Whether both kinds of request came within `KIND_EXPIRY_S` of each other."""
         return abs(self._decode_heavy_at - self._prefill_heavy_at) <= KIND_EXPIRY_S
 
-    def servers_changed(self, ready: list[Standing]) -> None:
+    def servers_changed(self, ready: list[ServerState]) -> None:
         """Recomputes the ranking for the servers that are ready now."""
         self._ranked = _interleave_zones(sorted(ready, key=_rank, reverse=True))
         self._choose()
@@ -108,18 +108,18 @@
 
     def is_avoided_by(self, prompt: Prompt) -> bool:
         """Whether a prefill-heavy request avoids the reserved servers."""
-        subject = prompt.subject
-        return subject is None or subject.key % 1000 >= ADMITTED_SHARE * 1000
+        affinity_part = prompt.affinity_part
+        return affinity_part is None or affinity_part.key % 1000 >= ADMITTED_SHARE * 1000
 
-    def adapt(self, now: float, usual_ms: float) -> bool:
+    def adapt(self, now: float, mean_ttft_ms: float) -> bool:
         """Reserves one server more or one fewer, depending on how late answers begin at the reserved servers.
         Returns whether the number changed."""
         if not self.members:
             return False
         delay = (
-            sum([one.expected_delay_ms(now, usual_ms) for one in self.members])
+            sum([one.expected_delay_ms(now, mean_ttft_ms) for one in self.members])
             / len(self.members)
-            / usual_ms
+            / mean_ttft_ms
         )
         occupancy = self._occupancy()
         full = occupancy > GROW_OCCUPANCY and self._in_flight() >= MIN_IN_FLIGHT
--- a/cloverrouter/placement/servers.py
+++ b/cloverrouter/placement/servers.py
@@ -31,7 +31,7 @@
 """A learnt delay decays, so that a server that gets no requests is tried again."""
 UNRESPONSIVE_S = 0.35
 """A server that has sent nothing for this long while a request waits for its first byte is unresponsive."""
-HEARD_LATELY_S = 1.5
+RECENTLY_RECEIVED_S = 1.5
 """A server that the head considers silent is still used if it sent this proxy something this recently."""
 OVERDUE_S = 0.7
 """A server is avoided once a request has waited this long for its answer to begin, whatever else the server
@@ -62,7 +62,7 @@
 
 
 @attrs.define(slots=True, eq=False)
-class Standing:
+class ServerState:
     """A server and what this proxy's own requests have shown of it."""
 
     server: Server
@@ -91,33 +91,33 @@
     def __attrs_post_init__(self) -> None:
         self.seed = mix(crc32(self.server.id.encode()))
 
-    def told(self, server: Server) -> None:
+    def update_server(self, server: Server) -> None:
         """Applies a changed entry of the server list."""
         if server.address != self.server.address:
             self.paused_until = 0.0
         self.server = server
         self.ready = server.ready and self.ready
 
-    def sent(self, attempt: int, now: float) -> None:
+    def record_sent(self, attempt: int, now: float) -> None:
         """Records that an attempt was sent."""
         self.in_flight += 1
         self._unanswered[attempt] = now
 
-    def heard(self, attempt: int, now: float) -> None:
+    def record_first_byte(self, attempt: int, now: float) -> None:
         """Records the first byte of an answer to that attempt."""
         self._unanswered.pop(attempt, None)
         self._last_received_at = now
 
-    def alive(self, now: float) -> None:
+    def record_bytes(self, now: float) -> None:
         """Records that any bytes came from the server."""
         self._last_received_at = now
 
-    def finished(self, attempt: int) -> None:
+    def record_end(self, attempt: int) -> None:
         """Records the end of an attempt, however it ended."""
         self.in_flight -= 1
         self._unanswered.pop(attempt, None)
 
-    def load_told(self, load: ServerLoad, at: float) -> None:
+    def update_load(self, load: ServerLoad, at: float) -> None:
         """Records a load reading taken at that time, if it is the newest."""
         if self.load is None or at > self.load_at:
             self.load = load
@@ -137,7 +137,7 @@
         """Returns whether a recent reading says that it has free slots."""
         return self.load is not None and now - self.load_at < FULL_WEIGHT_S and self.load.occupancy < 1.0
 
-    def succeeded(self, now: float = 0.0) -> None:
+    def record_success(self, now: float = 0.0) -> None:
         """Records a success. The failure count is only halved, so that a flapping server is still paused for
         longer each time."""
         self.payoff += PAYOFF_WEIGHT * (1.0 - self.payoff)
@@ -145,33 +145,33 @@
         self.paused_until = 0.0
         self.failure_rate.record_success(now)
 
-    def failed(self, now: float = 0.0) -> None:
+    def reduce_payoff(self, now: float = 0.0) -> None:
         """Records an unsuccessful answer: an error or a refusal."""
         self.payoff -= PAYOFF_WEIGHT * self.payoff
         self._failed_at = now
 
-    def erred(self, now: float) -> None:
+    def record_error(self, now: float) -> None:
         """Records a failure caused by the server itself."""
-        self.failed(now)
+        self.reduce_payoff(now)
         self.last_failure_at = now
         self.failure_rate.record_failure(now)
 
-    def lost(self, now: float) -> None:
+    def record_lost_connection(self, now: float) -> None:
         """Records a failed or broken connection, or a missing answer: pauses the server with exponential
         backoff."""
-        self.failed(now)
+        self.reduce_payoff(now)
         pause = min(PAUSE_CAP_S, PAUSE_BASE_S * 2.0**self._failures)
         self.paused_until = now + pause
         self._failures += 1
         self.last_failure_at = now
         self.failure_rate.record_failure(now, LOST_CONNECTION_WEIGHT)
 
-    def never_answered(self, now: float) -> None:
+    def record_no_answer(self, now: float) -> None:
         """Records that a request was never answered."""
-        self.lost(now)
+        self.record_lost_connection(now)
         self.failure_rate.record_failure(now)
 
-    def delayed(self, excess_ms: float, now: float) -> None:
+    def record_delay(self, excess_ms: float, now: float) -> None:
         """Records an answer that began this much later than its work explains (negative: earlier)."""
         current_ms = self.delay_ms(now)
         self._delay_ms = max(0.0, current_ms + DELAY_WEIGHT * (excess_ms - current_ms))
@@ -195,10 +195,10 @@
             return False
         return now - next(iter(self._unanswered.values())) > OVERDUE_S
 
-    def expected_delay_ms(self, now: float, usual_ms: float) -> float:
+    def expected_delay_ms(self, now: float, mean_ttft_ms: float) -> float:
         """Returns how late an answer is expected to begin, from recent answers and from requests still
         waiting, in milliseconds."""
-        return max(self.delay_ms(now), self.oldest_wait_ms(now) - usual_ms)
+        return max(self.delay_ms(now), self.oldest_wait_ms(now) - mean_ttft_ms)
 
     def is_unresponsive(self, now: float) -> bool:
         """Returns whether a request has been waiting while nothing at all came from the server."""
@@ -209,9 +209,9 @@
 
     def is_silent(self, now: float) -> bool:
         """Returns whether it has missed its announcements and has not sent this proxy anything recently."""
-        return self.server.silent and now - self._last_received_at >= HEARD_LATELY_S
+        return self.server.silent and now - self._last_received_at >= RECENTLY_RECEIVED_S
 
-    def avoided(self, now: float, check_unresponsive: bool = True) -> bool:
+    def should_avoid(self, now: float, check_unresponsive: bool = True) -> bool:
         """Returns whether other servers are to be preferred for now; `check_unresponsive` includes servers
         that don't answer a waiting request."""
         return (
@@ -220,16 +220,16 @@
             or (check_unresponsive and self.is_unresponsive(now))
         )
 
-    def warned(self, now: float, until: float) -> None:
+    def apply_warning(self, now: float, until: float) -> None:
         """Records a warning that other proxies found it failing."""
         self.warned_until = until
         self.last_failure_at = now
 
-    def is_suspect(self, now: float, careful: bool = False) -> bool:
-        """Returns whether it is likely to fail a request; `careful` for one that must not be retried."""
+    def is_suspect(self, now: float, no_retry: bool = False) -> bool:
+        """Returns whether it is likely to fail a request; `no_retry` for one that must not be retried."""
         if now < self.warned_until:
             return True
-        return self.failure_rate.rate(now) > (NO_RETRY_SUSPECT_RATE if careful else SUSPECT_RATE)
+        return self.failure_rate.rate(now) > (NO_RETRY_SUSPECT_RATE if no_retry else SUSPECT_RATE)
 
     def expected_payoff(self, now: float) -> float:
         """Returns the payoff, reduced during warm-up. Penalties decay, since a server that looks worse than
@@ -246,29 +246,29 @@
 
     def __init__(self, options: PlacementOptions = IN_USE) -> None:
         self._options = options
-        self.states: dict[str, Standing] = {}
-        self.ready: list[Standing] = []
+        self.states: dict[str, ServerState] = {}
+        self.ready: list[ServerState] = []
         self.generation = 0
         """Incremented whenever the set of ready servers changes."""
         self._displaced: set[str] = set()
 
-    def told(self, server: Server) -> None:
+    def update_server(self, server: Server) -> None:
         """Adds or updates a server."""
         state = self.states.get(server.id)
         if state is None:
             self._add_server(server)
             return
-        state.told(server)
+        state.update_server(server)
         if not state.ready:
             self._remove_ready(state)
 
-    def displaced(self, state: Standing) -> None:
+    def remove_displaced(self, state: ServerState) -> None:
         """Removes an instance at whose address another one answered, even if the server list lags behind."""
         state.ready = False
         self._displaced.add(state.server.id)
         self._remove_ready(state)
 
-    def few_overdue(self, now: float) -> list[Standing]:
+    def few_overdue(self, now: float) -> list[ServerState]:
         """Returns the servers with overdue requests; none if they are many, since then load is the likely
         cause."""
         found = [one for one in self.ready if one.has_overdue_request(now)]
@@ -279,17 +279,17 @@
         """Number of servers that may have overdue requests without load being the likely cause."""
         return max(1, len(self.ready) // FEW_DIVISOR)
 
-    def usable(self, among: Iterable[Standing], now: float, careful: bool = False) -> list[Standing]:
+    def usable(self, among: Iterable[ServerState], now: float, no_retry: bool = False) -> list[ServerState]:
         """Returns the servers that are neither suspect nor to be avoided. If most servers are suspect, only
         those that failed last are excluded: the rest could not carry the load, and the others may have
         recovered."""
-        suspects = {one for one in self.ready if self._options.failure_rate and one.is_suspect(now, careful)}
+        suspects = {one for one in self.ready if self._options.failure_rate and one.is_suspect(now, no_retry)}
         if 2 * len(suspects) > len(self.ready):
             latest = sorted(suspects, key=lambda one: one.last_failure_at, reverse=True)
             suspects = set(latest[: len(self.ready) // MAX_SUSPECTS_DIVISOR])
         suspects.update(self.few_overdue(now))
         check_unresponsive = self._options.doubts
-        return [one for one in among if one not in suspects and not one.avoided(now, check_unresponsive)]
+        return [one for one in among if one not in suspects and not one.should_avoid(now, check_unresponsive)]
 
     def total_in_flight(self) -> int:
         """Returns the number of this proxy's requests in flight at the ready servers."""
@@ -310,11 +310,11 @@
         if not server.ready:
             self._displaced.discard(server.id)  # the server list has caught up
         elif server.id not in self._displaced:
-            state = self.states[server.id] = Standing(server, self._mean_payoff())
+            state = self.states[server.id] = ServerState(server, self._mean_payoff())
             self.ready.append(state)
             self.generation += 1
 
-    def _remove_ready(self, state: Standing) -> None:
+    def _remove_ready(self, state: ServerState) -> None:
         if state in self.ready:
             self.ready.remove(state)
             self.generation += 1
--- a/cloverrouter/placement/leaving.py
+++ b/cloverrouter/placement/shutdown.py
@@ -21,7 +21,7 @@
 phase on a wrong estimate has the other two thirds to finish; afterwards only deadlines count."""
 ESTIMATE_FACTOR = 2.0
 """An answer may take this many times as long as the longest one seen."""
-KEPT_S = 30.0
+RETENTION_S = 30.0
 """A duration is remembered for at least this long and at most twice as long."""
 RETRY_AFTER_S = 0.02
 RETRY_SPREAD_S = 0.06
@@ -30,7 +30,7 @@
 
 
 @attrs.frozen(slots=True)
-class Leave:
+class ShutdownWindow:
     """The time between the request to shut down and the end of the process, in seconds on one monotonic
     clock."""
 
@@ -50,7 +50,7 @@
     """Whether its client can resume at another proxy after a cut."""
 
 
-def may_begin(shutdown: Leave, now: float, request: Expectation) -> bool:
+def may_begin(shutdown: ShutdownWindow, now: float, request: Expectation) -> bool:
     """Returns whether a request may still be started."""
     last_end = shutdown.ends_at - MARGIN_S
     if request.deadline <= last_end:
@@ -64,7 +64,7 @@
     return request.longest_s is not None and now + request.longest_s * ESTIMATE_FACTOR <= last_end
 
 
-def leaving_retry_after_s(draw: float) -> float:
+def shutdown_retry_after_s(draw: float) -> float:
     """Returns when a client that is refused during the shutdown should retry, in seconds; `draw` is from 0 to
     1."""
     return RETRY_AFTER_S + RETRY_SPREAD_S * draw
@@ -94,7 +94,7 @@
         """Drops durations that are too old."""
         if now < self._rotates_at:
             return
-        is_fresh = now < self._rotates_at + KEPT_S
+        is_fresh = now < self._rotates_at + RETENTION_S
         self._older = self._recent if is_fresh else {}
         self._recent = {}
-        self._rotates_at = now + KEPT_S
+        self._rotates_at = now + RETENTION_S
--- a/cloverrouter/router/attempt.py
+++ b/cloverrouter/router/attempt.py
@@ -11,7 +11,7 @@
 from cloverrouter.http.client import Call, Failure, Headers
 from cloverrouter.http.fields import end_to_end
 from cloverrouter.placement.server_load import parse_load
-from cloverrouter.placement.servers import Standing
+from cloverrouter.placement.servers import ServerState
 from cloverrouter.router.events import EventTail
 from cloverrouter.router.headers import SERVER_LOAD, is_event_stream, is_unframed
 from cloverrouter.router.verdict import Answer, End, Verdict, judge_head
@@ -59,7 +59,7 @@
     __slots__ = ("_body", "_headers", "_size", "_status", "_streaming", "_tail", "call", "heard_at", "key",
                  "missing_tokens", "over", "owner", "sent_at", "standing", "verdict")  # fmt: skip
 
-    def __init__(self, owner: Owner, standing: Standing, key: int, missing_tokens: int) -> None:
+    def __init__(self, owner: Owner, standing: ServerState, key: int, missing_tokens: int) -> None:
         self.owner = owner
         self.standing = standing
         self.key = key
@@ -105,7 +105,7 @@
         if self.over:
             return
         self.heard_at = self.owner.now()
-        self.standing.heard(self.key, self.heard_at)
+        self.standing.record_first_byte(self.key, self.heard_at)
         self._status = status
         self.verdict = judge_head(status, headers)
         if self.verdict is Verdict.SPOILT:
@@ -125,7 +125,7 @@
             return
         if self._streaming:
             self.heard_at = self.owner.now()
-            self.standing.alive(self.heard_at)
+            self.standing.record_bytes(self.heard_at)
             if self._tail is not None:
                 self._tail.feed(data)
             self.owner.stream_data(self, data)
@@ -174,7 +174,7 @@
         values = [value for name, value in headers if name == SERVER_LOAD]
         load = parse_load(values) if values else None
         if load is not None and self.heard_at is not None:
-            self.standing.load_told(load, self.heard_at)
+            self.standing.update_load(load, self.heard_at)
 
     def _begin_stream(self, length: int | None, events: bool) -> None:
         self._streaming = True
@@ -200,4 +200,4 @@
     def _finish(self) -> None:
         self.over = True
         self.call = None  # danger: the two hold each other, and would wait for the cycle collector
-        self.standing.finished(self.key)
+        self.standing.record_end(self.key)
--- a/cloverrouter/router/flight.py
+++ b/cloverrouter/router/flight.py
@@ -9,9 +9,9 @@
 
 from cloverrouter.http.fields import Headers
 from cloverrouter.http.server import Exchange
-from cloverrouter.placement.admission import absent_retry_after_s, has_time, retry_after_s
-from cloverrouter.placement.leaving import leaving_retry_after_s
-from cloverrouter.placement.servers import Standing
+from cloverrouter.placement.admission import has_time, no_servers_retry_after_s, retry_after_s
+from cloverrouter.placement.servers import ServerState
+from cloverrouter.placement.shutdown import shutdown_retry_after_s
 from cloverrouter.router import answers
 from cloverrouter.router.admitted import Admitted
 from cloverrouter.router.attempt import Attempt
@@ -100,10 +100,10 @@
         """A stream that the client has a part of goes on in any case: the next proxy could do no more."""
         return (self._relay is not None and self._relay.begun) or self._router.may_begin(self.admitted)
 
-    def _pick(self) -> Standing | None:
+    def _pick(self) -> ServerState | None:
         placement = self._router.placement(self.admitted.service)
         return placement.pick(
-            self.admitted.prompt, self._tries.servers, self._router.clock(), careful=self._tries.fragile
+            self.admitted.prompt, self._tries.servers, self._router.clock(), no_retry=self._tries.fragile
         )
 
     def _wait_for_quota(self) -> None:
@@ -125,16 +125,16 @@
             self._retry_timer.cancel()
         self._try()
 
-    def _send(self, standing: Standing) -> None:
+    def _send(self, standing: ServerState) -> None:
         router, admitted = self._router, self.admitted
         placement = router.placement(admitted.service)
         missing = placement.missing_tokens(standing, admitted.prompt)
         attempt = Attempt(self, standing, router.next_key(), missing)
         self._attempt = attempt
         self._tries.sent(standing.server.id)
-        standing.sent(attempt.key, router.clock())
+        standing.record_sent(attempt.key, router.clock())
         self._record.sent(standing.server.id)
-        placement.sent(standing, admitted.prompt)
+        placement.record_sent(standing, admitted.prompt)
         if self._tries.may_run_once_more and router.options.patience:
             self._patience = Patience(attempt, placement, router.clock, router.call_later, self._give_up)
         attempt.call = router.send(
@@ -157,7 +157,7 @@
         self.attempt_over(attempt, End.LOST, None)
         return True
 
-    def _message(self, standing: Standing) -> bytes:
+    def _message(self, standing: ServerState) -> bytes:
         fields = b"%b: %b\r\n%b: %d\r\n" % (
             EXPECTED_INSTANCE,
             standing.server.id.encode("latin-1", "replace"),
@@ -283,12 +283,12 @@
         self._quota.refund()
         draw = self._router.random.random()
         if self._router.draining:
-            wait = leaving_retry_after_s(draw)
+            wait = shutdown_retry_after_s(draw)
         elif self._tries.arrivals:
-            usual_ms = self._router.placement(self.admitted.service).first_token.usual_ms
+            usual_ms = self._router.placement(self.admitted.service).first_token.mean_ttft_ms
             wait = retry_after_s(usual_ms, self._left_ms(), draw)
         else:
-            wait = absent_retry_after_s(self._left_ms(), draw)
+            wait = no_servers_retry_after_s(self._left_ms(), draw)
         self._respond(answers.UNAVAILABLE, answers.retry_after(wait))
 
     def _pass_on(self, answer: Answer) -> None:
--- a/cloverrouter/router/intake.py
+++ b/cloverrouter/router/intake.py
@@ -113,7 +113,7 @@
         if len(targets) == 1:
             return targets[0][0]
         targets = [target for target in targets if self._usable(target[0])] or targets
-        subject = prompt.subject
+        subject = prompt.affinity_part
         draw = mix(subject.key ^ SPLIT_SALT) / 2.0**64 if subject is not None else self._random()
         mark = draw * sum(weight for _, weight in targets)
         for name, weight in targets:
--- a/cloverrouter/router/patience.py
+++ b/cloverrouter/router/patience.py
@@ -55,7 +55,7 @@
         left_s = self._left_s()
         if left_s > 0:
             self._timer = self._call_later(left_s, self._look)
-        elif not (self._placement.few_overdue(self._clock()) and self._give_up(attempt)):
+        elif not (self._placement.has_few_overdue(self._clock()) and self._give_up(attempt)):
             self._timer = self._call_later(LOOK_AGAIN_S, self._look)
 
     def _left_s(self) -> float:
--- a/cloverrouter/router/router.py
+++ b/cloverrouter/router/router.py
@@ -11,18 +11,18 @@
 from cloverrouter.http.client import Call
 from cloverrouter.http.fields import Headers
 from cloverrouter.http.server import Exchange
-from cloverrouter.placement import placement_news
+from cloverrouter.placement import placement_exchange
 from cloverrouter.placement.admission import unconfigured_retry_after_s
-from cloverrouter.placement.leaving import (
-    Expectation,
-    Leave,
-    LongestAnswers,
-    may_begin,
-)
 from cloverrouter.placement.options import IN_USE, PlacementOptions
 from cloverrouter.placement.pick import ServicePlacement
 from cloverrouter.placement.placement_messages import PlacementNews
 from cloverrouter.placement.servers import Server
+from cloverrouter.placement.shutdown import (
+    Expectation,
+    LongestAnswers,
+    ShutdownWindow,
+    may_begin,
+)
 from cloverrouter.router import answers
 from cloverrouter.router.admitted import Admitted
 from cloverrouter.router.attempt import Attempt
@@ -81,7 +81,7 @@
         """Newer configurations are known to be in force, and this process has not got any for too long."""
         self.keys_hold_until = math.inf
         """No key is taken later than that: it may have been taken away, and this proxy would not know."""
-        self._leave: Leave | None = None
+        self._leave: ShutdownWindow | None = None
         self._longest = LongestAnswers()
         self._pool = pool
         self._quota = quota
@@ -122,9 +122,9 @@
     def servers_changed(self, servers: Iterable[Server]) -> None:
         """Servers were added or changed. Nothing new goes to one that isn't ready, from now on."""
         for server in servers:
-            self.placement(server.service).told(server)
+            self.placement(server.service).update_server(server)
         for placement in self._placements.values():
-            placement.settle()
+            placement.prune()
         self._pool.keep_only(
             {address for one in self._placements.values() for address in one.servers.addresses()}
         )
@@ -133,15 +133,15 @@
         """Other proxies found these instances failing."""
         now = self.clock()
         for placement in self._placements.values():
-            placement.warned(ids, span_s, now)
+            placement.apply_warning(ids, span_s, now)
 
     def placement_news(self) -> PlacementNews | None:
         """What to tell other proxies of servers and requests."""
-        return placement_news.news(self._placements, self.clock())
+        return placement_exchange.outgoing_update(self._placements, self.clock())
 
     def placement_told(self, told: PlacementNews) -> None:
         """Another proxy tells of servers and requests."""
-        placement_news.take(told, self._placements, self.clock())
+        placement_exchange.apply_update(told, self._placements, self.clock())
 
     def report_overdue(self) -> None:
         """Tell of the servers that seem not to answer."""
@@ -158,7 +158,7 @@
     def leave(self, ends_at: float) -> None:
         """The process ends then. Answers end their connections from now on, and nothing is begun that might
         not be over by that time."""
-        self._leave = Leave(self.clock(), ends_at)
+        self._leave = ShutdownWindow(self.clock(), ends_at)
 
     def end_flights(self) -> None:
         """The process ends now: what is still under way is given the answer that is true of it."""
@@ -282,7 +282,7 @@
         now = self.clock()
         took_ms = (now - attempt.sent_at) * 1000
         model = self.placement(admitted.service).first_token
-        attempt.standing.delayed(took_ms - model.expected_ms(attempt.missing_tokens), now)
+        attempt.standing.record_delay(took_ms - model.expected_ms(attempt.missing_tokens), now)
         model.learn(attempt.missing_tokens, took_ms)
 
     def _learn_time(self, attempt: Attempt, admitted: Admitted, now: float) -> None:
@@ -290,13 +290,13 @@
         assert attempt.sent_at is not None
         took_ms = (now - attempt.sent_at) * 1000
         model = self.placement(admitted.service).first_token
-        attempt.standing.delayed(took_ms - model.expected_ms(0), now)
+        attempt.standing.record_delay(took_ms - model.expected_ms(0), now)
         model.learn(0, took_ms)
 
     def succeeded(self, attempt: Attempt, admitted: Admitted) -> None:
         """The server's own answer is whole."""
         now = self.clock()
-        attempt.standing.succeeded(now)
+        attempt.standing.record_success(now)
         self.budget.earn(admitted.service)
         if not admitted.prompt.parts and attempt.sent_at is not None and not admitted.route.affinity:
             self._learn_time(attempt, admitted, now)
@@ -306,23 +306,23 @@
         standing = attempt.standing
         if attempt.verdict is Verdict.MISPLACED:
             self._log("another instance has the address", instance=standing.server.id)
-            self.placement(admitted.service).servers.displaced(standing)
+            self.placement(admitted.service).servers.remove_displaced(standing)
         elif end in (End.UNREACHED, End.LOST, End.SPOILT):
-            standing.lost(self.clock())
+            standing.record_lost_connection(self.clock())
             self.on_trouble(standing.server.id)
         elif end is End.FAILED and attempt.status >= SERVER_ERRORS:
-            standing.erred(self.clock())
+            standing.record_error(self.clock())
             self.on_trouble(standing.server.id)
         elif end is not End.UNSENT:
-            standing.failed(self.clock())
+            standing.reduce_payoff(self.clock())
 
     def timed_out(self, attempt: Attempt) -> None:
         """A server did not answer in time."""
         if attempt.heard_at is None:
-            attempt.standing.never_answered(self.clock())
+            attempt.standing.record_no_answer(self.clock())
             self.on_trouble(attempt.standing.server.id)
         else:
-            attempt.standing.failed()
+            attempt.standing.reduce_payoff()
 
     def landed(self, flight: HostedFlight) -> None:
         """A flight is over."""
--- a/tests/system/quota_world.py
+++ b/tests/system/quota_world.py
@@ -53,16 +53,16 @@
 
     asked: int = 0
     run: int = 0
-    owed: int = 0  # admitted by a single reference bucket that sees all requests
-    owed_run: int = 0  # the part of these that has run
+    entitled: int = 0  # admitted by a single reference bucket that sees all requests
+    entitled_run: int = 0  # the part of these that has run
     reference_level: float = 0.0
     reference_at: float = 0.0
     runs: list[tuple[float, int]] = attrs.field(factory=list)
     waited: int = 0
     requests: int = 0
 
-    def refused_part(self) -> float:
-        return 1 - self.owed_run / self.owed if self.owed else 0.0
+    def refused_share(self) -> float:
+        return 1 - self.entitled_run / self.entitled if self.entitled else 0.0
 
 
 class World:
@@ -339,10 +339,10 @@
         if tally.reference_level < tokens:
             return False
         tally.reference_level -= tokens
-        tally.owed += tokens
+        tally.entitled += tokens
         return True
 
-    def _ask(self, tenant: str, tokens: int, proxy: Proxy, since: float, owed: bool, again: bool) -> None:
+    def _ask(self, tenant: str, tokens: int, proxy: Proxy, since: float, entitled: bool, again: bool) -> None:
         if not self.awake(proxy):
             return
         clock = proxy.clock(self.now)
@@ -350,14 +350,14 @@
         tally = self.tallies[tenant]
         if wait == 0.0:
             tally.run += tokens
-            tally.owed_run += tokens * owed
+            tally.entitled_run += tokens * entitled
             tally.runs.append((self.now, tokens))
             return
         self._send(proxy, list(proxy.holder.flush(clock)))
         if wait > ASK_WAIT_S or self.now - since > MAX_HOLD_S:
             return
         tally.waited += not again
-        self.at(self.now + 0.008, lambda: self._ask(tenant, tokens, proxy, since, owed, True))
+        self.at(self.now + 0.008, lambda: self._ask(tenant, tokens, proxy, since, entitled, True))
 
     def worst_window(self, tenant: str) -> float:
         """Returns the largest number of tokens run in any window, as a share of what the rule allows."""
--- a/tests/system/test_fleet_health.py
+++ b/tests/system/test_fleet_health.py
@@ -4,10 +4,10 @@
 
 from random import Random
 
+from cloverrouter.placement.failure_reports import FailureAggregator, FailureReporter
 from cloverrouter.placement.pick import ServicePlacement
 from cloverrouter.placement.prefix import NO_PROMPT
 from cloverrouter.placement.servers import Server
-from cloverrouter.placement.trouble import TroubleDesk, TroubleReporter
 
 PROXIES = 80
 SERVERS = 30
@@ -27,8 +27,8 @@
         self.fail_part = fail_part
         self.shares = shares
         self.proxies = [self._proxy(number) for number in range(PROXIES)]
-        self.reporters = [TroubleReporter(self.zone(number)) for number in range(PROXIES)]
-        self.aggregator = TroubleDesk(lambda: PROXIES)
+        self.reporters = [FailureReporter(self.zone(number)) for number in range(PROXIES)]
+        self.aggregator = FailureAggregator(lambda: PROXIES)
         self.requests_lost = 0
         self.at_bad = 0
 
@@ -39,7 +39,7 @@
     def _proxy(self, number: int) -> ServicePlacement:
         made = ServicePlacement(Random(number).random, self.zone(number))
         for place in range(SERVERS):
-            made.told(
+            made.update_server(
                 Server(f"i-{place}", "app", ("10.0.0.1", place + 1), self.zone(place), 6, ready=True)
             )
         return made
@@ -53,16 +53,16 @@
                 self._exchange_reports()
 
     def _request(self, number: int) -> None:
-        state = self.proxies[number].pick(NO_PROMPT, (), self.now, careful=True)
+        state = self.proxies[number].pick(NO_PROMPT, (), self.now, no_retry=True)
         assert state is not None
         is_bad = state.server.id == "i-0"
         self.at_bad += is_bad
         if is_bad and self.now < self.until and self.random.random() < self.fail_part:
-            state.erred(self.now)
-            self.reporters[number].failed("i-0")
+            state.record_error(self.now)
+            self.reporters[number].record_failure("i-0")
             self.requests_lost += 1
         else:
-            state.succeeded(self.now)
+            state.record_success(self.now)
 
     def _exchange_reports(self) -> None:
         for number, reporter in enumerate(self.reporters):
@@ -72,7 +72,7 @@
             for warning in self.aggregator.receive(self.now, f"10.0.0.{number}", report):
                 for place, proxy in enumerate(self.proxies):
                     if warning.zone in ("", self.zone(place)):
-                        proxy.warned(warning.ids, warning.for_ms / 1000, self.now)
+                        proxy.apply_warning(warning.ids, warning.for_ms / 1000, self.now)
 
 
 def requests_lost(shares: bool, fail_part: float) -> int:
--- a/tests/system/test_leaving_process.py
+++ b/tests/system/test_leaving_process.py
@@ -14,7 +14,13 @@
 from cloverrouter.http.client import Failure
 from cloverrouter.http.server import Exchange, Request
 from cloverrouter.lab.fleet import deployment, nodes
-from cloverrouter.placement.leaving import KEPT_S, Expectation, Leave, LongestAnswers, may_begin
+from cloverrouter.placement.shutdown import (
+    RETENTION_S,
+    Expectation,
+    LongestAnswers,
+    ShutdownWindow,
+    may_begin,
+)
 from tests.system.no_signals import NoSignals
 from tests.system.router_world import (
     CONFIGURATION,
@@ -88,7 +94,7 @@
 
 def begun(now: float, deadline: float, longest_s: float | None = None, can_resume: bool = False) -> bool:
     """In a process that was told at 0.0 to end, and ends at 7.3."""
-    return may_begin(Leave(0.0, 7.3), now, Expectation(deadline, longest_s, can_resume))
+    return may_begin(ShutdownWindow(0.0, 7.3), now, Expectation(deadline, longest_s, can_resume))
 
 
 def test_what_is_over_at_its_deadline_before_the_end_may_begin() -> None:
@@ -112,7 +118,7 @@
 
 
 def test_a_long_grace_does_not_lengthen_the_time_in_which_estimates_count() -> None:
-    leave = Leave(0.0, 60.0)
+    leave = ShutdownWindow(0.0, 60.0)
     assert may_begin(leave, 2.4, Expectation(90.0, 3.0, False))
     assert not may_begin(leave, 2.6, Expectation(90.0, 3.0, False))
     assert not may_begin(leave, 2.6, Expectation(90.0, None, True))
@@ -124,12 +130,12 @@
     assert longest.of("a", 0.0) is None
     longest.note("a", 3.0, 0.0)
     longest.note("a", 1.0, 1.0)
-    assert longest.of("a", KEPT_S - 1) == 3.0
-    assert longest.of("b", KEPT_S - 1) is None
-    longest.note("a", 2.0, KEPT_S + 1)
-    assert longest.of("a", KEPT_S + 2) == 3.0
-    assert longest.of("a", 2 * KEPT_S + 2) == 2.0
-    assert longest.of("a", 9 * KEPT_S) is None
+    assert longest.of("a", RETENTION_S - 1) == 3.0
+    assert longest.of("b", RETENTION_S - 1) is None
+    longest.note("a", 2.0, RETENTION_S + 1)
+    assert longest.of("a", RETENTION_S + 2) == 3.0
+    assert longest.of("a", 2 * RETENTION_S + 2) == 2.0
+    assert longest.of("a", 9 * RETENTION_S) is None
 
 
 # What the router makes of it
--- a/tests/system/test_mechanisms.py
+++ b/tests/system/test_mechanisms.py
@@ -38,7 +38,7 @@
     test_configuration_orders,
     test_distribution,
     test_large_states,
-    test_quota_lives,
+    test_quota_epochs,
     test_registry,
     test_replica_store,
     test_subscribers,
@@ -304,7 +304,7 @@
         yield
 
 
-@mechanism(lambda: test_quota_lives.test_an_allocator_answers_those_of_its_epoch(6, False))
+@mechanism(lambda: test_quota_epochs.test_an_allocator_answers_those_of_its_epoch(6, False))
 def the_allocator_answers_its_epoch() -> Iterator[None]:
     original = QuotaAllocator.receive
 
@@ -318,7 +318,7 @@
         yield
 
 
-@mechanism(lambda: test_quota_lives.test_a_proxy_takes_credit_of_its_life_and_epoch(7, 4243, False))
+@mechanism(lambda: test_quota_epochs.test_credit_counts_for_its_process_and_epoch(7, 4243, False))
 def credit_names_the_life_of_the_proxy() -> Iterator[None]:
     original = QuotaHolder.receive
 
@@ -332,7 +332,7 @@
         yield
 
 
-@mechanism(lambda: test_quota_lives.test_a_proxy_is_bound_by_contact_of_its_life_and_epoch(6, 4242, False))
+@mechanism(lambda: test_quota_epochs.test_contact_counts_for_its_process_and_epoch(6, 4242, False))
 def contact_names_the_epoch_of_the_head() -> Iterator[None]:
     original = QuotaHolder.receive
 
@@ -346,7 +346,7 @@
         yield
 
 
-@mechanism(test_quota_lives.test_what_an_allocator_has_left_is_taken_over_once)
+@mechanism(test_quota_epochs.test_a_handover_is_applied_once)
 def what_is_left_of_a_pool_is_taken_over_once() -> Iterator[None]:
     original = QuotaAllocator._take_over
 
--- a/tests/system/test_pages_requests.py
+++ b/tests/system/test_pages_requests.py
@@ -20,7 +20,7 @@
 from cloverrouter.http.client import Failure
 from cloverrouter.http.request import RequestReader, ServerLimits
 from cloverrouter.http.server import Exchange, Request
-from cloverrouter.placement.admission import LEAST_TIME_MS
+from cloverrouter.placement.admission import MIN_TIME_LEFT_MS
 from cloverrouter.router.attempt import Attempt
 from cloverrouter.router.headers import deadline_ms
 from tests.system.router_world import (
@@ -255,7 +255,7 @@
 
 
 def test_a_request_without_time_to_run_is_handed_to_nobody(world: World) -> None:
-    exchange = world.ask("/once/x", (DEADLINE, b"%d" % (LEAST_TIME_MS - 1)))
+    exchange = world.ask("/once/x", (DEADLINE, b"%d" % (MIN_TIME_LEFT_MS - 1)))
     assert not world.calls and exchange.status == 503
 
 
@@ -426,7 +426,7 @@
         key=b"key-of-a",
     )
     left_ms = deadline_ms(Request(b"GET", b"/", [(DEADLINE, told)], b"", 0.0))
-    assert len(world.calls) == 1 or (left_ms is not None and left_ms < LEAST_TIME_MS)
+    assert len(world.calls) == 1 or (left_ms is not None and left_ms < MIN_TIME_LEFT_MS)
 
 
 @given(st.lists(st.sampled_from([b"5c:8", b":", b",", b"0:0", b"ff:-1", b"zz:1", b"1:99999999999999999999"])))
--- a/tests/system/test_placement_pick.py
+++ b/tests/system/test_placement_pick.py
@@ -8,11 +8,11 @@
 
 import pytest
 
-from cloverrouter.placement.admission import absent_retry_after_s, has_time, retry_after_s
+from cloverrouter.placement.admission import has_time, no_servers_retry_after_s, retry_after_s
 from cloverrouter.placement.first_token import FirstTokenModel
 from cloverrouter.placement.pick import HOME_MISSING_SHARE, ServicePlacement
 from cloverrouter.placement.prefix import NO_PROMPT, Prompt, parse_prompt
-from cloverrouter.placement.servers import UNRESPONSIVE_S, Server, Standing
+from cloverrouter.placement.servers import UNRESPONSIVE_S, Server, ServerState
 
 NOW = 100.0
 
@@ -20,7 +20,7 @@
 def placement(count: int = 6, seed: int = 1, zone: str = "east", **changes: Any) -> ServicePlacement:
     made = ServicePlacement(Random(seed).random, zone, kv_tokens=50_000)
     for place in range(count):
-        made.told(server(place, **changes))
+        made.update_server(server(place, **changes))
     return made
 
 
@@ -40,7 +40,7 @@
     return parse_prompt(f"aa:800,{number + 4096:x}:400,{number + 90000:x}:200")
 
 
-def pick(made: ServicePlacement, prompt: Prompt = NO_PROMPT, now: float = NOW) -> Standing:
+def pick(made: ServicePlacement, prompt: Prompt = NO_PROMPT, now: float = NOW) -> ServerState:
     found = made.pick(prompt, (), now)
     assert found is not None
     return found
@@ -66,7 +66,7 @@
 def test_few_subjects_move_when_a_server_goes() -> None:
     made = placement()
     before = {number: pick(made, subject(number)).server.id for number in range(200)}
-    made.told(server(2, ready=False))
+    made.update_server(server(2, ready=False))
     for number, home in before.items():
         found = pick(made, subject(number)).server.id
         assert found != "i-2"
@@ -77,8 +77,8 @@
     made = placement()
     home = pick(made, subject(1))
     for key in range(8):
-        home.sent(key, NOW)
-        home.heard(key, NOW)
+        home.record_sent(key, NOW)
+        home.record_first_byte(key, NOW)
     assert pick(made, subject(1)) is not home
 
 
@@ -86,8 +86,8 @@
     made = placement()
     long = parse_prompt("aa:2520,bb:3780,cc:100")
     home = pick(made, long)
-    made.sent(home, long)
-    home.sent(1, NOW)
+    made.record_sent(home, long)
+    home.record_sent(1, NOW)
     assert pick(made, long) is home
 
 
@@ -95,9 +95,9 @@
     made = placement()
     short = parse_prompt("aa:20,bb:30,cc:10")
     home = pick(made, short)
-    made.sent(home, short)
-    home.sent(1, NOW)
-    home.sent(2, NOW)
+    made.record_sent(home, short)
+    home.record_sent(1, NOW)
+    home.record_sent(2, NOW)
     assert pick(made, short) is not home
 
 
@@ -105,8 +105,8 @@
     made = placement()
     long = parse_prompt("aa:2520,bb:3780,cc:100")
     home = pick(made, long)
-    made.sent(home, long)
-    home.sent(1, NOW - UNRESPONSIVE_S / 2)
+    made.record_sent(home, long)
+    home.record_sent(1, NOW - UNRESPONSIVE_S / 2)
     assert pick(made, long) is not home
 
 
@@ -114,7 +114,7 @@
     made = placement()
     home = pick(made, subject(1))
     for _ in range(10):
-        home.delayed(800.0, NOW)
+        home.record_delay(800.0, NOW)
     assert pick(made, subject(1)) is not home
     assert pick(made, subject(1), NOW + 20) is home
 
@@ -122,31 +122,31 @@
 def test_an_unreachable_server_pauses_for_a_growing_while() -> None:
     made = placement()
     home = pick(made, subject(1))
-    home.lost(NOW)
+    home.record_lost_connection(NOW)
     first = home.paused_until - NOW
     assert pick(made, subject(1)) is not home
-    home.lost(NOW)
+    home.record_lost_connection(NOW)
     assert home.paused_until - NOW > first
     assert pick(made, subject(1), home.paused_until + 1) is home
-    home.succeeded()
-    assert not home.avoided(NOW)
+    home.record_success()
+    assert not home.should_avoid(NOW)
 
 
 def test_a_server_that_sends_nothing_is_unresponsive_while_a_request_waits() -> None:
     made = placement()
     home = pick(made, subject(1))
-    home.sent(1, NOW)
+    home.record_sent(1, NOW)
     assert not home.is_unresponsive(NOW + UNRESPONSIVE_S / 2)
     assert home.is_unresponsive(NOW + UNRESPONSIVE_S * 2)
-    home.heard(1, NOW + UNRESPONSIVE_S * 2)
+    home.record_first_byte(1, NOW + UNRESPONSIVE_S * 2)
     assert not home.is_unresponsive(NOW + UNRESPONSIVE_S * 3)
 
 
 def test_a_server_that_sends_other_answers_is_responsive() -> None:
     made = placement()
     home = pick(made, subject(1))
-    home.sent(1, NOW)
-    home.alive(NOW + 1)
+    home.record_sent(1, NOW)
+    home.record_bytes(NOW + 1)
     assert not home.is_unresponsive(NOW + 1 + UNRESPONSIVE_S / 2)
     assert home.is_unresponsive(NOW + 1 + UNRESPONSIVE_S * 2)
 
@@ -172,7 +172,7 @@
 def test_without_a_prompt_the_less_loaded_of_two_is_picked() -> None:
     made = placement(2)
     busy, idle = made.servers.ready
-    busy.sent(1, NOW)
+    busy.record_sent(1, NOW)
     assert all(pick(made) is idle for _ in range(20))
 
 
@@ -185,7 +185,7 @@
 def test_a_server_that_warms_up_gets_less() -> None:
     made = placement(2)
     cold = made.servers.ready[0]
-    made.told(server(0, warm_at=NOW + 5))
+    made.update_server(server(0, warm_at=NOW + 5))
     assert all(pick(made) is not cold for _ in range(20))
     assert all(pick(made, now=NOW + 6) is cold for _ in range(20))  # it is in the proxy's own zone
 
@@ -194,18 +194,18 @@
     made = placement(2)
     for one in made.servers.ready:
         for _ in range(3):
-            one.failed()
-    made.told(server(5))
+            one.reduce_payoff()
+    made.update_server(server(5))
     assert made.servers.states["i-5"].payoff == pytest.approx(0.8**3)
 
 
 def test_a_displaced_instance_never_comes_back() -> None:
     made = placement(2)
     removed = made.servers.ready[0]
-    made.servers.displaced(removed)
+    made.servers.remove_displaced(removed)
     for _ in range(3):
-        made.told(server(0))
-        made.settle()
+        made.update_server(server(0))
+        made.prune()
     assert [one.server.id for one in made.servers.ready] == ["i-1"]
 
 
@@ -215,7 +215,7 @@
     other = next(one for one in made.servers.ready if one is not home)
     assert made.missing_tokens(other, subject(1)) == 1400
     assert made.missing_tokens(home, subject(1)) == 200 + HOME_MISSING_SHARE * 1200  # others sent the rest
-    made.sent(home, subject(1))
+    made.record_sent(home, subject(1))
     assert made.missing_tokens(home, subject(1)) == 0
     assert made.missing_tokens(home, parse_prompt("aa:800,1001:400,ff:77")) == 77
 
@@ -234,7 +234,7 @@
     for _ in range(50):
         model.learn(100, 12.0)
     assert model.expected_ms(100) == pytest.approx(12.0)
-    assert model.usual_ms == pytest.approx(12.0)
+    assert model.mean_ttft_ms == pytest.approx(12.0)
 
 
 def test_the_retry_after_is_within_the_remaining_time() -> None:
@@ -243,10 +243,10 @@
     assert retry_after_s(20, 5000, 0.0) < retry_after_s(400, 5000, 0.0)
     assert (
         retry_after_s(20, 5000, 0.0)
-        < absent_retry_after_s(5000, 0.0)
-        < absent_retry_after_s(5000, 1.0)
+        < no_servers_retry_after_s(5000, 0.0)
+        < no_servers_retry_after_s(5000, 1.0)
     )
-    assert absent_retry_after_s(600, 1.0) < 0.2
+    assert no_servers_retry_after_s(600, 1.0) < 0.2
     assert not has_time(0)
     assert has_time(100)
 
@@ -294,7 +294,7 @@
 def test_long_answers_leave_a_zone_with_few_servers() -> None:
     made = placement(0)
     for place in range(12):
-        made.told(server(place, zone="east" if place < 2 else "west"))
+        made.update_server(server(place, zone="east" if place < 2 else "west"))
     assert len(homes(made, [decode_heavy(number) for number in range(400)])) == 12
 
 
@@ -302,7 +302,7 @@
     made = placement(9)
     for state in made.servers.ready:
         if state.server.zone == "east":
-            state.delayed(3_000.0, NOW)
+            state.record_delay(3_000.0, NOW)
     assert {made.servers.states[one].server.zone for one in homes(made, [decode_heavy(7)] * 50)} == {
         "west",
         "north",
@@ -327,12 +327,12 @@
     pick(made, prefill_heavy(0))
     reserved = pick(made, decode_heavy(1))
     for key in range(6):
-        reserved.sent(key, NOW)
-        reserved.heard(key, NOW)
+        reserved.record_sent(key, NOW)
+        reserved.record_first_byte(key, NOW)
     second = pick(made, decode_heavy(1))
     for key in range(10, 16):
-        second.sent(key, NOW)
-        second.heard(key, NOW)
+        second.record_sent(key, NOW)
+        second.record_first_byte(key, NOW)
     third = pick(made, decode_heavy(1))
     assert len({reserved.server.id, second.server.id, third.server.id}) == 3
 
@@ -344,7 +344,7 @@
     for _ in range(2):
         reserved.append(pick(made, decode_heavy(1)))
         for _ in range(10):
-            reserved[-1].delayed(300.0, NOW)
+            reserved[-1].record_delay(300.0, NOW)
     assert reserved[0] is not reserved[1]
     assert pick(made, decode_heavy(1)) not in reserved
     assert pick(made, decode_heavy(1), NOW + 15) in reserved
@@ -356,13 +356,13 @@
     reserved = set(homes(made, [decode_heavy(number) for number in range(50)]))
     for key in range(6):
         for one in reserved:
-            made.servers.states[one].sent(key, NOW)
-            made.servers.states[one].heard(key, NOW)
+            made.servers.states[one].record_sent(key, NOW)
+            made.servers.states[one].record_first_byte(key, NOW)
     assert set(homes(made, [decode_heavy(number) for number in range(50)])) == reserved
     for key in range(6, 12):
         for one in reserved:
-            made.servers.states[one].sent(key, NOW)
-            made.servers.states[one].heard(key, NOW)
+            made.servers.states[one].record_sent(key, NOW)
+            made.servers.states[one].record_first_byte(key, NOW)
     assert not reserved & set(homes(made, [decode_heavy(number) for number in range(50)]))
 
 
@@ -373,10 +373,10 @@
     reserved = set(homes(made, [decode_heavy(number) for number in range(50)]))
     for key in range(4):
         for one in reserved:
-            made.servers.states[one].sent(key, NOW)
-            made.servers.states[one].heard(key, NOW)
+            made.servers.states[one].record_sent(key, NOW)
+            made.servers.states[one].record_first_byte(key, NOW)
     assert set(homes(made, [decode_heavy(number) for number in range(50)])) == reserved
     for one in reserved:
-        made.servers.states[one].sent(4, NOW)
-        made.servers.states[one].heard(4, NOW)
+        made.servers.states[one].record_sent(4, NOW)
+        made.servers.states[one].record_first_byte(4, NOW)
     assert not reserved & set(homes(made, [decode_heavy(number) for number in range(50)]))
--- a/tests/system/test_placement_prefix.py
+++ b/tests/system/test_placement_prefix.py
@@ -17,7 +17,7 @@
         self.most = most
         self.parts: list[Part] = []
 
-    def sent(self, prompt: Prompt) -> None:
+    def record_sent(self, prompt: Prompt) -> None:
         for part in reversed(prompt.parts):
             self.parts = [kept for kept in self.parts if kept.key != part.key] + [part]
         while self.parts and (
@@ -46,8 +46,8 @@
 ) -> None:
     cache, plain = PrefixCache(capacity, most), PlainCache(capacity, most)
     for prompt in sent:
-        cache.sent(prompt)
-        plain.sent(prompt)
+        cache.record_sent(prompt)
+        plain.record_sent(prompt)
         assert cache.missing_tokens(asked) == plain.missing(asked)
         assert cache.tokens == sum(part.tokens for part in plain.parts)
         assert len(cache) == len(plain.parts)
@@ -57,7 +57,7 @@
     prompt = parse_prompt("5c1e07a2:800,91BD3F06:410, e4402b7d:250", "m")
     assert [part.tokens for part in prompt.parts] == [800, 410, 250]
     assert prompt.tokens == 1460
-    assert prompt.subject == prompt.parts[1]
+    assert prompt.affinity_part == prompt.parts[1]
     assert prompt.shared == prompt.parts[:2]
     assert prompt == parse_prompt("5c1e07a2:800,91bd3f06:410,e4402b7d:250", "m")
 
@@ -69,7 +69,7 @@
 
 
 def test_the_subject_of_short_chains_is_their_first_part() -> None:
-    assert parse_prompt("aa:1,bb:2").subject == parse_prompt("aa:1").subject
+    assert parse_prompt("aa:1,bb:2").affinity_part == parse_prompt("aa:1").affinity_part
 
 
 @pytest.mark.parametrize(
@@ -95,7 +95,7 @@
 )
 def test_a_malformed_header_gives_no_prompt(value: str | None) -> None:
     assert parse_prompt(value) == NO_PROMPT
-    assert NO_PROMPT.subject is None
+    assert NO_PROMPT.affinity_part is None
 
 
 @given(st.text(max_size=60))
--- a/tests/system/test_placement_calm.py
+++ b/tests/system/test_placement_reserved_servers.py
@@ -7,32 +7,37 @@
 
 import attrs
 
-from cloverrouter.placement.calm import GROW_INTERVAL_S, KIND_EXPIRY_S, SHRINK_AFTER_S, ReservedServers
 from cloverrouter.placement.prefix import parse_prompt
-from cloverrouter.placement.servers import Server, Standing
+from cloverrouter.placement.reserved_servers import (
+    GROW_INTERVAL_S,
+    KIND_EXPIRY_S,
+    SHRINK_AFTER_S,
+    ReservedServers,
+)
+from cloverrouter.placement.servers import Server, ServerState
 
 NOW = 100.0
 MEAN_TTFT_MS = 40.0
 
 
-def states(count: int) -> list[Standing]:
+def states(count: int) -> list[ServerState]:
     return [
-        Standing(
+        ServerState(
             Server(f"i-{place}", "model", ("10.0.0.1", place + 1), "east", 12, ready=True), payoff=1.0
         )
         for place in range(count)
     ]
 
 
-def reserved_of(ready: list[Standing]) -> ReservedServers:
+def reserved_of(ready: list[ServerState]) -> ReservedServers:
     reserved = ReservedServers()
     reserved.servers_changed(ready)
     return reserved
 
 
-def make_late(servers: set[Standing], now: float, ms: float = 2000.0) -> None:
+def make_late(servers: set[ServerState], now: float, ms: float = 2000.0) -> None:
     for one in servers:
-        one.delayed(ms, now)
+        one.record_delay(ms, now)
 
 
 def test_a_quarter_is_reserved_and_all_proxies_agree_on_which() -> None:
@@ -91,7 +96,7 @@
 def test_a_request_that_waits_counts_before_its_answer_begins() -> None:
     reserved = reserved_of(states(8))
     for key, one in enumerate(reserved.members):
-        one.sent(key, NOW)
+        one.record_sent(key, NOW)
     assert not reserved.adapt(NOW + 0.05, MEAN_TTFT_MS)
     assert reserved.adapt(NOW + 0.2, MEAN_TTFT_MS)
 
@@ -112,7 +117,7 @@
 def test_one_late_server_of_several_is_not_enough() -> None:
     reserved = reserved_of(states(16))
     first = next(iter(reserved.members))
-    first.delayed(MEAN_TTFT_MS * 5, NOW)  # smoothed: 1.5 mean TTFTs, 0.4 on average over the four
+    first.record_delay(MEAN_TTFT_MS * 5, NOW)  # smoothed: 1.5 mean TTFTs, 0.4 on average over the four
     assert not reserved.adapt(NOW, MEAN_TTFT_MS)
 
 
@@ -133,10 +138,10 @@
     reserved.fleet_size = 10
     first, second = reserved.members
     for key in range(2):
-        first.sent(key, NOW)
-        second.sent(key, NOW)
-        first.heard(key, NOW)
-        second.heard(key, NOW)
+        first.record_sent(key, NOW)
+        second.record_sent(key, NOW)
+        first.record_first_byte(key, NOW)
+        second.record_first_byte(key, NOW)
         assert reserved.adapt(NOW + 1, MEAN_TTFT_MS) is (key == 1)
     assert len(reserved.members) == 3
     assert not reserved.adapt(NOW + 2, MEAN_TTFT_MS)  # 40 in flight on 36 slots: not 1.2 times
@@ -146,8 +151,8 @@
     reserved = reserved_of(states(8))
     reserved.fleet_size = 3
     for key, one in enumerate(list(reserved.members) * 4):
-        one.sent(key, NOW)
-        one.heard(key, NOW)
+        one.record_sent(key, NOW)
+        one.record_first_byte(key, NOW)
     assert not reserved.adapt(NOW + 1, MEAN_TTFT_MS)
 
 
@@ -158,6 +163,6 @@
     assert not reserved.adapt(NOW, MEAN_TTFT_MS)
     for key in range(2):
         for one in reserved.members:
-            one.sent(key, NOW)
-            one.heard(key, NOW)
+            one.record_sent(key, NOW)
+            one.record_first_byte(key, NOW)
     assert reserved.adapt(NOW, MEAN_TTFT_MS)
--- a/tests/system/test_quota.py
+++ b/tests/system/test_quota.py
@@ -8,7 +8,7 @@
 
 from cloverrouter.control.quota_pool import idle_part
 from cloverrouter.placement.quota_plan import (
-    STANDBY_ROOM_PART,
+    STANDBY_CAPACITY_PART,
     QuotaRules,
     TenantLimit,
     allowed_tokens,
@@ -40,10 +40,10 @@
     plan = plan_tenant(limit, rules, fleet)
     for standing_by in (0.0, 0.3, 1.0):
         rates = plan.rate * idle_part(1 - standing_by) + standing_by * fleet * plan.own_rate
-        pooled = plan.room * (1 - standing_by * STANDBY_ROOM_PART)
-        rooms = pooled + standing_by * fleet * plan.own_room + fleet * plan.line_room
+        pooled = plan.capacity * (1 - standing_by * STANDBY_CAPACITY_PART)
+        rooms = pooled + standing_by * fleet * plan.own_capacity + fleet * plan.base_capacity
         assert rates * window_s + rooms + plan.debt <= allowed_tokens(limit, rules) * 0.991 + 1e-6
-    assert min(plan.rate, plan.room, plan.debt, plan.line_room, plan.own_rate, plan.own_room) >= 0
+    assert min(plan.rate, plan.capacity, plan.debt, plan.base_capacity, plan.own_rate, plan.own_capacity) >= 0
 
 
 @pytest.mark.parametrize(("proxies", "rate"), [(11, 60_000), (11, 280_000), (83, 280_000), (83, 2_000_000)])
@@ -51,7 +51,7 @@
     world = World(1, proxies, {"a": TenantLimit(rate, rate)})
     loaded(world, 0.77)
     world.run(30)
-    assert world.tallies["a"].refused_part() < 0.02
+    assert world.tallies["a"].refused_share() < 0.02
     assert world.worst_window("a") <= 1
 
 
--- a/tests/system/test_quota_cores.py
+++ b/tests/system/test_quota_cores.py
@@ -9,7 +9,7 @@
 from cloverrouter.control.quota_allocator import CREDIT_S, QuotaAllocator
 from cloverrouter.messages import Decoder, encode
 from cloverrouter.messages.sending import Send
-from cloverrouter.placement.quota import ASK_WAIT_S, OWN_FOR_S, Effect, QuotaHolder
+from cloverrouter.placement.quota import ASK_WAIT_S, STANDBY_S, Effect, QuotaHolder
 from cloverrouter.placement.quota_messages import (
     QuotaAsk,
     QuotaContact,
@@ -137,7 +137,7 @@
         ask = sent(one.flush(1.0), QuotaAsk)
         one.receive(1.004, HEAD, credit(ask, BIG))
         one.admit("a", 1_000, 1.005)
-        assert one.figures(1.13)["a"].tokens == pytest.approx(PLAN.line_room)
+        assert one.figures(1.13)["a"].tokens == pytest.approx(PLAN.base_capacity)
 
     def test_a_dry_pool_refuses_until_it_is_said_to_fill(self) -> None:
         one = holder_in_contact()
@@ -173,9 +173,9 @@
 
     def test_back_in_contact_it_keeps_no_more_than_it_may_hold_in_advance(self) -> None:
         one = holder()
-        assert one.figures(50.0)["a"].tokens == pytest.approx(PLAN.line_room + PLAN.own_room)
+        assert one.figures(50.0)["a"].tokens == pytest.approx(PLAN.base_capacity + PLAN.own_capacity)
         one.receive(50.1, HEAD, contact(sent(one.tick(50.0), QuotaReport)))
-        assert one.figures(50.1)["a"].tokens == pytest.approx(PLAN.line_room)
+        assert one.figures(50.1)["a"].tokens == pytest.approx(PLAN.base_capacity)
 
     def test_a_process_that_starts_does_not_stand_by_at_once(self) -> None:
         """The preceding process at this address may still have to stay out of standby."""
@@ -191,14 +191,14 @@
 
     def test_a_proxy_cut_off_for_long_has_no_rate_any_more(self) -> None:
         one = holder()
-        assert one.stands_by(OWN_FOR_S - 0.1)
-        assert not one.stands_by(OWN_FOR_S)
-        assert one.figures(OWN_FOR_S)["a"].tokens == 0
+        assert one.stands_by(STANDBY_S - 0.1)
+        assert not one.stands_by(STANDBY_S)
+        assert one.figures(STANDBY_S)["a"].tokens == 0
 
     def test_a_proxy_that_wakes_has_not_more_than_its_room(self) -> None:
         one = holder()
         one.receive(2.0, HEAD, contact(sent(one.tick(1.9), QuotaReport)))
-        assert one.admit("a", int(PLAN.line_room + PLAN.own_room) + 1, 40.0) > 0
+        assert one.admit("a", int(PLAN.base_capacity + PLAN.own_capacity) + 1, 40.0) > 0
 
     @pytest.mark.parametrize("fields", [{"epoch": 2}, {"incarnation": 8}])
     def test_contact_for_another_life_changes_nothing(self, fields: dict[str, int]) -> None:
@@ -212,7 +212,7 @@
         newer = sent(one.tick(2.1), QuotaReport)
         one.receive(2.2, HEAD, contact(newer))
         one.receive(2.6, HEAD, contact(older))
-        assert sent(one.tick(2.6), QuotaReport).heard == newer.number
+        assert sent(one.tick(2.6), QuotaReport).acknowledged == newer.number
         assert one.stands_by(2.8)
 
     def test_a_new_head_is_reported_to_at_once(self) -> None:
@@ -220,7 +220,7 @@
         one.receive(2.0, HEAD, contact(sent(one.tick(1.9), QuotaReport)))
         one.head_changed("10.0.0.8", 4)
         report = sent(one.tick(2.01), QuotaReport)
-        assert (report.epoch, report.heard) == (4, 0)
+        assert (report.epoch, report.acknowledged) == (4, 0)
 
     def test_an_unknown_head_is_asked_at_its_last_address(self) -> None:
         one = holder()
@@ -233,7 +233,7 @@
         one.receive(0.2, HEAD, contact(sent(one.tick(0.15), QuotaReport)))
         ask = sent(one.tick(0.4), QuotaAsk)
         assert ask.tokens == {}
-        assert ask.spare["a"] == pytest.approx(PLAN.line_room, abs=1)
+        assert ask.spare["a"] == pytest.approx(PLAN.base_capacity, abs=1)
 
     def test_tenants_come_and_go(self) -> None:
         one = holder()
@@ -246,7 +246,7 @@
         one.figures(50.0)
         one.configure({"a": TenantLimit(1_000, 1_000)}, FLEET)
         lower = plan_tenant(TenantLimit(1_000, 1_000), QuotaRules(), FLEET)
-        assert one.figures(50.0)["a"].tokens == pytest.approx(lower.line_room + lower.own_room)
+        assert one.figures(50.0)["a"].tokens == pytest.approx(lower.base_capacity + lower.own_capacity)
 
 
 def allocator(now: float = 0.0, fleet: int = FLEET) -> QuotaAllocator:
@@ -255,8 +255,8 @@
     return made
 
 
-def report(number: int, heard: int = 0, incarnation: int = 7) -> QuotaReport:
-    return QuotaReport(3, incarnation, number, heard)
+def report(number: int, acknowledged: int = 0, incarnation: int = 7) -> QuotaReport:
+    return QuotaReport(3, incarnation, number, acknowledged)
 
 
 def ask(number: int, tokens: int, epoch: int = 3) -> QuotaAsk:
@@ -278,7 +278,7 @@
     number = round(now * 20)
     for index in range(proxies):
         one.receive(now, f"10.0.0.{index}", report(number))
-        one.receive(now + 0.01, f"10.0.0.{index}", report(number + 1, heard=number))
+        one.receive(now + 0.01, f"10.0.0.{index}", report(number + 1, acknowledged=number))
 
 
 def in_contact(now: float) -> QuotaAllocator:
@@ -297,7 +297,7 @@
     def test_the_pool_lends_what_it_holds_and_some_debt(self) -> None:
         one = in_contact(30.0)
         total = sum(lent(one, 30.0, BIG) for _ in range(100))
-        assert PLAN.room < total <= PLAN.room + PLAN.debt
+        assert PLAN.capacity < total <= PLAN.capacity + PLAN.debt
 
     def test_a_new_pool_owes_what_one_before_may_owe(self) -> None:
         one = allocator(10.0)
@@ -311,10 +311,10 @@
 
     def test_what_is_handed_over_waits_until_the_proxies_talk(self) -> None:
         one = allocator(10.0)
-        one.receive(10.0, "10.0.0.1", QuotaHandover(3, 2, {"a": int(PLAN.room + PLAN.debt)}))
-        assert one.figures(10.2)["a"].tokens < 0.25 * PLAN.room
+        one.receive(10.0, "10.0.0.1", QuotaHandover(3, 2, {"a": int(PLAN.capacity + PLAN.debt)}))
+        assert one.figures(10.2)["a"].tokens < 0.25 * PLAN.capacity
         exchange_reports(one, 10.3)
-        assert one.figures(10.32)["a"].tokens > 0.8 * PLAN.room
+        assert one.figures(10.32)["a"].tokens > 0.8 * PLAN.capacity
 
     def test_what_is_handed_over_is_lent_once(self) -> None:
         one = in_contact(30.0)
@@ -354,7 +354,7 @@
         one = in_contact(30.0)
         (effect,) = one.receive(30.0, "10.0.0.1", QuotaAsk(3, 7, 1, 55.5, {}, {"a": 10**9}))
         assert isinstance(effect.message, QuotaCredit)
-        assert effect.message.tokens["a"] == pytest.approx(PLAN.room / 2, abs=1)
+        assert effect.message.tokens["a"] == pytest.approx(PLAN.capacity / 2, abs=1)
         assert effect.message.dry_for_s == {}
 
     def test_a_message_of_an_epoch_that_it_does_not_lead_is_not_answered(self) -> None:
@@ -377,8 +377,8 @@
         one = allocator(10.0)
         exchange_reports(one, 11.0)
         for index in range(FLEET - 1):
-            one.receive(11.2, f"10.0.0.{index}", report(222, heard=221))
-            one.receive(11.4, f"10.0.0.{index}", report(223, heard=222))
+            one.receive(11.2, f"10.0.0.{index}", report(222, acknowledged=221))
+            one.receive(11.4, f"10.0.0.{index}", report(223, acknowledged=222))
         assert idle(one, 11.4) == pytest.approx(1 - STANDBY_PART / FLEET)
 
     def test_contact_that_is_not_confirmed_is_none(self) -> None:
@@ -391,7 +391,7 @@
     def test_contact_lasts_from_when_the_confirmed_answer_was_sent(self) -> None:
         one = allocator(10.0)
         one.receive(11.0, "10.0.0.1", report(1))
-        one.receive(11.3, "10.0.0.1", report(2, heard=1))
+        one.receive(11.3, "10.0.0.1", report(2, acknowledged=1))
         assert idle(one, 11.3) > 1 - STANDBY_PART
         assert idle(one, 11.0 + contact_s(FLEET)) == 1 - STANDBY_PART
 
@@ -411,7 +411,7 @@
     def test_answers_to_the_process_before_confirm_nothing_of_the_next(self) -> None:
         one = allocator(10.0)
         one.receive(11.0, "10.0.0.1", report(1))
-        one.receive(11.1, "10.0.0.1", report(2, heard=1, incarnation=8))
+        one.receive(11.1, "10.0.0.1", report(2, acknowledged=1, incarnation=8))
         assert idle(one, 11.1) == 1 - STANDBY_PART
 
     def test_a_report_that_comes_again_later_binds_its_proxy_no_longer(self) -> None:
@@ -419,7 +419,7 @@
         one = allocator(10.0)
         one.receive(11.0, "10.0.0.1", report(1))
         one.receive(11.3, "10.0.0.1", report(1))
-        one.receive(11.31, "10.0.0.1", report(2, heard=1))
+        one.receive(11.31, "10.0.0.1", report(2, acknowledged=1))
         assert idle(one, 11.0 + contact_s(FLEET)) == 1 - STANDBY_PART
 
     def test_late_reports_of_a_process_that_has_ended_are_not_answered(self) -> None:
--- a/tests/system/test_quota_lives.py
+++ b/tests/system/test_quota_epochs.py
@@ -58,7 +58,7 @@
     ("epoch", "incarnation", "counts"),
     [(EPOCH, INCARNATION, True), (EPOCH - 1, INCARNATION, False), (EPOCH, INCARNATION + 1, False)],
 )
-def test_a_proxy_takes_credit_of_its_life_and_epoch(epoch: int, incarnation: int, counts: bool) -> None:
+def test_credit_counts_for_its_process_and_epoch(epoch: int, incarnation: int, counts: bool) -> None:
     found = holder()
     ask = asked(found)
     credit = QuotaCredit(epoch, incarnation, ask.number, ask.sent_at, 0.12, {"a": 300}, {})
@@ -70,7 +70,7 @@
     ("epoch", "incarnation", "counts"),
     [(EPOCH, INCARNATION, True), (EPOCH - 1, INCARNATION, False), (EPOCH, INCARNATION + 1, False)],
 )
-def test_a_proxy_is_bound_by_contact_of_its_life_and_epoch(
+def test_contact_counts_for_its_process_and_epoch(
     epoch: int, incarnation: int, counts: bool
 ) -> None:
     found = holder()
@@ -79,7 +79,7 @@
     assert found.stands_by(12.01) is not counts
 
 
-def test_what_an_allocator_has_left_is_taken_over_once() -> None:
+def test_a_handover_is_applied_once() -> None:
     once, twice = allocator(), allocator()
     message = QuotaHandover(EPOCH, EPOCH - 1, {"a": 400})
     once.receive(12.1, HEAD, message)
--- a/tests/system/test_quota_faults.py
+++ b/tests/system/test_quota_faults.py
@@ -90,7 +90,7 @@
 
     def init(self: Account, plan: TenantPlan, updated_at: float) -> None:
         original(self, plan, updated_at)
-        self.credit, self.credit_until = plan.room, updated_at + 5
+        self.credit, self.credit_until = plan.capacity, updated_at + 5
 
     patch.setattr(Account, "__init__", init)
 
@@ -149,7 +149,7 @@
 def pools_begin_with_all_that_was_noted(patch: pytest.MonkeyPatch) -> None:
     def begin_with(self: TenantPool, tokens: int) -> None:
         self.level = tokens - self.plan.debt
-        self._parked = self.plan.room
+        self._parked = self.plan.capacity
 
     patch.setattr(TenantPool, "begin_with", begin_with)
 
--- a/tests/system/test_quota_note.py
+++ b/tests/system/test_quota_note.py
@@ -194,9 +194,9 @@
         world.at(world.now + 0.75, lambda world=world: world.elect(world.proxies[0]))  # type: ignore[misc]
         world.run(0.8)
         tally = world.tallies["a"]
-        owed_before, run_before = tally.owed, tally.owed_run
+        owed_before, run_before = tally.entitled, tally.entitled_run
         world.run(0.5)
-        owed, run = owed + tally.owed - owed_before, run + tally.owed_run - run_before
+        owed, run = owed + tally.entitled - owed_before, run + tally.entitled_run - run_before
     return run / owed
 
 
--- a/tests/system/test_rest_limits.py
+++ b/tests/system/test_rest_limits.py
@@ -6,7 +6,13 @@
 
 from cloverrouter.http.client import ConnectionPool, Failure
 from cloverrouter.http.rest import LEARNT_FOR_S, RestLimits
-from cloverrouter.placement.rest_news import REPORT_SPACING_S, REPORTERS, WINDOW_S, RestDesk, RestReporter
+from cloverrouter.placement.idle_resets import (
+    MIN_REPORTERS,
+    REPORT_INTERVAL_S,
+    WINDOW_S,
+    IdleResetAggregator,
+    IdleResetReporter,
+)
 from cloverrouter.placement.trouble_messages import RestReport
 from tests.system.peers import Answered, Upstream, play
 
@@ -72,26 +78,26 @@
 
 
 def test_a_proxy_tells_the_shortest_rest_now_and_then() -> None:
-    reporter = RestReporter()
+    reporter = IdleResetReporter()
     assert reporter.flush(NOW) is None
-    reporter.forgotten(2.0)
-    reporter.forgotten(0.4)
+    reporter.record_reset(2.0)
+    reporter.record_reset(0.4)
     assert reporter.flush(NOW) == RestReport(400)
-    reporter.forgotten(3.0)
-    assert reporter.flush(NOW + REPORT_SPACING_S / 2) is None
-    assert reporter.flush(NOW + REPORT_SPACING_S) == RestReport(3000)
+    reporter.record_reset(3.0)
+    assert reporter.flush(NOW + REPORT_INTERVAL_S / 2) is None
+    assert reporter.flush(NOW + REPORT_INTERVAL_S) == RestReport(3000)
 
 
 def test_all_hear_of_it_once_several_proxies_lost_a_request_so() -> None:
-    desk = RestDesk()
-    told = [desk.receive(NOW, f"10.0.0.{place}", RestReport(400 + place)) for place in range(REPORTERS)]
-    assert told[:-1] == [None] * (REPORTERS - 1)
+    desk = IdleResetAggregator()
+    told = [desk.receive(NOW, f"10.0.0.{place}", RestReport(400 + place)) for place in range(MIN_REPORTERS)]
+    assert told[:-1] == [None] * (MIN_REPORTERS - 1)
     warning = told[-1]
     assert warning is not None and warning.limit_ms == 200 and warning.for_ms > 0
 
 
 def test_resets_here_and_there_warn_nobody() -> None:
-    desk = RestDesk()
+    desk = IdleResetAggregator()
     for place in range(20):
         assert desk.receive(NOW + place * WINDOW_S, f"10.0.0.{place}", RestReport(400)) is None
         assert desk.receive(NOW + place * WINDOW_S, f"10.0.0.{place}", RestReport(300)) is None
--- a/tests/system/test_server_load.py
+++ b/tests/system/test_server_load.py
@@ -7,11 +7,11 @@
 import pytest
 
 from cloverrouter.messages import Decoder, encode
-from cloverrouter.placement import placement_news
+from cloverrouter.placement import placement_exchange
 from cloverrouter.placement.options import PlacementOptions
 from cloverrouter.placement.pick import ServicePlacement
+from cloverrouter.placement.placement_exchange import MAX_READING_AGE_S, MAX_READINGS
 from cloverrouter.placement.placement_messages import KindsSeen, LoadReading, PlacementNews
-from cloverrouter.placement.placement_news import MAX_READING_AGE_S, MAX_READINGS
 from cloverrouter.placement.prefix import parse_prompt
 from cloverrouter.placement.server_load import EXPIRY_S, FULL_WEIGHT_S, ServerLoad, parse_load
 from cloverrouter.placement.servers import Server
@@ -28,7 +28,7 @@
         lambda: (next(draws) * 0.618) % 1.0, "east", 50_000, options or PlacementOptions()
     )
     for place in range(count):
-        made.told(Server(f"i-{place}", "model", ("10.0.0.1", place + 1), "east", 12, ready=True))
+        made.update_server(Server(f"i-{place}", "model", ("10.0.0.1", place + 1), "east", 12, ready=True))
     return made
 
 
@@ -70,7 +70,7 @@
 
 def test_the_weight_of_a_reading_decays() -> None:
     state = placement().servers.ready[0]
-    state.load_told(FULL, NOW)
+    state.update_load(FULL, NOW)
     assert state.occupancy(NOW) == state.occupancy(NOW + FULL_WEIGHT_S) == 1.25
     assert 0 < state.occupancy(NOW + 2) < 1.25
     assert state.occupancy(NOW + EXPIRY_S) == 0.0
@@ -80,15 +80,15 @@
 
 def test_an_older_reading_does_not_replace_a_newer_one() -> None:
     state = placement().servers.ready[0]
-    state.load_told(EMPTY, NOW)
-    state.load_told(FULL, NOW - 0.5)
+    state.update_load(EMPTY, NOW)
+    state.update_load(FULL, NOW - 0.5)
     assert state.load == EMPTY
 
 
 def test_long_answers_go_to_servers_with_free_slots() -> None:
     made = placement()
     for state in made.servers.ready[:4]:
-        state.load_told(FULL, NOW)
+        state.update_load(FULL, NOW)
     assert set(picks(made)) == {"i-4", "i-5"}
     assert len(picks(made, now=NOW + EXPIRY_S)) == 6
 
@@ -96,7 +96,7 @@
 def test_of_two_servers_the_less_occupied_gets_a_long_answer() -> None:
     made = placement()
     for place, state in enumerate(made.servers.ready):
-        state.load_told(ServerLoad(place, 0, 12), NOW)
+        state.update_load(ServerLoad(place, 0, 12), NOW)
     found = picks(made, 300)
     assert found["i-0"] > found["i-2"] > found["i-4"]
 
@@ -108,7 +108,7 @@
 def test_if_all_are_full_one_is_picked_all_the_same() -> None:
     made = placement()
     for state in made.servers.ready:
-        state.load_told(FULL, NOW)
+        state.update_load(FULL, NOW)
     assert sum(picks(made).values()) == 60
 
 
@@ -117,10 +117,10 @@
     prompt = parse_prompt("aa:2500,bb:3800,cc:2900", "m", 60)
     home, second, third, *_ = made.order(prompt)
     assert made.pick(prompt, (), NOW) is home
-    home.load_told(FULL, NOW)
+    home.update_load(FULL, NOW)
     assert made.pick(prompt, (), NOW) is home
-    second.load_told(FULL, NOW)
-    third.load_told(EMPTY, NOW)
+    second.update_load(FULL, NOW)
+    third.update_load(EMPTY, NOW)
     assert made.pick(prompt, (), NOW) is third
     assert made.pick(prompt, (), NOW + FULL_WEIGHT_S) is home
 
@@ -129,18 +129,18 @@
     made = placement()
     prompt = parse_prompt("aa:2500,bb:3800,cc:2900", "m", 60)
     for state in made.servers.ready:
-        state.load_told(FULL, NOW)
+        state.update_load(FULL, NOW)
     assert made.pick(prompt, (), NOW) is made.order(prompt)[0]
 
 
 def test_proxies_share_load_readings() -> None:
     one, other = placement(), placement()
-    one.servers.states["i-1"].load_told(FULL, NOW - 0.4)
-    update = placement_news.news({"model": one}, NOW)
+    one.servers.states["i-1"].update_load(FULL, NOW - 0.4)
+    update = placement_exchange.outgoing_update({"model": one}, NOW)
     assert update is not None
     [sent] = Decoder().feed(encode(update))
     assert sent == update
-    placement_news.take(update, {"model": other}, NOW)
+    placement_exchange.apply_update(update, {"model": other}, NOW)
     state = other.servers.states["i-1"]
     assert state.load == FULL
     assert state.load_at == pytest.approx(NOW - 0.4, abs=0.002)
@@ -148,16 +148,16 @@
 
 def test_old_readings_are_not_sent() -> None:
     made = placement()
-    assert placement_news.news({"model": made}, NOW) is None
-    made.servers.ready[0].load_told(FULL, NOW - MAX_READING_AGE_S)
-    assert placement_news.news({"model": made}, NOW) is None
+    assert placement_exchange.outgoing_update({"model": made}, NOW) is None
+    made.servers.ready[0].update_load(FULL, NOW - MAX_READING_AGE_S)
+    assert placement_exchange.outgoing_update({"model": made}, NOW) is None
 
 
 def test_a_message_is_bounded() -> None:
     made = placement(count=100)
     for place, state in enumerate(made.servers.ready):
-        state.load_told(FULL, NOW - place / 100)
-    update = placement_news.news({"model": made}, NOW)
+        state.update_load(FULL, NOW - place / 100)
+    update = placement_exchange.outgoing_update({"model": made}, NOW)
     assert update is not None
     assert [reading.id for reading in update.loads] == [f"i-{place}" for place in range(MAX_READINGS)]
 
@@ -174,7 +174,7 @@
 )
 def test_invalid_readings_are_ignored(reading: LoadReading) -> None:
     made = placement()
-    placement_news.take(PlacementNews((reading,), ()), {"model": made}, NOW)
+    placement_exchange.apply_update(PlacementNews((reading,), ()), {"model": made}, NOW)
     assert all(state.load is None for state in made.servers.ready)
 
 
@@ -185,20 +185,20 @@
     one.pick(reading, (), NOW - 1)
     other.pick(reading, (), NOW)
     assert not other.reserved.is_needed
-    update = placement_news.news({"model": one}, NOW)
+    update = placement_exchange.outgoing_update({"model": one}, NOW)
     assert update == PlacementNews((), (KindsSeen("model", 3000, 1000),))
-    placement_news.take(update, {"model": other}, NOW)
+    placement_exchange.apply_update(update, {"model": other}, NOW)
     assert other.reserved.is_needed
-    assert placement_news.news({"model": other}, NOW) == PlacementNews(
+    assert placement_exchange.outgoing_update({"model": other}, NOW) == PlacementNews(
         (), (KindsSeen("model", 3000, 0),)
     )
-    assert placement_news.news({"model": other}, NOW + 30) is None
+    assert placement_exchange.outgoing_update({"model": other}, NOW + 30) is None
 
 
 def test_request_kinds_of_an_unknown_service_or_from_the_future_are_ignored() -> None:
     made = placement()
     update = PlacementNews((), (KindsSeen("other", 0, 0), KindsSeen("model", -5000, 0)))
-    placement_news.take(update, {"model": made}, NOW)
+    placement_exchange.apply_update(update, {"model": made}, NOW)
     assert not made.reserved.is_needed_at(NOW)
 
 
--- a/tests/system/test_silence.py
+++ b/tests/system/test_silence.py
@@ -8,9 +8,9 @@
 from cloverrouter.control.registry_messages import HeardAgo, SilenceAnswer, SilenceCheck
 from cloverrouter.control.silence import Judgement, Liveness, SilenceJudge
 from cloverrouter.placement.first_token import FirstTokenModel
+from cloverrouter.placement.load_bound import LoadBound
 from cloverrouter.placement.options import IN_USE
-from cloverrouter.placement.room import Room
-from cloverrouter.placement.servers import HEARD_LATELY_S, ServiceServers, Standing
+from cloverrouter.placement.servers import RECENTLY_RECEIVED_S, ServerState, ServiceServers
 from tests.system.lossy_world import World
 from tests.system.registry_fleet import RegistryFleet
 from tests.system.test_placement_pick import NOW, pick, placement, subject
@@ -112,23 +112,23 @@
 def test_a_server_called_silent_that_has_just_answered_is_asked_on_and_then_not() -> None:
     made = placement(2, silent=True)
     home = pick(made, subject(1))
-    assert home.avoided(NOW)
-    home.heard(1, NOW)
-    assert not home.avoided(NOW + HEARD_LATELY_S / 2)
-    assert home.avoided(NOW + HEARD_LATELY_S)
+    assert home.should_avoid(NOW)
+    home.record_first_byte(1, NOW)
+    assert not home.should_avoid(NOW + RECENTLY_RECEIVED_S / 2)
+    assert home.should_avoid(NOW + RECENTLY_RECEIVED_S)
 
 
 def test_a_server_called_silent_has_less_room() -> None:
     servers = ServiceServers()
     quiet, other = placement(1, silent=True), placement(1)
-    standings: list[Standing] = [quiet.servers.ready[0], other.servers.ready[0]]
+    standings: list[ServerState] = [quiet.servers.ready[0], other.servers.ready[0]]
     servers.ready += standings
-    room = Room(servers, FirstTokenModel(), IN_USE)
+    room = LoadBound(servers, FirstTokenModel(), IN_USE)
     room.fleet_changed(1)
     counts = [0, 0]
     for _ in range(20):
         for place, standing in enumerate(standings):
-            if standing in room.having([standing], NOW):
+            if standing in room.below_bound([standing], NOW):
                 standing.in_flight += 1
                 counts[place] += 1
     assert 0 < counts[0] < counts[1]
