--- a/cloverrouter/control/fleet_size.py
+++ b/cloverrouter/control/fleet_size.py
@@ -1,6 +1,6 @@
 """The size of the fleet: the largest number of machines counted within a sliding window.
 
-Quotas and retry budgets are divided by it, and a machine that is cut off keeps its share for `OWN_FOR_S` of
+Quotas and retry budgets are divided by it, and a machine that is cut off keeps its share for `STANDBY_S` of
 `placement/quota.py`; so the window is longer than that, and a smaller count takes effect only afterwards.
 """
 
