--- a/cloverrouter/__init__.py
+++ b/cloverrouter/__init__.py
@@ -1,11 +1,11 @@
 """Decisions of a client-side load balancer, as a library without I/O.
 
-`Balancer` is loaded when it is first asked for: the fleet's program has no use for all of it.
+`Balancer` is imported on first access, because the fleet's program does not need all of it.
 """
 
 from __future__ import annotations
 
-# Not that of `typing`, which takes longer to load than all else before a program's first line.
+# Avoids importing `typing`, which takes longer than everything else before a program's first line.
 TYPE_CHECKING = False
 if TYPE_CHECKING:
     from typing import Any
--- a/cloverrouter/benchlink.py
+++ b/cloverrouter/benchlink.py
@@ -1,8 +1,8 @@
-"""Adapter: hosts many balancers behind the simulator's wire. It decides nothing.
+"""Adapter that runs many balancers behind the simulator's protocol. It makes no decisions.
 
-Reads one batch a line from standard input, writes one reply a line. An unreadable line ends it with
-one line on standard error and exit code 1; a crash of a balancer is reported there and on the wire, and
-ends it too.
+Reads one batch per line from standard input and writes one reply per line. An invalid line ends the program
+with one line on standard error and exit code 1. An exception in a balancer is reported there and in the
+reply, and ends the program as well.
 """
 
 from __future__ import annotations
@@ -63,7 +63,7 @@
 
 
 class WireError(ValueError):
-    """A line that is not what the wire allows."""
+    """A line that violates the protocol."""
 
 
 # Events
@@ -163,8 +163,8 @@
             return {"track": {"active": True}}
         case Log():
             return {"remark": {"message": action.text}}
-        case Cordoned() | SetTimeout():  # the simulator has no operators, and no requests that upload
-            return {"remark": {"message": f"not of this wire: {action}"}}
+        case Cordoned() | SetTimeout():  # the simulator has no operators and no uploads
+            return {"remark": {"message": f"not supported by this protocol: {action}"}}
 
 
 # Reading a batch
@@ -172,7 +172,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Begin:
-    """A new life of an instance."""
+    """Starts an instance."""
 
     settings: Settings
     seed: int
@@ -180,7 +180,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Stop:
-    """The end of a life: killed outright."""
+    """Ends an instance without notice."""
 
 
 Step = Begin | Stop | Event
@@ -194,7 +194,7 @@
 
 
 class Reader:
-    """Turns lines into batches. Keeps the lists of servers that the wire sends once for all instances."""
+    """Parses lines into batches. Keeps the server lists that are sent once for all instances."""
 
     def __init__(self, err: TextIO) -> None:
         self._lists: dict[int, tuple[ListedEndpoint, ...]] = {}
@@ -202,7 +202,7 @@
         self._err = err
 
     def read(self, line: str) -> Batch:
-        """Raises WireError, saying what is wrong, for a line that is no batch."""
+        """Returns the batch. Raises WireError with the reason for an invalid line."""
         try:
             batch = json.loads(line)
             if not isinstance(batch, dict):
@@ -251,13 +251,13 @@
 
 
 class Host:
-    """The instances of one process; they share nothing."""
+    """The balancer instances of one process; they share no state."""
 
     def __init__(self) -> None:
         self._balancers: dict[str, Balancer] = {}
 
     def play(self, who: str, now_ms: float, steps: list[Step]) -> list[Json]:
-        """One instance's part of a batch. What a life killed within it would have done is void."""
+        """Plays one instance's part of a batch. Events before a restart within the batch have no effect."""
         events: list[Event] = []
         for step in steps:
             if isinstance(step, Begin | Stop):
@@ -275,14 +275,14 @@
 
 
 def play_batch(host: Host, batch: Batch, err: TextIO) -> tuple[list[Json], bool]:
-    """The reply's groups, and whether an instance's decisions crashed; nothing is played after that."""
+    """Returns the groups of the reply and whether a balancer raised an exception, which ends the batch."""
     groups: list[Json] = []
     for who, steps in batch.groups:
         try:
             cmds = host.play(who, batch.now_ms, steps)
         except WireError:
             raise
-        except Exception as error:  # reported with its text, here and on the wire; then the end
+        except Exception as error:  # reported here and in the reply
             traceback.print_exc(file=err)
             fault = {"give_in": {"message": f"{type(error).__name__}: {error}"}}
             return [*groups, {"who": who, "cmds": [fault]}], True
@@ -292,14 +292,14 @@
 
 
 def serve(lines: Iterable[str], out: TextIO, err: TextIO) -> int:
-    """Answer every line until input ends; the exit code."""
+    """Answers every line until the input ends; returns the exit code."""
     reader, host = Reader(err), Host()
     for line in lines:
         try:
             batch = reader.read(line)
             groups, crashed = play_batch(host, batch, err)
         except WireError as error:
-            print(f"benchlink: unreadable line: {error}", file=err)
+            print(f"benchlink: invalid line: {error}", file=err)
             return 1
         out.write(json.dumps({"n": batch.number, "groups": groups}, separators=(",", ":")) + "\n")
         out.flush()
--- a/cloverrouter/core/__init__.py
+++ b/cloverrouter/core/__init__.py
@@ -1,9 +1,10 @@
-"""The lifecycle of a call, of its attempts and of a connection, without I/O, clock or protocol.
+"""The lifecycle of calls, attempts and connections, without I/O, clock or protocol.
 
-- `states`: the states, what happens to them, and what is to be done about it.
+- `states`: states, events and effects.
 - `lifecycle`: calls and attempts, (state, event) to (state, effects).
-- `connection`: one connection that carries one exchange at a time, as a table.
+- `connection`: a connection that carries one exchange at a time, as a state table.
 - `engine`: the loop between the lifecycle and the decision module.
+- `leaving`: the shutdown sequence of a process.
 
-A front or an upstream of any protocol drives these; they import nothing of one.
+Front ends and upstreams of any protocol drive these modules, which import no protocol.
 """
--- a/cloverrouter/core/connection.py
+++ b/cloverrouter/core/connection.py
@@ -1,17 +1,17 @@
-"""One connection that carries one exchange at a time, as a table: (state, event) to (state, what to do).
+"""State table of a connection that carries one exchange at a time: (state, event) to (state, action).
 
-The theory, before the table. A connection is of use only while nothing on it can be mistaken: what a peer
-sends while nothing is asked, or behind an answer, would be taken for the next answer. So it ends with the
-first byte that does not belong to the exchange it carries, with anything that can't be read, and with
-everything that is given up on it; and it goes back to rest only after a whole answer to a whole request.
+A connection is usable only while responses cannot be confused: bytes that arrive while no request is pending,
+or after a response, would be taken for the next response. Therefore a connection is closed at the first byte
+that does not belong to its exchange, at anything unreadable, and when its exchange is abandoned. It becomes
+idle only after a complete response to a complete request.
 
-An answer of which it is not known yet whether it is short is held for a moment. From `PASSING` on it is the
-client's, and the connection ends with it or cuts it off visibly.
+A response of unknown length is held for a moment, to see whether it is short. From `PASSING` on it is being
+streamed to the client; the connection then ends with the response or visibly truncates it.
 
     CONNECTING -> IDLE -> AWAITING -> (HOLDING ->) (PASSING ->) IDLE
-    any -> CLOSED, which nothing leaves
+    any -> CLOSED, which is final
 
-Nothing here knows a socket or a protocol: whoever reads the bytes says which of the events they are.
+This module knows no socket and no protocol: the code that reads the bytes reports the events.
 """
 
 from __future__ import annotations
@@ -20,48 +20,55 @@
 
 
 class State(Enum):
+    """States of a connection."""
+
     CONNECTING = "connecting"
     IDLE = "idle"
-    AWAITING = "awaiting"  # an exchange is on it, of whose answer nothing counts yet
-    HOLDING = "holding"  # a good answer of unknown length has begun
-    PASSING = "passing"  # an answer is passed on while it comes
+    AWAITING = "awaiting"  # a request is assigned; no response has been accepted yet
+    HOLDING = "holding"  # a good response of unknown length has started
+    PASSING = "passing"  # a response is being streamed to the client
     CLOSED = "closed"
 
     @property
     def busy(self) -> bool:
+        """Whether the connection carries an exchange."""
         return self in BUSY
 
-    __hash__ = object.__hash__  # each is one object; the enum's own hash is slow
+    __hash__ = object.__hash__  # compared by identity; the hash of Enum is slow
 
 
 BUSY = (State.AWAITING, State.HOLDING, State.PASSING)
 
 
 class Event(Enum):
+    """Events that drive a connection."""
+
     __hash__ = object.__hash__
 
-    OPENED = "opened"  # it is there
-    ASSIGNED = "assigned"  # an exchange goes out on it
-    OPEN_ENDED = "open-ended"  # a good answer has begun that does not say how long it is
-    LONG = "long"  # a good answer has begun that is too long to be held, or turns out to be
-    HELD_ENOUGH = "held enough"  # the moment for which an answer may be held is over
-    UNWANTED = "unwanted"  # nobody takes the answer that was to be passed on
-    WHOLE = "whole"  # the answer is whole, and the connection of further use
-    LAST = "last"  # the answer is whole, and the connection is not
+    OPENED = "opened"  # the connection is established
+    ASSIGNED = "assigned"  # a request is sent on it
+    OPEN_ENDED = "open-ended"  # a good response has started that does not state its length
+    LONG = "long"  # a good response has started that is, or turns out to be, too long to hold
+    HELD_ENOUGH = "held enough"  # the time for which a response may be held is over
+    UNWANTED = "unwanted"  # nobody accepts the response that was to be streamed
+    WHOLE = "whole"  # the response is complete and the connection is reusable
+    LAST = "last"  # the response is complete and the connection is not reusable
     STRAY = "stray"  # bytes that belong to no exchange
-    SPOILT = "spoilt"  # what comes can't become a good answer any more
-    BROKE = "broke"  # the peer has ended it, or it was lost
-    GIVEN_UP = "given up"  # nobody waits for what is on it
+    SPOILT = "spoilt"  # the incoming data can no longer become a good response
+    BROKE = "broke"  # closed by the peer, or lost
+    GIVEN_UP = "given up"  # nobody waits for its exchange any more
 
 
 class Do(Enum):
+    """What the driver must do after an event."""
+
     NOTHING = "nothing"
     WRITE = "write"  # send the request
-    HOLD = "hold"  # wait a moment, then say HELD_ENOUGH
-    PASS_ON = "pass on"  # the answer goes to the client from here on; UNWANTED if nobody takes it
-    REST = "rest"  # give the answer; the connection may be used again
-    GIVE_AND_CLOSE = "give and close"  # give the answer; close
-    FAIL_AND_CLOSE = "fail and close"  # the exchange has failed, and an answer begun is cut; close
+    HOLD = "hold"  # start the hold timer, which reports HELD_ENOUGH
+    PASS_ON = "pass on"  # stream the response to the client; report UNWANTED if nobody accepts it
+    REST = "rest"  # deliver the response and keep the connection for reuse
+    GIVE_AND_CLOSE = "give and close"  # deliver the response and close
+    FAIL_AND_CLOSE = "fail and close"  # fail the exchange, truncating a response that has started, and close
     CLOSE = "close"
 
 
@@ -102,13 +109,13 @@
         E.LONG: (S.PASSING, D.NOTHING),
         E.HELD_ENOUGH: (S.PASSING, D.NOTHING),
     },
-    # Whatever crosses its end is of no account.
+    # Events that arrive after the close are ignored.
     S.CLOSED: {event: (S.CLOSED, D.NOTHING) for event in E if event is not E.ASSIGNED},
 }
 
 
 class Machine:
-    """One connection's state."""
+    """The state of one connection."""
 
     __slots__ = ("state",)
 
@@ -116,8 +123,8 @@
         self.state = State.CONNECTING
 
     def on(self, event: Event) -> Do:
-        """What is to be done. Raises ValueError for an event that can't be in this state, which is a mistake
-        of whoever drives it."""
+        """Applies an event and returns what to do. Raises ValueError for an event that is not possible in
+        this state, which is a fault of the caller."""
         entry = TABLE[self.state].get(event)
         if entry is None:
             raise ValueError(f"a connection that is {self.state.value} can't have: {event.value}")
--- a/cloverrouter/core/engine.py
+++ b/cloverrouter/core/engine.py
@@ -1,8 +1,8 @@
-"""The loop between the lifecycle and the decision module. Whoever drives it carries the effects out.
+"""The event loop between the lifecycle and the decision module. The driver carries out the effects.
 
-What happens changes the lifecycle at once, also while effects of something else are being carried out:
-a byte that has gone out has gone out. The module is told in the order of the happenings, and never while
-it is deciding.
+Events change the lifecycle immediately, even while the effects of another event are being carried out, since
+bytes that were sent cannot be recalled. The decision module receives its events in order, and never while it
+is deciding.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 
 
 class Engine:
-    """Happenings in, effects out, with the module's decisions in between."""
+    """Takes events, asks the decision module, and passes effects to the driver."""
 
     def __init__(
         self,
@@ -26,8 +26,8 @@
         clock: Callable[[], float],
         carry_out: Callable[[Effect], None],
     ) -> None:
-        """`clock` gives milliseconds and never runs backwards. `carry_out` does one effect, any but `Tell`;
-        what it raises ends the loop and is passed on, as is what `decide` raises."""
+        """`clock` returns milliseconds and never runs backwards. `carry_out` performs any effect except
+        `Tell`. Exceptions of `carry_out` and `decide` end the loop and propagate."""
         self.lifecycle = lifecycle
         self._decide = decide
         self._clock = clock
@@ -36,7 +36,7 @@
         self._deciding = False
 
     def take(self, happening: Happening) -> None:
-        """Something has happened: do all that follows from it."""
+        """Handles an event and everything that follows from it."""
         effects = self.lifecycle.on(self._clock(), happening)
         if effects:
             self._run(effects)
--- a/cloverrouter/core/leaving.py
+++ b/cloverrouter/core/leaving.py
@@ -1,24 +1,23 @@
-"""How the process ends: what is still done at which moment after it has been told to, and when it is over.
+"""Shutdown sequence of a process: what is done at which time after SIGTERM, and when the process exits.
 
-The theory, before the table. Whatever was taken is owed an answer, and so is what comes while the process is
-still there. A connection may be closed between two requests; a request that crosses such a close comes again
-on a new connection. So the listener is the last thing that ends: as long as a connection is left that may be
-closed, and for a moment after the last has been, there has to be a place to come again to. The end itself is
-only in a look at which nothing is owed, nothing moves on the connections that are left, if any, and nobody
-waits to be taken in.
+Every request that was accepted needs an answer, including those that arrive during the shutdown. An idle
+connection may be closed between two requests; a request that was sent before the client saw the close is
+retried on a new connection. So the listener closes last: while connections that may be closed remain, and for
+a moment after the last was closed, the process must accept new ones. It exits only at a check that finds no
+unanswered request, no traffic on the remaining connections and nobody waiting to be accepted.
 
     SERVING -> SENDING_AWAY -> FINISHING -> (CUTTING ->) OVER
     SENDING_AWAY, FINISHING, CUTTING -> HALTED -> OVER
 
-| state | what is owed | what is done at each look |
+| state | what remains | what is done at each check |
 | --- | --- | --- |
-| SENDING_AWAY | new connections may still come, and calls run their course | quiet connections close |
-| FINISHING | calls run their course | quiet connections close, in time those that never spoke, too |
-| CUTTING | nothing but what is half-sent, or the rest of an answer that its client reads slowly | the same |
-| HALTED | the rest of answers that have begun; all else was failed, as a kill comes next | the same |
+| SENDING_AWAY | new connections may arrive, calls run normally | quiet connections close |
+| FINISHING | calls run normally | quiet connections close, later also those that never sent a byte |
+| CUTTING | incomplete requests, and responses that clients read slowly | the same |
+| HALTED | responses that have started; all others failed, since SIGKILL is next | the same |
 | OVER | nothing | |
 
-Nothing here knows a socket or a clock: whoever drives it says what there is to be seen.
+This module knows no socket and no clock: the driver reports what it observes.
 """
 
 from __future__ import annotations
@@ -26,23 +25,25 @@
 from dataclasses import dataclass
 from enum import Enum
 
-# After SIGTERM connections go on coming for a while.
+# New connections keep arriving for a while after SIGTERM.
 STILL_COMING_S = 0.5
-# For half-sent requests and answers still being read, once nothing is owed; and again, for the errors that
-# half-sent requests have earned then.
+# Time for incomplete requests and responses still being read once no answer is pending; and the same again
+# for the error responses that incomplete requests get then.
 LAST_BYTES_S = 0.5
-# A request that crosses the close of its connection comes again within so long, and is taken in.
+# A request that crossed the close of its connection is retried within this time, and is still accepted.
 COME_AGAIN_S = 0.15
-# SIGKILL comes no sooner than the longest deadline, counted as so much where it is longer, and a while more.
+# SIGKILL comes no sooner than the longest deadline, of which at most this much counts, plus a margin.
 LONGEST_COUNTED_S = 3.0
 KILLED_AFTER_S = 0.7
-# Who has connected and not spoken is waited for until then: what comes later has not all of its time.
+# Connections that have sent nothing are kept until then: a later request would not have its full deadline.
 SPEAK_S = KILLED_AFTER_S - 0.05
-# What is still owed then is answered so long before that: late by as much as a busy machine's loop may be.
+# Pending calls are answered this long before SIGKILL, which covers the delay of a busy machine's event loop.
 HALT_BEFORE_S = 0.15
 
 
 class Stage(Enum):
+    """Phases of the shutdown."""
+
     SERVING = "serving"
     SENDING_AWAY = "sending away"
     FINISHING = "finishing"
@@ -52,27 +53,29 @@
 
 
 class Do(Enum):
-    CLOSE_QUIET = "close quiet"  # connections on which nothing is owed, if they have been quiet for a moment
-    CLOSE_SILENT = "close silent"  # and those that have never said a word, likewise
-    END_HALF_SENT = "end half-sent"  # an error is the answer to requests that do not come to their end
-    HALT = "halt"  # answer all that is owed, at once
-    TAKE_IN = "take in"  # is somebody waiting to be taken in? If nobody is, say so in the next look
+    """What the driver must do at a check."""
+
+    CLOSE_QUIET = "close quiet"  # connections without a pending call, if they have been quiet for a moment
+    CLOSE_SILENT = "close silent"  # likewise, connections that have never sent a byte
+    END_HALF_SENT = "end half-sent"  # answer incomplete requests with an error
+    HALT = "halt"  # answer all pending calls at once
+    TAKE_IN = "take in"  # accept a waiting connection; if there is none, report it at the next check
 
 
 @dataclass(slots=True)
 class Seen:
-    """What there is at one look."""
+    """What the driver observes at one check."""
 
     owed: int  # calls without a final answer
     open: int  # client connections
-    others_accept: bool = False  # another process takes in who comes
-    nobody_waits: bool = False  # `TAKE_IN` has just found nobody
-    taken_in: bool = False  # `TAKE_IN` has just found somebody
-    moving: bool = False  # something is still going out on one of these, or has come unread
+    others_accept: bool = False  # another process accepts new connections
+    nobody_waits: bool = False  # `TAKE_IN` has just found no connection
+    taken_in: bool = False  # `TAKE_IN` has just accepted a connection
+    moving: bool = False  # data is still being sent on one of these, or has arrived unread
 
 
 class Leaving:
-    """One process's end. `look` is to be called every few hundredths of a second from `told` on."""
+    """The shutdown of one process. `look` must be called every few hundredths of a second after `told`."""
 
     __slots__ = ("_halt_s", "_open_s", "_owed_s", "_told_s", "stage")
 
@@ -82,10 +85,11 @@
 
     @property
     def over(self) -> bool:
+        """Whether the process can exit."""
         return self.stage is Stage.OVER
 
     def told(self, now_s: float, longest_deadline_s: float) -> None:
-        """The process has been told to end. A second time changes nothing."""
+        """Starts the shutdown. A second call changes nothing."""
         if self.stage is Stage.SERVING:
             self.stage = Stage.SENDING_AWAY
             self._told_s = self._owed_s = now_s
@@ -93,9 +97,9 @@
             self._halt_s = max(now_s + STILL_COMING_S, killed_s - HALT_BEFORE_S)
 
     def look(self, now_s: float, seen: Seen) -> list[Do]:
-        """What is to be done now, in that order. Raises ValueError before `told`."""
+        """Returns what to do now, in this order. Raises ValueError before `told` was called."""
         if self.stage is Stage.SERVING:
-            raise ValueError("nobody has told the process to end")
+            raise ValueError("the shutdown has not started")
         if self.stage is Stage.OVER:
             return []
         if seen.owed:
@@ -108,7 +112,7 @@
             self._owed_s = now_s
         if self.stage is Stage.SENDING_AWAY:
             return [Do.CLOSE_QUIET]
-        if seen.taken_in:  # its request has as much time to come as one that crosses a close
+        if seen.taken_in:  # its request gets as much time to arrive as one that crossed a close
             self._owed_s = max(self._owed_s, now_s + COME_AGAIN_S - 2 * LAST_BYTES_S)
         rest = [Do.CLOSE_QUIET]
         if now_s >= self._told_s + SPEAK_S:
@@ -117,8 +121,8 @@
             self.stage = Stage.HALTED
             return [Do.HALT, Do.END_HALF_SENT, *rest]
         idle_s = now_s - self._owed_s
-        # Danger: what a process cuts off by its own end is lost; what a kill finds under way is not. What its
-        # client does not read ends by itself (`ClientConnection.check`).
+        # Requests cut off by the process's own exit are lost, while those that SIGKILL interrupts are not
+        # counted. Responses that the client does not read end by themselves (`ClientConnection.check`).
         stuck = bool(seen.open) and idle_s >= 2 * LAST_BYTES_S and not seen.moving
         if not seen.owed and (stuck or not seen.open):
             if seen.others_accept or seen.nobody_waits:
--- a/cloverrouter/core/lifecycle.py
+++ b/cloverrouter/core/lifecycle.py
@@ -1,29 +1,30 @@
-"""The life of calls and attempts: each happening, and each action of the decision module, to effects.
+"""State machine of calls and attempts: turns events and actions of the decision module into effects.
 
-The rules that this automaton keeps, whatever the order in which things happen:
+It keeps these rules, in whatever order events arrive:
 
-1. A call gets one final answer. Once it is final, nothing that happens to its attempts reaches the client.
-2. An answer that has begun is the client's: its attempt is timed out by nobody, and what else is out for the
-   call is abandoned. First bytes in time make it begin, even if they are held for a moment.
-3. What is unsent when its call becomes final, or its endpoint may get nothing new, never goes out.
-4. An attempt that was abandoned, or ended, has no further say.
-5. A body that is not kept goes out by one attempt: while that is out, and once a piece is gone, no other
-   starts.
-6. What an abandoned attempt is told to be follows from how far it had come: with its last byte out it may
-   have run, before that it surely has not.
-7. When the process halts, what is owed is failed, and nothing starts any more.
+1. A call gets one final answer. After that, nothing that happens to its attempts reaches the client.
+2. A response that has started belongs to the client: its attempt no longer times out, and all other attempts
+   of the call are aborted. It counts as started with its first bytes, even if these are held for a moment.
+3. An attempt that is unsent when its call becomes final, or when its endpoint may get nothing new, is never
+   sent.
+4. An attempt that was aborted or has ended has no further effect.
+5. A body that is not kept is sent by one attempt: while that is in flight, and once part of the body was
+   consumed, no other attempt starts.
+6. The outcome of an aborted attempt follows from its progress: if its last byte was sent it may have run,
+   otherwise it certainly has not.
+7. When the process halts, pending calls fail and nothing new starts.
 
-Attempts move along these lines; each step to `ENDED` is told to the decision module once:
+Attempts move along these states; the decision module gets one event for each step to `ENDED`:
 
     CONNECTING -> WRITING -> WRITTEN -> HELD -> STREAMING -> ENDED
-    (any state may be skipped, none is entered twice, and each may end)
+    (any state may be skipped, none is entered twice, and any may end)
 
-| state of the attempt | broke, spoilt, answered | time is up | abandoned |
+| state of the attempt | broken, unusable or complete response | timeout | aborted |
 | --- | --- | --- | --- |
-| CONNECTING, WRITING | as told | could not connect | not sent |
-| WRITTEN | as told | timed out | cancelled |
-| HELD | as told | goes on: it is passed on | cancelled |
-| STREAMING | as told; the call is answered or cut | goes on | cancelled |
+| CONNECTING, WRITING | as reported | could not connect | not sent |
+| WRITTEN | as reported | timed out | cancelled |
+| HELD | as reported | continues: it is streamed | cancelled |
+| STREAMING | as reported; the call is answered or truncated | continues | cancelled |
 
 and calls along these:
 
@@ -91,7 +92,7 @@
 
 
 class Attempt:
-    """One attempt that is out, or has ended."""
+    """One attempt, in flight or ended."""
 
     __slots__ = ("endpoint", "number", "sent_ms", "state", "target", "written_ms")
 
@@ -105,7 +106,7 @@
 
 
 class Call:
-    """One call until it is final and nothing of it is out."""
+    """One call, until it is final and has no attempt in flight."""
 
     __slots__ = ("deadline_ms", "id", "out", "spent", "state", "tries", "uploaded")
 
@@ -113,36 +114,37 @@
         self.id = call_id
         self.deadline_ms = deadline_ms
         self.state = CallState.UPLOADING if uploading else CallState.OPEN
-        self.uploaded = uploading  # its time counts from its last byte
+        self.uploaded = uploading  # its time starts with its last byte
         self.spent = False
         self.tries = 0
         self.out: dict[int, Attempt] = {}
 
 
 class Lifecycle:
-    """All calls of one proxy. Pure: time is handed in, and what is to be done is handed back.
+    """All calls of one proxy, without side effects: time is a parameter and effects are returned.
 
-    The state has changed in full when a method returns; the effects may be carried out one after the
-    other, and happenings that they cause at once may be taken in between.
+    The state has changed completely when a method returns. The effects may be carried out one by one, and
+    events that they cause may be handled in between.
     """
 
     def __init__(self, longest_ms: float) -> None:
-        """No attempt is given more than `longest_ms`, whatever the module says."""
+        """`longest_ms` limits the time of every attempt, whatever the decision module requests."""
         self._longest_ms = longest_ms
         self._targets: dict[str, Target] = {}
         self.calls: dict[int, Call] = {}
         self.owed = 0  # calls that are not final
         self.halted = False
-        self.untimed_ms = float("-inf")  # what began up to then can't be timed: the clock stood still
+        # attempts that started up to then cannot be timed, because the clock stood still
+        self.untimed_ms = float("-inf")
 
-    # What happens
+    # Events
 
     def on(self, now_ms: float, happening: Happening) -> list[Effect]:
-        """What is to be done about `happening`, in that order.
+        """Returns the effects of an event, in order.
 
-        Raises ValueError for a call's number that is in use, and for what is no happening.
+        Raises ValueError for the number of a call in use, and for an object that is no event.
         """
-        # The three that every request has come first, and are looked for in the cheapest way.
+        # The three events of every request come first and use the cheapest checks.
         if type(happening) is Written:
             self._written(now_ms, happening.call, happening.attempt)
             return []
@@ -175,7 +177,7 @@
             case Halted():
                 return self._halted(now_ms)
             case _:
-                raise ValueError(f"not a happening: {happening!r}")
+                raise ValueError(f"not an event: {happening!r}")
 
     def _find(self, call_id: int, number: int) -> Attempt | None:
         call = self.calls.get(call_id)
@@ -191,8 +193,8 @@
         return [Tell(event)]
 
     def _halted(self, now_ms: float) -> list[Effect]:
-        """Answered as failed, which is true whatever has become of the attempts. What has begun to be passed
-        on goes on for as long as the process does."""
+        """Fails pending calls, which is a valid answer in every state of their attempts. Responses that are
+        being streamed continue as long as the process does."""
         self.halted = True
         effects: list[Effect] = []
         for call in list(self.calls.values()):
@@ -225,7 +227,7 @@
             attempt.state, attempt.written_ms = AttemptState.WRITTEN, now_ms
 
     def _left(self, now_ms: float, call_id: int) -> list[Effect]:
-        """The client has gone: nobody wants what its attempts would bring."""
+        """Handles a disconnected client: its attempts are no longer needed."""
         call = self.calls.get(call_id)
         if call is None or call.state.final:
             return []
@@ -250,7 +252,7 @@
         if call is None or attempt is None or attempt.state is AttemptState.STREAMING:
             return []
         if attempt.state is AttemptState.HELD and not call.state.final:
-            return [PassOn(call_id, number)]  # its first bytes came in time
+            return [PassOn(call_id, number)]  # its first bytes arrived in time
         return self._call_off(now_ms, call, attempt, Outcome.TIMEOUT)
 
     def _too_late(self, now_ms: float, call_id: int, number: int) -> list[Effect]:
@@ -269,7 +271,7 @@
         self._take_out(call, attempt)
         effects: list[Effect] = []
         served = event.outcome is Outcome.OK
-        if streamed:  # what there is of the answer has been passed on
+        if streamed:  # the part that arrived has been streamed
             effects = self._settle(now_ms, call, CallState.ANSWERED if served else CallState.CUT)
         elif served and event.answer is not None and call.state not in FINAL:
             effects = self._settle(now_ms, call, CallState.ANSWERED)
@@ -284,10 +286,10 @@
         effects: list[Effect] = [Tell(event.event)]
         return effects + self._call_back(now_ms, lambda a: self._targets.get(a.endpoint) != a.target)
 
-    # What the decision module says
+    # Actions of the decision module
 
     def act(self, now_ms: float, action: Action) -> list[Effect]:
-        """What is to be done about `action`, in that order. Raises ValueError for what is no action."""
+        """Returns the effects of an action, in order. Raises ValueError for an object that is no action."""
         match action:
             case Send():
                 return self._send(now_ms, action)
@@ -307,7 +309,7 @@
                 if call is None or attempt is None or attempt.state is AttemptState.STREAMING:
                     return []
                 return self._call_off(now_ms, call, attempt, Outcome.CANCELLED)
-            case Probe(endpoint):  # no driver sends any
+            case Probe(endpoint):  # no driver sends probes
                 return [Tell(ProbeEnded(endpoint, Outcome.NOT_SENT, 0.0))]
             case Subscribe():
                 return [AskDiscovery()]
@@ -329,14 +331,14 @@
         timeout_ms = action.timeout_ms or float("inf")
         if call.deadline_ms is not None:
             timeout_ms = min(timeout_ms, call.deadline_ms - now_ms)
-        # Danger: of a body that is not kept, one attempt alone can take; another would send a part of it.
+        # A body that is not kept can be read by one attempt only; another one would send a part of it.
         taken = call.spent or (call.uploaded and call.out)
         if call.state.final or taken or target is None or min(timeout_ms, action.out_within_ms) <= 0:
             return [Tell(AttemptEnded(call.id, number, Outcome.NOT_SENT, 0.0, call.state.final))]
         call.out[number] = Attempt(number, action.endpoint, target, now_ms)
         uploading = call.state is CallState.UPLOADING
         due_ms = None if uploading else min(timeout_ms, self._longest_ms)
-        # An attempt whose time is up before it has gone out is given up anyhow.
+        # If the timeout comes first, it aborts the unsent attempt anyway.
         within_ms = action.out_within_ms if due_ms is None or action.out_within_ms < due_ms else float("inf")
         return [Start(call.id, number, action.endpoint, target, due_ms, within_ms)]
 
@@ -347,10 +349,10 @@
         effects = self._settle(now_ms, call, CallState.ANSWERED)
         return [*effects, answer, *self._forget_if_over(call)]
 
-    # The steps that several of them share
+    # Shared steps
 
     def _settle(self, now_ms: float, call: Call, state: CallState) -> list[Effect]:
-        """The call is final. What is still on its way to a server must not go out after that."""
+        """Makes the call final and aborts its unsent attempts, which must not be sent after that."""
         assert state in FINAL
         effects: list[Effect] = []
         if call.state in FINAL:
@@ -363,19 +365,19 @@
         return effects
 
     def _let_go(self, now_ms: float, call: Call, state: CallState, *answer: Effect) -> list[Effect]:
-        """The call is final, with this answer if one is owed, and nobody wants what is still out of it."""
+        """Makes the call final, with this answer if one is needed, and aborts all its attempts."""
         effects = [*self._settle(now_ms, call, state), *answer, Tell(RequestGone(call.id))]
         for attempt in list(call.out.values()):
             effects += self._abandon(now_ms, call, attempt, Outcome.CANCELLED)
         return effects + self._forget_if_over(call)
 
     def _call_off(self, now_ms: float, call: Call, attempt: Attempt, outcome: Outcome) -> list[Effect]:
-        """Stop an attempt from this side, perhaps the last thing of its call."""
+        """Aborts an attempt, which may be the last one of its call."""
         effects = self._abandon(now_ms, call, attempt, outcome)
         return effects + self._forget_if_over(call)
 
     def _abandon(self, now_ms: float, call: Call, attempt: Attempt, outcome: Outcome) -> list[Effect]:
-        """Stop an attempt from this side. One whose last byte has not gone out has never run."""
+        """Aborts an attempt. One whose last byte was not sent has never run."""
         if attempt.state.unsent:
             outcome = Outcome.CONNECT_FAILED if outcome is Outcome.TIMEOUT else Outcome.NOT_SENT
         latency_ms = self._latency_ms(now_ms, call, attempt)
@@ -399,7 +401,7 @@
         )
 
     def _latency_ms(self, now_ms: float, call: Call, attempt: Attempt) -> float:
-        """From its sending, or the last byte of an upload; 0 if that can't be told."""
+        """Time since it was sent, or since the last byte of an upload; 0 if it cannot be measured."""
         since_ms = attempt.sent_ms
         if call.uploaded and attempt.written_ms is not None:
             since_ms = attempt.written_ms
@@ -411,7 +413,8 @@
         return []
 
     def _call_back(self, now_ms: float, unwanted: Callable[[Attempt], bool]) -> list[Effect]:
-        """Danger: a send to an endpoint that drains, still connecting now, could go out after the grace."""
+        """Aborts unsent attempts; one that is still connecting to a draining endpoint could be sent after the
+        grace period."""
         effects: list[Effect] = []
         for call in list(self.calls.values()):
             for attempt in list(call.out.values()):
--- a/cloverrouter/core/states.py
+++ b/cloverrouter/core/states.py
@@ -1,12 +1,12 @@
-"""States of a call and of its attempts; what happens to them; what is to be done about it.
+"""States of a call and of its attempts, the events that change them, and the resulting effects.
 
-Calls are numbered by whoever drives the lifecycle, attempts from 0 in the order of their sends. What
-comes from clients and from sources of servers is told in the vocabulary of `cloverrouter.interface`
-(`RequestArrived`, `RequestCompleted`, `RequestGone`, `TimerFired`, `Cordon`, `PartTaken`); here stand the
-happenings that the decision module never sees in this form.
+The driver of the lifecycle numbers the calls; attempts are numbered from 0 in sending order. Events from
+clients and discovery use the types of `cloverrouter.interface` (`RequestArrived`, `RequestCompleted`,
+`RequestGone`, `TimerFired`, `Cordon`, `PartTaken`); this module defines the events that the decision module
+does not see in this form.
 
-None of these is changed once it is made. They are not frozen, since several are made for each request and a
-frozen one takes three times as long to make.
+None of these objects is modified after its creation. They are not frozen, because several are created per
+request and a frozen dataclass takes three times as long to create.
 """
 
 from __future__ import annotations
@@ -31,22 +31,22 @@
 )
 
 Target = Hashable
-"""Where an endpoint is reached, such as an address: compared, never read."""
+"""How an endpoint is reached, such as an address: compared, never parsed."""
 
 
 class CallState(Enum):
-    """What is owed to a client."""
+    """State of a call, by what its client still needs."""
 
-    UPLOADING = "uploading"  # its request is still coming; its time has not begun
-    OPEN = "open"  # a final answer is owed
-    STREAMING = "streaming"  # an answer has begun: what is left to do is to end it, or visibly cut it
-    ANSWERED = "answered"  # served, refused or failed
-    CUT = "cut"  # its answer had begun and could not be finished
-    LEFT = "left"  # the client has gone: nobody wants an answer
+    UPLOADING = "uploading"  # the request is still arriving; its time has not started
+    OPEN = "open"  # a final answer is pending
+    STREAMING = "streaming"  # a response has started; it can only be finished or visibly truncated
+    ANSWERED = "answered"  # answered with a response, a refusal or a failure
+    CUT = "cut"  # truncated: the response had started and could not be finished
+    LEFT = "left"  # the client disconnected; no answer is needed
 
     @property
     def final(self) -> bool:
-        """Is nothing owed any more? What is still out ends without an effect on the client."""
+        """Whether the client needs nothing more. Attempts in flight then end without effect on the client."""
         return self in FINAL
 
 
@@ -54,30 +54,30 @@
 
 
 class AttemptState(Enum):
-    """How far an attempt has come. Up to `WRITING` it has surely not run."""
+    """Progress of an attempt. Up to `WRITING` it has certainly not run."""
 
-    CONNECTING = "connecting"  # no byte has gone out
-    WRITING = "writing"  # some have, but not the last
-    WRITTEN = "written"  # all of it is out: it may have run
-    HELD = "held"  # an answer has begun that is held for a moment, to see whether it is short
-    STREAMING = "streaming"  # its answer is passed on while it comes
+    CONNECTING = "connecting"  # no byte was sent
+    WRITING = "writing"  # some bytes were sent, but not the last
+    WRITTEN = "written"  # the whole request was sent: it may have run
+    HELD = "held"  # a response has started and is held for a moment, to see whether it is short
+    STREAMING = "streaming"  # its response is being streamed
     ENDED = "ended"
 
     @property
     def unsent(self) -> bool:
-        """Has it surely not run, since its last byte never went out?"""
+        """Whether it has certainly not run, because its last byte was not sent."""
         return self in UNSENT
 
 
 UNSENT = (AttemptState.CONNECTING, AttemptState.WRITING)
 
 
-# What happens, beside what clients and sources tell in the vocabulary of the interface.
+# Events, in addition to those of the interface.
 
 
 @dataclass(slots=True)
 class Listed:
-    """A list came; `targets` is where requests may go from now on, by endpoint."""
+    """A list arrived; `targets` maps each endpoint that may get requests from now on to its target."""
 
     event: EndpointsListed
     targets: Mapping[str, Target]
@@ -85,14 +85,14 @@
 
 @dataclass(slots=True)
 class BodyTaken:
-    """A piece of a call's body has gone out and is not kept: it can't be sent to another server."""
+    """Part of a call's body was sent and not kept: the call cannot be sent to another server."""
 
     call: int
 
 
 @dataclass(slots=True)
 class Written:
-    """The last byte of an attempt has been handed over: from here on it may have run."""
+    """The last byte of an attempt was sent: from here on it may have run."""
 
     call: int
     attempt: int
@@ -100,7 +100,7 @@
 
 @dataclass(slots=True)
 class AnswerHeld:
-    """A good answer of unknown length has begun, and is held for a moment."""
+    """A good response of unknown length has started and is held for a moment."""
 
     call: int
     attempt: int
@@ -108,7 +108,7 @@
 
 @dataclass(slots=True)
 class AnswerBegun:
-    """An answer is ready to be passed on while it comes. Wanted only if `Begin` follows."""
+    """A response is ready to be streamed. It is accepted only if `Begin` follows."""
 
     call: int
     attempt: int
@@ -116,7 +116,8 @@
 
 @dataclass(slots=True)
 class Ended:
-    """An attempt has ended by itself. `answer` goes to the client as it is, if it is wanted."""
+    """An attempt has ended by itself. `answer` is delivered to the client unchanged, if it is still
+    needed."""
 
     call: int
     attempt: int
@@ -127,7 +128,7 @@
 
 @dataclass(slots=True)
 class TimeUp:
-    """The time given to an attempt is over."""
+    """The timeout of an attempt has expired."""
 
     call: int
     attempt: int
@@ -135,7 +136,7 @@
 
 @dataclass(slots=True)
 class TooLate:
-    """The time is over within which an attempt had to go out."""
+    """The time within which an attempt had to be sent has expired."""
 
     call: int
     attempt: int
@@ -143,7 +144,7 @@
 
 @dataclass(slots=True)
 class Halted:
-    """The process ends now: what is owed is answered as failed, and what still comes is refused."""
+    """The process exits: pending calls are answered as failed, and new ones are refused."""
 
 
 Happening = (
@@ -166,20 +167,24 @@
 )
 
 
-# What is to be done.
+# Effects.
 
 
 @dataclass(slots=True)
 class Tell:
-    """Hand this to the decision module."""
+    """Pass this event to the decision module."""
 
     event: Event
 
 
 @dataclass(slots=True)
 class Start:
-    """Send a call to an endpoint; `TimeUp` is due after `timeout_ms`, None: not yet, while it uploads.
-    `TooLate` is due after `out_within_ms`, and nothing goes out then, whether it has been told or not."""
+    """Send a call to an endpoint. `TimeUp` is due after `timeout_ms`; None: no timeout yet, as it is
+    uploading.
+
+    `TooLate` is due after `out_within_ms`; nothing may be sent after that, even if the event is still
+    pending.
+    """
 
     call: int
     attempt: int
@@ -191,7 +196,7 @@
 
 @dataclass(slots=True)
 class SetDue:
-    """`TimeUp` is due so long from now, in place of what was said before."""
+    """Replace the timeout of an attempt: `TimeUp` is due this long from now."""
 
     call: int
     attempt: int
@@ -200,7 +205,7 @@
 
 @dataclass(slots=True)
 class PassOn:
-    """Pass the held answer of this attempt on from now; `AnswerBegun` is the reply."""
+    """Stream the held response of this attempt from now on; answered by `AnswerBegun`."""
 
     call: int
     attempt: int
@@ -208,7 +213,7 @@
 
 @dataclass(slots=True)
 class Abandon:
-    """Stop this attempt from our side: what has not gone out never will, and no `Ended` follows."""
+    """Abort this attempt: unsent bytes are never sent, and no `Ended` follows."""
 
     call: int
     attempt: int
@@ -216,7 +221,7 @@
 
 @dataclass(slots=True)
 class Begin:
-    """The answer of this attempt goes to the client while it comes; its time is no longer watched."""
+    """Stream the response of this attempt to the client; its timeout no longer applies."""
 
     call: int
     attempt: int
@@ -224,7 +229,7 @@
 
 @dataclass(slots=True)
 class Serve:
-    """Final: this answer, whole."""
+    """Final answer: this complete response."""
 
     call: int
     answer: object
@@ -232,7 +237,7 @@
 
 @dataclass(slots=True)
 class GiveRefusal:
-    """Final: refused; coming again is harmless, best after this long."""
+    """Final answer: refused. A retry is safe, preferably after this delay."""
 
     call: int
     retry_after_ms: float
@@ -240,26 +245,26 @@
 
 @dataclass(slots=True)
 class GiveFailure:
-    """Final: failed."""
+    """Final answer: failed."""
 
     call: int
 
 
 @dataclass(slots=True)
 class Forget:
-    """Nothing is owed to the call and nothing of it is out: its number means nothing any more."""
+    """The call needs no answer and has no attempt in flight: its number is no longer valid."""
 
     call: int
 
 
 @dataclass(slots=True)
 class AskDiscovery:
-    """The list, and what changes from now on, is to be asked for."""
+    """Request the list and all later changes from discovery."""
 
 
 @dataclass(slots=True)
 class Note:
-    """A line for the log."""
+    """Write a line to the log."""
 
     text: str
 
--- a/cloverrouter/decide/__init__.py
+++ b/cloverrouter/decide/__init__.py
@@ -1,14 +1,14 @@
-"""All decisions of cloverrouter. The types it speaks stand in ``interface.py``; read that first.
+"""The decision module of cloverrouter. Its input and output types are defined in ``interface.py``.
 
-One `Balancer` serves one client proxy. It has no clock, socket or thread: the proxy calls
-`Balancer.handle` with the time and what happened, and carries out the actions it gets back.
+One `Balancer` serves one client proxy. It has no clock, socket or thread: the proxy calls `Balancer.handle`
+with the time and the events, and carries out the returned actions.
 
-The ordinary path of a request: two ready endpoints are drawn and the one with the higher
-payoff / (1 + own in flight) gets the attempt; a failed attempt is repeated elsewhere after a
-decorrelated-jitter wait, inside the request's absolute deadline, if the retry budget, which
-served answers refill, has the tokens. Departures from it are named where they stand.
+Normally two ready endpoints are drawn, and the one with the higher payoff / (1 + own requests in flight) gets
+the attempt. A failed attempt is retried elsewhere after a wait with decorrelated jitter, within the request's
+deadline, if the retry budget, which is refilled by successful responses, has enough tokens. Exceptions to
+this are explained where they are implemented.
 
-What a decision costs does not grow with the list of servers: docs/design/fleet.md.
+The cost of a decision does not grow with the number of servers: docs/design/fleet.md.
 """
 
 from cloverrouter.decide.balancer import Balancer
--- a/cloverrouter/decide/balancer.py
+++ b/cloverrouter/decide/balancer.py
@@ -44,33 +44,33 @@
     TimerFired,
 )
 
-# A cold server is sent this part of the push it must not exceed, by the estimate of its capacity: with
-# the usual multiple of three a third more than its warm share of what the others get, since those are
-# seldom sent all that they can do. The rest is for machines slower than their fleet's mean (by half, where
-# two kinds are mixed), and for bursts.
+# The part of the overload threshold of a cold server, as estimated from its capacity, that it is sent. With
+# the usual multiple of three this is a third more than its warm share of what the others get, as those rarely
+# run at capacity. The rest covers bursts and machines slower than the fleet's mean (by half, where two kinds
+# are mixed).
 COLD_MARGIN = 0.45
-RATE_WINDOWS = 4  # push windows over which what the others get is smoothed
-LIMIT_LEAST = 0.1  # of the time, then, one attempt is out there
-# A proxy's window: no fewer servers than this, for two draws to mean something; and as many as it meets each
-# at least once in this many longest deadlines.
+RATE_WINDOWS = 4  # overload windows over which the rate of warm servers is smoothed
+LIMIT_LEAST = 0.1  # then one attempt is in flight there for this fraction of the time
+# Size of a proxy's window of servers: at least this many, so that two draws differ, and at least one for
+# each request that arrives within this many longest deadlines.
 WINDOW_LEAST = 3.0
 WINDOW_SPANS = 0.5
-TRIES = 8  # draws from a large window for one server that fits
-OPEN_GAIN = 0.02  # smoothing of how many of those drawn have room
+TRIES = 8  # draws from a large window to find one suitable server
+OPEN_GAIN = 0.02  # smoothing factor of the share of drawn servers that have room
 FADE_AT_ONCE = 64
-TIMED_LEAST_MS = 0.01  # no server answers sooner: the clock has stood still
-SOON_MS = 25.0  # no sooner does a timer look at held requests: with traffic, events do so anyway
-# From this part of the requests that clients can have open on, those held are let go, the oldest first.
+TIMED_LEAST_MS = 0.01  # lower latencies mean that the clock did not advance
+SOON_MS = 25.0  # minimum delay of the timer that retries queued requests; with traffic, events do so anyway
+# Above this fraction of the requests that clients can have open, queued ones are dropped, the oldest first.
 FULL_SHARE = 0.85
-FULL_SHARE_BESIDE = 0.7  # beside another balancer, whose count is a moment old
-DEFAULT_DEADLINE_MS = 1000.0  # of a class nothing is known of, when the request does not say either
+FULL_SHARE_BESIDE = 0.7  # with a second balancer, whose count is slightly outdated
+DEFAULT_DEADLINE_MS = 1000.0  # for unknown classes, if the request has none either
 
-# The work is done: how fast tells what the server can take. Danger: a pause for each spoilt answer, which
-# come from all servers alike, would leave out the whole fleet.
+# The server did the work, so the latency shows its load. It is not paused for an unusable response: those
+# come from all servers alike, and pauses would exclude the whole fleet.
 WORKED = (Outcome.OK, Outcome.SPOILT)
-TIMED = (*WORKED, Outcome.TIMEOUT)  # how long it took tells how busy the server is
-BROKEN = (Outcome.RESET, Outcome.CONNECT_FAILED)  # the connection's fate, which may be the network's doing
-NO_EVIDENCE = (Outcome.CANCELLED, Outcome.NOT_SENT)  # our own doing: says nothing about the server
+TIMED = (*WORKED, Outcome.TIMEOUT)  # outcomes whose latency shows the server's load
+BROKEN = (Outcome.RESET, Outcome.CONNECT_FAILED)  # connection failures, possibly caused by the network
+NO_EVIDENCE = (Outcome.CANCELLED, Outcome.NOT_SENT)  # caused by this proxy: says nothing about the server
 
 
 class Balancer:
@@ -81,7 +81,7 @@
         self.random = Random(seed)
         self.budget = RetryBudget()
         self.crowded = crowded(settings)
-        # Danger: crossings that buy nothing. Limits that are informed tell when the local are full.
+        # Avoids needless crossings: with few proxies, the limits show when the local servers are full.
         self.keeps_home = not self.crowded and settings.prices.cross_zone >= DEAR_CROSSING
         self.membership = Membership(settings)
         self.latencies = {cls.name: ClassLatency(cls) for cls in settings.classes}
@@ -89,15 +89,15 @@
         self.held = Held[Request]()
         self.timers: dict[int, Callable[[], None]] = {}  # no lambdas: a balancer can be pickled
         self.last_token = self.failed_calls = 0
-        self.window_count = self.window_warm = 0.0  # servers in the window last looked at; warm ones
-        self.open_share = 1.0  # smoothed share of the servers drawn that have room
-        self.room_ms = inf  # when the first of the servers just looked at has room by itself
-        self.stuck = False  # a request that may go anywhere could not be sent, and no room has come since
-        self.look_ms = 0.0  # when held requests are looked at next, whatever else happens
-        self.look_token = 0  # of the timer for that
-        self.handed_peak = 0.0  # the peak rate that a balancer before this one has seen
-        self.peak_rate = self.peak_ms = 0.0  # highest work rate of a warm server, fading since then
-        self.peak_window = inf  # how large the window was when that was seen
+        self.window_count = self.window_warm = 0.0  # servers in the window looked at last; warm ones
+        self.open_share = 1.0  # smoothed share of the drawn servers that have room
+        self.room_ms = inf  # earliest time at which one of the servers just checked gets room by itself
+        self.stuck = False  # an untried request could not be sent, and nothing has freed room since
+        self.look_ms = 0.0  # when the timer checks the queued requests next
+        self.look_token = 0  # token of that timer
+        self.handed_peak = 0.0  # the peak rate handed over by the previous balancer
+        self.peak_rate = self.peak_ms = 0.0  # highest work rate of a warm server, decaying since then
+        self.peak_window = inf  # size of the window at that time
         self.work_rate = Rate(RATE_WINDOWS * settings.safety.push_window_ms)
         self.longest_deadline_ms = max((c.deadline_ms for c in settings.classes), default=DEFAULT_DEADLINE_MS)
         self.arrivals = Rate(WINDOW_SPANS * self.longest_deadline_ms)
@@ -105,16 +105,16 @@
         self.place = self.random.random() if place is None else place
         self.flow = Flow(settings)
         self.forgot_ms: float | None = None
-        self.fading: list[Endpoint] = []  # those whose judgements are still to fade in this round
-        self.fade = (0.0, 1.0, 1.0)  # by how much, and towards what
+        self.fading: list[Endpoint] = []  # endpoints whose estimates are still to decay in this round
+        self.fade = (0.0, 1.0, 1.0)  # by which fraction, and towards which means
         self.now_ms = float("-inf")
         self.actions: list[Action] = []
         self.started = False
-        self.part = 1.0  # of what the proxy may do; another balancer has the rest
-        self.others_open = 0  # requests that one holds
+        self.part = 1.0  # fraction of the proxy's budgets that this balancer has; another has the rest
+        self.others_open = 0  # requests open at that other balancer
 
     def handle(self, now_ms: float, events: Sequence[Event]) -> list[Action]:
-        """Take in what happened by `now_ms`; returns what to do now, in that order."""
+        """Processes events; returns the actions, in order. Raises ValueError for impossible events."""
         if now_ms < self.now_ms:
             raise ValueError(f"time ran backwards: {now_ms} after {self.now_ms}")
         self.now_ms, self.room_ms, self.stuck = now_ms, inf, False
@@ -161,24 +161,24 @@
         self.flow.resize(self.membership.weight)
         if event.kind is ListKind.FAILED:
             if self.failed_calls == 0:
-                self.actions.append(Log("discovery lost: asking again, the old list stands"))
+                self.actions.append(Log("discovery unavailable: retrying, the last list stays in use"))
             self.failed_calls += 1
-            # Danger: an unsubscribed proxy counts as told of drains and starts it has not heard of.
-            # Ask well inside the time the rule allows, jittered so that the proxies don't ask as one.
+            # An unsubscribed proxy counts as informed of drains and starts that it has not heard of. It polls
+            # well within the allowed interval, with jitter so that the proxies do not poll at the same time.
             longest = self.settings.safety.must_ask_ms / 4
             wait = min(longest, BACKOFF_BASE_MS * 2.0 ** min(self.failed_calls, 16))
             self._set_timer(wait * (0.5 + self.random.random() / 2), self._subscribe)
         elif self.failed_calls:
             self.failed_calls = 0
-            self.actions.append(Log("discovery back"))
+            self.actions.append(Log("discovery available again"))
 
     def _subscribe(self) -> None:
         self.actions.append(Subscribe())
 
     def _look(self) -> None:
-        """Held requests are looked at after every round of events."""
+        """Does nothing: queued requests are checked after every round of events."""
 
-    # Operators, and another balancer beside this one
+    # Operators, and a second balancer during a handover
 
     def _on_cordon(self, event: Cordon) -> None:
         known = self.membership.cordon(self.now_ms, event.endpoint, event.on)
@@ -186,14 +186,14 @@
         self.actions.append(Cordoned(event.endpoint, event.on, known))
 
     def _on_part(self, event: PartTaken) -> None:
-        """Danger: two balancers that each spend the whole budget push a cold server over together."""
+        """Scales the budgets: two balancers with a whole one each could overload a cold server."""
         if event.part < self.part:
             kept = event.part / self.part
             self.budget.tokens *= kept
             for endpoint in self.membership.endpoints.values():
                 endpoint.cold_credit *= kept
         self.part, self.others_open = event.part, event.others_open
-        # The other sees the same excess, and lets go of its half.
+        # The other balancer sees the same excess and drops its half.
         for _ in range(ceil(self._over_full() / 2)):
             self._let_go()
 
@@ -217,7 +217,7 @@
         self._dispatch(request)
 
     def _on_completed(self, event: RequestCompleted) -> None:
-        """Danger: a slow upload is no slow server. What it was sent to counts as at work from here on."""
+        """Starts the deadline and the server's load here, since a slow upload is not a slow server."""
         request = self.requests.get(event.request_id)
         if request is None or request.done or not request.uploading:
             return
@@ -240,7 +240,7 @@
         self.flow.out += 1
 
     def _dispatch(self, request: Request) -> None:
-        """Send the request's next attempt now, or hold it until a server may take it."""
+        """Sends the request's next attempt now, or queues it until a server has room."""
         if self._useless_ms(request) <= self.now_ms:
             self._give_up(request)
         elif self._try_send(request) is None:
@@ -252,12 +252,12 @@
         return max(WINDOW_LEAST, cover, met)
 
     def _try_send(self, request: Request) -> Endpoint | None:
-        """Send to one of the servers with room, if the request may go to any of them."""
+        """Sends to a server with room that the request may use; returns the server, or None."""
         if not self.flow.has_room(self.now_ms):
             return None
         spans = self.membership.spans(self._window_size(), self.place)
-        # Danger: back from a cordon and cold it would lose every draw against the warm, and its operators see
-        # it get nothing. It is sent one request early, wherever the window lies.
+        # After a cordon a cold server would lose every draw against warm ones, and operators would see it get
+        # no traffic. It is sent one request early, regardless of the window.
         found = [e for e in islice(self.membership.owed.values(), REACH) if self._has_room(e)]
         allowed = [e for e in found if self._may_send(request, e)]
         if not allowed:
@@ -271,7 +271,7 @@
         return endpoint
 
     def _has_room(self, endpoint: Endpoint) -> bool:
-        """As it says; if it will have by itself, held requests are looked at then."""
+        """Returns whether it has room; else notes when its pause ends, to retry queued requests then."""
         if endpoint.has_room(self.now_ms):
             return True
         free = not endpoint.down and endpoint.in_flight < max(1.0, endpoint.limit)
@@ -280,13 +280,13 @@
         return False
 
     def _fits(self, request: Request, endpoint: Endpoint) -> bool:
-        """As `_may_send`; of a request not tried yet, only what differs between servers."""
+        """As `_may_send`, but for an untried request checks only what differs between servers."""
         if request.attempts or endpoint.cold_until_ms > self.now_ms:
             return self._may_send(request, endpoint)
         return True
 
     def _roomy(self, spans: list[Span]) -> list[Endpoint]:
-        """A small window is looked at whole: those of it with room."""
+        """Returns all servers with room of a small window, or of a stretch of the ring if it has none."""
         members, now_ms = self.membership, self.now_ms
         window = members.window(now_ms, spans) or [e for e in self._reach(members.all) if self._has_room(e)]
         self.window_count = self.window_warm = len(window)
@@ -295,31 +295,31 @@
         return window
 
     def _reach(self, ring: Ring) -> list[Endpoint]:
-        """A few that follow each other in it; all, if it has no more."""
+        """Returns a few consecutive members from a random position, or all if there are no more."""
         members = ring.members
         more = len(members) - 2 * REACH
         start = self.random.randrange(more) if more > 0 else 0
         return members[start : start + 2 * REACH]
 
     def _among(self, request: Request, spans: list[Span]) -> list[Endpoint]:
-        """Those of the window that it may go to, all that are as good a choice."""
+        """Returns the servers of the window that the request may use, reduced to the preferred ones."""
         allowed = roomy = self._roomy(spans)
         if request.attempts or self.membership.cold:
             allowed = [e for e in roomy if self._fits(request, e)]
-        if not allowed and roomy:  # the window has none for it: a repeat's group, or servers that are cold
+        if not allowed and roomy:  # e.g. a retry bound to its group, or only cold servers
             allowed = [e for e in self._reach(self._group(request)) if self._has_room(e)]
-            # Danger: what all proxies may send a cold server, not just those near it, adds up to a push.
+            # No cold servers: the requests of all proxies, not just of those near it, overload one.
             allowed = [e for e in allowed if e.cold_until_ms <= self.now_ms and self._may_send(request, e)]
         if request.attempts:
             tried = [a.endpoint for a in request.attempts]
-            # A retry goes elsewhere; with nowhere else to go, back to where it failed.
+            # A retry prefers other servers and returns to a tried one only if there is no other.
             allowed = [e for e in allowed if e not in tried] or allowed
         if self.keeps_home:
             allowed = [e for e in allowed if e.listed.zone == self.settings.zone] or allowed
         return allowed
 
     def _group(self, request: Request) -> Ring:
-        """The ring of those that it may go to, if anything of it may have run."""
+        """Returns the ring of servers that may deduplicate the request, if any attempt may have run."""
         ran = request.first_possible_run() if request.attempts else None
         cls = request.cls
         if ran is None or cls is None or cls.idempotency is not Idempotency.KEYED:
@@ -327,7 +327,7 @@
         return self.membership.group(cls.repeat_scope, ran.endpoint.listed)
 
     def _pick(self, allowed: Sequence[Endpoint]) -> Endpoint | None:
-        """The better of two different servers drawn by their shares; the only one, if there is just one."""
+        """Returns the better of two servers drawn by their shares, or the only one."""
         if len(allowed) < 2:
             return allowed[0] if allowed else None
         total = sum([e.share for e in allowed])
@@ -350,8 +350,8 @@
         return last
 
     def _drawn(self, request: Request, spans: list[Span]) -> list[Endpoint]:
-        """Two of the window that it may go to, as drawn by their shares: a few tries each, and then those
-        that follow in the ring."""
+        """Draws two servers of the window by their shares: a few tries each, and then the following ones on
+        the ring."""
         members = self.membership
         wanted = sum(span[2] for span in spans)
         self.window_count = max(1.0, wanted * self.open_share)
@@ -411,14 +411,14 @@
         return spans[-1]
 
     def _hold(self, request: Request) -> None:
-        """Danger: sent to full servers, work queues there until it is late, and jams them. It waits
-        here instead, the most valuable first, until it could no longer be served in time."""
+        """Queues the request, the highest value first, until it can no longer be served in time. At full
+        servers it would wait until it is late, and slow them down."""
         usual_ms = self.latencies[request.cls.name].mean_ms if request.cls else DEFAULT_DEADLINE_MS / 4
         wait_ms = self._useless_ms(request) - usual_ms - self.now_ms
         if wait_ms <= 0:
             self._give_up(request)
             return
-        # A client's repeat has most likely waited for its aim already, the time before.
+        # A request retried by its client has most likely missed its aim already.
         aim_ms = self._aim_ms(request.cls, request) if request.cls and not request.repeat else 0.0
         request.in_aim_until_ms = request.arrived_ms + aim_ms - usual_ms
         if self.crowded and request.in_aim_until_ms > self.now_ms:
@@ -430,21 +430,21 @@
             self._let_go()
 
     def _over_full(self) -> float:
-        """How many requests too many hold connections of the clients'."""
+        """Returns how many requests exceed the allowed share of client connections."""
         most = self.settings.limits.max_open
         share = FULL_SHARE if self.part >= 1 else FULL_SHARE_BESIDE
         return len(self.requests) + self.others_open - share * most if most else 0.0
 
     def _let_go(self) -> None:
-        """Danger: each held request takes up a connection of its client's. With none left, whatever comes
-        next is lost unseen. What has waited longest is the least likely to be served in time still."""
+        """Drops the oldest queued request, which is the least likely to be served in time. Each one occupies
+        a client connection; when none is left, new requests are lost unseen."""
         oldest = self.held.oldest()
         if oldest is not None:
             self._give_up(oldest)
 
     def _send_held(self) -> None:
-        """Send as many as there is room for. One that may go anywhere and can't be sent tells that no other
-        such can; those that have been tried may go only to some servers, and are each looked at."""
+        """Sends as many queued requests as there is room for. An untried one that cannot be sent shows that
+        no other untried one can; those that were tried may use only some servers, so each is checked."""
         held = self.held
         if held.oldest() is None:
             self.timers.pop(self.look_token, None)
@@ -461,7 +461,7 @@
             if self._try_send(top[2]) is None:
                 aside.append(top)
         held.put_back(aside)
-        # Danger: with no other traffic, nothing else would tell that a pause is over.
+        # Without other traffic, no event would show that a pause is over.
         waiting = self.now_ms < self.look_ms <= self.room_ms + SOON_MS
         if self.now_ms < self.room_ms < inf and not waiting:
             self.look_ms = max(self.room_ms, self.now_ms + SOON_MS)
@@ -469,7 +469,7 @@
             self.look_token = self._set_timer(self.look_ms - self.now_ms, self._look)
 
     def _useless_ms(self, request: Request) -> float:
-        """From when on an answer is worth nothing. Danger: work for nobody, on servers that are full."""
+        """Returns when an answer becomes worthless; later work would load full servers for nothing."""
         cls = request.cls
         if cls is None or cls.late_worth or cls.streamed:
             return request.deadline_ms
@@ -480,16 +480,16 @@
         return min(cls.deadline_ms, cls.aim_ms + cls.aim_stretch * request.work)
 
     def _may_send(self, request: Request, endpoint: Endpoint) -> bool:
-        """The guard every send passes: may this request be sent to this endpoint now?"""
+        """Returns whether the request may be sent to this endpoint now. Every send passes this check."""
         limits = self.settings.limits
         if request.done or request.streaming or len(request.attempts) >= limits.max_attempts:
             return False
         if request.out and not limits.parallel_attempts:
             return False
-        # Danger: new work on a server that drains or is gone.
+        # No new work for a server that is draining or gone.
         if endpoint.listed.state is not EndpointState.READY or endpoint.cordoned:
             return False
-        # Danger: an effect that happens twice.
+        # The effect of a request must not happen twice.
         ran = request.first_possible_run() if request.attempts else None
         if ran is not None:
             if not request.repeatable() or self.now_ms >= request.repeats_end_ms():
@@ -499,16 +499,16 @@
         return self._cold_room(request, endpoint)
 
     def _cold_room(self, request: Request, endpoint: Endpoint) -> bool:
-        """Danger: a server just started falls over under a warm server's share, and stays down."""
+        """A server that has just started fails under a warm server's share of the load, and stays down."""
         if endpoint.cold_until_ms <= self.now_ms:
             return True
         safety, warmth = self.settings.safety, endpoint.warmth(self.now_ms)
-        # What a warm server gets from here is this proxy's part of what a server can do; the other
-        # proxies keep to theirs in the same way. Credit for half a window at most: no bursts. It starts
-        # at a random part of one request: full, the proxies' first requests would add up to a push;
-        # empty, a server in few proxies' traffic would get nothing until it is warm.
+        # The rate of a warm server is this proxy's part of a server's capacity; the other proxies limit
+        # themselves in the same way. Credit is capped at half a window, to prevent bursts. It starts at a
+        # random part of one request: from full, the proxies' first requests would add up to an overload; from
+        # zero, a server that few proxies use would get nothing until it is warm.
         rate = COLD_MARGIN * safety.push_multiple * warmth * self.warm_rate() * self.part
-        # Danger: that was in a narrower window, perhaps. In a wider one more proxies share each server.
+        # That rate may be from a smaller window. In a larger one more proxies share each server.
         rate *= min(1.0, self.peak_window / self._window_size())
         if endpoint.cold_credit_ms is None:
             first = self.random.random() * request.work * self.part
@@ -525,11 +525,11 @@
         return False
 
     def warm_rate(self) -> float:
-        """Work a millisecond that a warm server gets from here, or lately got.
+        """Work per millisecond that a warm server gets, or recently got, from this proxy.
 
-        Danger: in a jam little is sent to warm servers, and by that measure the cold ones, which could
-        end it, get nothing. So the highest of late counts, fading over the time that warming takes.
-        Where none is warm and none was, all that arrives is taken to be what the servers are made for.
+        In an overload little is sent to warm servers; by that measure the cold ones, which could relieve
+        them, would get nothing. So the recent peak counts, decaying over the warm-up time. If no server is or
+        was warm, all arriving work is taken as what the servers are built for.
         """
         rate = self.work_rate.per_ms(self.now_ms)
         if self.handed_peak:
@@ -548,8 +548,8 @@
         if endpoint.cold_until_ms > self.now_ms:
             endpoint.cold_credit -= request.work
         else:
-            # Danger: the last warm server of a small window gets what all should, and by that measure all
-            # proxies push the cold ones over together.
+            # The last warm server of a small window gets the load of all; with that as the measure, the
+            # proxies would overload the cold servers together.
             least = WINDOW_LEAST if self.crowded else 1.0
             self.work_rate.add(self.now_ms, request.work / max(least, self.window_warm))
         if endpoint.owed:
@@ -559,7 +559,7 @@
         self._drop_timer(request)
         attempt = Attempt(endpoint, self.now_ms)
         request.attempts.append(attempt)
-        # Danger: what is slow to come up would run beside another when repeats are dropped no more.
+        # A slow connection attempt could otherwise overlap another one after the deduplication window.
         within_ms = inf if request.uploading else request.repeats_end_ms() - self.now_ms
         request.out += 1
         timeout_ms = 0.0
@@ -590,13 +590,13 @@
             self._retry(request)
 
     def _target(self) -> float:
-        """A server slows down for all classes alike: the one with the least room sets the target."""
+        """A server slows down for all classes alike, so the class with the least slack sets the target."""
         seen = [usual.target() for usual in self.latencies.values() if usual.seen]
         return min(seen, default=SLOWNESS_LEAST)
 
     def _reported_slowness(self, report: tuple[float, ...] | None) -> float:
-        """How much waiting stretches the time of requests there, as the server tells it; 1 if unknown.
-        Danger: a proxy that starts in the middle of an overload takes its latencies for unhurried."""
+        """Factor by which queueing at the server, as it reports, stretches latencies; 1 if unknown. A proxy
+        that starts during an overload would otherwise take the latencies it sees for normal."""
         fields = self.settings.report_fields
         if report is None or "inflight" not in fields or "queue" not in fields:
             return 1.0
@@ -606,22 +606,22 @@
     def _learn(
         self, request: Request, attempt: Attempt, outcome: Outcome, latency_ms: float, reported: float
     ) -> None:
-        """What an attempt's end, or its answer's beginning, says about its server."""
+        """Updates estimates of the server from the end of an attempt, or from the start of its response."""
         cls = request.cls
-        if not attempt.working:  # its answer had begun before, or the server never had the whole request
+        if not attempt.working:  # its response had started, or the server never had the whole request
             if outcome in (Outcome.REJECTED, *BROKEN) and not request.streaming and cls is not None:
                 self._failed(attempt.endpoint, self.latencies[cls.name], outcome)
             return
         attempt.working = False
         attempt.endpoint.in_flight -= 1
-        # Danger: beside an answer that seems to take no time, all servers are too slow to be sent anything.
+        # Beside a latency of zero every later one looks too slow, and no server would get requests.
         untimed = outcome in TIMED and latency_ms < TIMED_LEAST_MS
         if outcome in NO_EVIDENCE or cls is None or untimed:
             self.flow.ended(self.now_ms, latency_ms, None)
             return
         usual = self.latencies[cls.name]
         good_ms = usual.in_good_time_ms()
-        # Danger: a cold server is slow by nature. By its answers the pool would close before idle warm ones.
+        # A cold server is slow by nature; that must not close the pooled limit while warm servers idle.
         warmth = attempt.endpoint.warmth(self.now_ms)
         slow = warmth * usual.slowness(latency_ms) / self._target() if outcome in TIMED else None
         self.flow.ended(self.now_ms, usual.base_ms, slow)
@@ -631,7 +631,7 @@
             on_time = latency_ms <= self._aim_ms(cls, request)
             attempt.endpoint.judge(self.now_ms, 1.0 if on_time else cls.late_worth, slowness)
         else:
-            # Danger: a server that fails fast looks quick. A failure never counts as faster than usual.
+            # A server that fails fast must not look fast: a failure never counts as faster than normal.
             attempt.endpoint.judge(self.now_ms, 0.0, max(1.0, usual.slowness(latency_ms)))
         if outcome in WORKED:
             attempt.endpoint.answered(self.now_ms, latency_ms)
@@ -648,10 +648,10 @@
     def _on_stream(self, event: StreamStarted) -> None:
         request = self.requests.get(event.request_id)
         if request is not None and not request.done:
-            request.streaming = True  # the attempt is the client's now; no deadline runs
+            request.streaming = True  # no deadline applies to a streaming response
             self._drop_timer(request)
             if 0 <= event.attempt < len(request.attempts):
-                # Danger: the client's reading may take long; the server has done its work by now.
+                # The client may read slowly; the server has done its work by now.
                 self._learn(request, request.attempts[event.attempt], Outcome.OK, event.latency_ms, 1.0)
 
     def _retry(self, request: Request) -> None:
@@ -660,7 +660,7 @@
             self._give_up(request)
 
     def _sleep(self, request: Request) -> bool:
-        """Pay, wait by the paper's jitter and try then. False if no time, or no token, is left."""
+        """Pays for a retry and schedules it after the backoff; False if time or tokens do not suffice."""
         wait = backoff_ms(request.prev_wait_ms, self.random)
         sleep = min(wait, self._useless_ms(request) - self.now_ms - DEADLINE_MARGIN_MS)
         if self.now_ms + sleep >= request.repeats_end_ms():
@@ -676,14 +676,14 @@
         then(request)
 
     def _give_up(self, request: Request) -> None:
-        """FAIL, or REFUSE, which tells the client that trying again is harmless, if no attempt ran."""
+        """Ends the request with `Refuse`, which permits a retry, if no attempt may have run; else `Fail`."""
         ran = request.first_possible_run() is not None
         self.actions.append(Fail(request.id) if ran else Refuse(request.id, self._come_back_ms()))
         self._finish(request)
 
     def _come_back_ms(self) -> float:
-        """The paper's first wait, for clients of sites that pass it on. Danger: turned away at once, they
-        are back at once, and the same overload turns them away again."""
+        """The first backoff wait, where sites pass it to clients: refused requests that are retried at once
+        meet the same overload again."""
         limits = self.settings.limits
         return min(BACKOFF_BASE_MS, limits.max_retry_after_ms) if limits.retry_after else 0.0
 
@@ -696,7 +696,7 @@
         if not request.out:
             self.requests.pop(request.id, None)
 
-    # Time
+    # Timers
 
     def _set_timer(self, delay_ms: float, call: Callable[[], None]) -> int:
         self.last_token += 1
@@ -705,7 +705,7 @@
         return self.last_token
 
     def _drop_timer(self, request: Request) -> None:
-        """The proxy can't unset a timer; when this one fires it is not known here, and ignored."""
+        """Forgets a timer. The proxy cannot cancel it; its event is ignored."""
         if request.timer is not None:
             del self.timers[request.timer]
             request.timer = None
@@ -716,7 +716,7 @@
             call()
 
     def _forget_old_judgements(self) -> None:
-        """Judgements fade over four times the longest deadline: what they were about is over then."""
+        """Decays estimates over four times the longest deadline, after which their cause is over."""
         if self.fading:
             self._fade_some()
             return
@@ -727,12 +727,12 @@
             return
         self.forgot_ms = self.now_ms
         self.fading = self.membership.ready.copy()
-        self.membership.cold_share(self.now_ms)  # those that are warm by now are forgotten
+        self.membership.cold_share(self.now_ms)  # drops warm ones from the index of cold servers
         self.fade = (min(1.0, share), *self.membership.judged.means())
         self._fade_some()
 
     def _fade_some(self) -> None:
-        """A part at a time: a long list must not hold a request up."""
+        """Decays some endpoints per call, so that a long list does not delay a request."""
         for endpoint in self.fading[-FADE_AT_ONCE:]:
             endpoint.forget(*self.fade)
         del self.fading[-FADE_AT_ONCE:]
--- a/cloverrouter/decide/budget.py
+++ b/cloverrouter/decide/budget.py
@@ -1,28 +1,28 @@
-"""What retries may cost, and how long they wait: the paper's own figures."""
+"""Retry budget and backoff, with the parameters of the paper that the algorithm follows."""
 
 from __future__ import annotations
 
 from random import Random
 
 BUDGET_CAPACITY = 100.0
-RETRY_RATIO = 0.1  # retries add at most this share of the served answers
+RETRY_RATIO = 0.1  # retries add at most this fraction of the successful responses
 BACKOFF_BASE_MS = 100.0
 BACKOFF_CAP_MS = 30_000.0
-DEADLINE_MARGIN_MS = 50.0  # a retry closer than this to the deadline is expensive failure
+DEADLINE_MARGIN_MS = 50.0  # a retry closer than this to the deadline would almost certainly fail
 
 
 class RetryBudget:
-    """The paper's token bucket: served answers earn, retries spend."""
+    """Token bucket that successful responses refill and retries drain."""
 
     def __init__(self, capacity: float = BUDGET_CAPACITY, ratio: float = RETRY_RATIO) -> None:
         self.tokens = self.capacity = capacity
-        self.cost = 1 / ratio  # tokens that one retry spends
+        self.cost = 1 / ratio  # tokens per retry
 
     def earn(self) -> None:
         self.tokens = min(self.capacity, self.tokens + 1)
 
     def spend(self) -> bool:
-        """Pay for one retry; False, and nothing spent, if the tokens do not reach."""
+        """Pays for one retry; returns False and takes nothing if there are too few tokens."""
         if self.tokens < self.cost:
             return False
         self.tokens -= self.cost
@@ -30,5 +30,5 @@
 
 
 def backoff_ms(previous_ms: float, random: Random) -> float:
-    """Decorrelated jitter: each wait is drawn from the one before, not from the attempt number."""
+    """Decorrelated jitter: each wait depends on the previous wait, not on the attempt number."""
     return min(BACKOFF_CAP_MS, BACKOFF_BASE_MS + random.random() * (previous_ms * 3 - BACKOFF_BASE_MS))
--- a/cloverrouter/decide/endpoint.py
+++ b/cloverrouter/decide/endpoint.py
@@ -1,4 +1,4 @@
-"""One server as this proxy has come to know it."""
+"""The state of one server as estimated by this proxy."""
 
 from __future__ import annotations
 
@@ -6,37 +6,37 @@
 from cloverrouter.indexes import Mean
 from cloverrouter.interface import EndpointState, ListedEndpoint, Safety
 
-# A server that owes answers gives none for a time that this many mean gaps between them fit in once
-# in e**5 times by chance.
+# A server with pending requests counts as silent after this many mean gaps between responses; by chance that
+# happens once in e**5 times.
 SILENT_GAPS = 5.0
-# Growth of a limit for each round of answers: by the time slowness shows, a surge has had some rounds.
+# Growth of a limit per round of responses: a surge has had some rounds before latencies show it.
 LIMIT_GROWTH = 0.25
-FIRST_LIMIT = 1.0  # own in flight allowed on a server nothing is known of: many proxies may start at once
+FIRST_LIMIT = 1.0  # requests in flight to an unknown server: many proxies may start at once
 
 
 class Endpoint:
-    """One server as this proxy has come to know it."""
+    """One server as estimated by this proxy."""
 
     def __init__(self, listed: ListedEndpoint, judged: Mean, safety: Safety) -> None:
         self.judged = judged
         self.safety = safety
         self.listed, self.weight = listed, max(0.0, listed.weight)
-        self.earned, self.slowness = judged.means()  # smoothed: share of worth earned; latency / unhurried
-        self.strain = 1.0  # smoothed; above 1 it is fed more than it should be
+        self.earned, self.slowness = judged.means()  # smoothed: share of worth earned; latency / base latency
+        self.strain = 1.0  # smoothed; above 1 it is overloaded
         self.in_flight = 0
-        self.limit = FIRST_LIMIT  # own in flight it may hold
+        self.limit = FIRST_LIMIT  # own requests in flight that it may have
         self.latency_ms = 0.0  # smoothed, over all classes
-        self.waiting_since_ms = 0.0  # since then it owes answers and has given none
-        self.failures = 0  # in a row, a burst of them counted once
+        self.waiting_since_ms = 0.0  # start of the current wait for a response
+        self.failures = 0  # in a row; a burst counts once
         self.paused_until_ms = 0.0
-        self.judged_ms: float | None = None  # when an outcome last said something about it
+        self.judged_ms: float | None = None  # time of the last outcome that affected the estimates
         self.cold_credit = 0.0  # work that it may be sent while cold
-        self.cold_credit_ms: float | None = None  # when that was reckoned
-        self.handed_credit: float | None = None  # to start with, where a balancer before this has spent some
-        self.share = 1.0  # how readily it is drawn
-        self.cordoned = False  # an operator leaves it out
-        self.down = False  # a probe found that it can't be reached, and none since that it can
-        self.back_ms: float | None = None  # when the last cordon ended: it may have restarted until then
+        self.cold_credit_ms: float | None = None  # when the credit was last computed
+        self.handed_credit: float | None = None  # initial credit, if the previous balancer has spent some
+        self.share = 1.0  # relative probability of being drawn
+        self.cordoned = False  # excluded by an operator
+        self.down = False  # the last probe failed
+        self.back_ms: float | None = None  # when the last cordon ended; it may have restarted until then
         self.owed = False  # it has been sent nothing since then
         self.cold_until_ms = self._cold_until_ms()
 
@@ -46,20 +46,20 @@
         return not self.in_flight or (self.in_flight < self.limit and not self.silent(now_ms))
 
     def silent(self, now_ms: float) -> bool:
-        """Danger: a hung or cut-off server swallows work until the first time-out tells. Owed answers
-        that stay out for several times the usual gap between answers tell sooner."""
+        """Detects a hung or unreachable server before the first timeout: pending responses take several times
+        the usual gap between responses."""
         if not self.in_flight or not self.latency_ms:
             return False
         return now_ms - self.waiting_since_ms > SILENT_GAPS * self.latency_ms / min(self.in_flight, 4)
 
     def avoided(self, now_ms: float) -> bool:
-        """Is it left out now for what it is, not just full?"""
+        """Returns whether it is excluded now, rather than just full."""
         paused = bool(self.failures) and now_ms < self.paused_until_ms
         drains = self.listed.state is not EndpointState.READY
         return self.cordoned or self.down or drains or paused or self.silent(now_ms)
 
     def start_over(self) -> None:
-        """It is a new process, or may be: the old one's record is void."""
+        """Resets the estimates: the server is, or may be, a new process."""
         self._set(*self.judged.means())
         self.cold_credit, self.cold_credit_ms, self.handed_credit = 0.0, None, None
         self.down = False
@@ -75,12 +75,12 @@
         self.latency_ms += (GAIN if self.latency_ms else 1.0) * (latency_ms - self.latency_ms)
 
     def failed(self, now_ms: float, pause_ms: float, longest_ms: float, broken: bool = False) -> None:
-        """Danger: a server that turns work away or fails at once takes in, and spoils, more than its
-        share. It gets a pause, doubled each time, and then little to prove itself with."""
+        """Pauses a server that rejects or fails requests, twice as long each time, and halves its limit. A
+        server that fails at once would otherwise attract and fail more than its share."""
         if now_ms >= self.paused_until_ms:
             self.failures += 1
-            # Danger: connections break now and then to all servers alike, and a pause for each would leave
-            # out the whole fleet. A server that is down breaks the next one, too.
+            # Connections to all servers break now and then, and a pause for each would exclude the whole
+            # fleet. If the server is down, the next connection breaks as well.
             if broken and self.failures == 1:
                 return
             self.paused_until_ms = now_ms + min(longest_ms, pause_ms * 2.0 ** min(self.failures - 1, 16))
@@ -93,9 +93,9 @@
         self.forget(GAIN, earned, slowness)
 
     def adapt_limit(self, now_ms: float, latency_ms: float, strain: float, least: float) -> None:
-        """Danger: servers fed faster than they serve slow down, time out and jam. Grow a little a round
-        while answers come in good time, shrink in proportion to their slowness when they do not. Below
-        one, pause after each answer: one each from many proxies is a jam already."""
+        """Adapts the concurrency limit: slow growth while latencies are on target, reduction in proportion to
+        slowness otherwise. Overfed servers slow down, time out and congest. Below one, a pause follows each
+        response, as one request from each of many proxies is an overload already."""
         self.strain += GAIN * (strain - self.strain)
         if self.strain > 1:
             self.limit -= min(1.0, self.limit) * (1 - 1 / self.strain)
@@ -109,21 +109,21 @@
             self.paused_until_ms = max(self.paused_until_ms, now_ms + rest_ms)
 
     def forget(self, share: float, earned: float, slowness: float) -> None:
-        """Drift towards the others' mean. Danger: a server judged bad is never drawn, so nothing
-        would ever show that it is well again."""
+        """Moves the estimates towards the mean of all: a server judged bad is never drawn, so nothing would
+        show that it has recovered."""
         self._set(
             self.earned + share * (earned - self.earned), self.slowness + share * (slowness - self.slowness)
         )
 
     def relisted(self, listed: ListedEndpoint) -> None:
-        """What the list says of it now."""
+        """Updates the entry from discovery."""
         if self.listed.started_ms != listed.started_ms:
             self.start_over()
         self.listed, self.weight = listed, max(0.0, listed.weight)
         self.cold_until_ms = self._cold_until_ms()
 
     def back(self, now_ms: float) -> None:
-        """A cordon has ended."""
+        """Handles the end of a cordon."""
         self.start_over()
         self.back_ms, self.owed = now_ms, True
         self.failures, self.paused_until_ms = 0, now_ms
@@ -141,7 +141,7 @@
         return float("-inf") if started_ms is None else started_ms + max(0.0, self.safety.cold_ms)
 
     def warmth(self, now_ms: float) -> float:
-        """The share of its full capacity that it surely has by now."""
+        """Returns the share of its full capacity that it has at least."""
         started_ms = self._started_ms()
         if now_ms >= self.cold_until_ms or started_ms is None:
             return 1.0
@@ -149,6 +149,6 @@
         return min(1.0, self.safety.cold_share + (1 - self.safety.cold_share) * age)
 
     def score(self) -> float:
-        """What two draws are compared by. One that is cold is held back by its credit alone: held back twice,
-        it idles while the warm are full."""
+        """The figure that two draws are compared by. Credit alone limits a cold server: lowering its score as
+        well would leave it idle while the warm ones are full."""
         return self.earned / self.slowness / (1 + self.in_flight)
--- a/cloverrouter/decide/latency.py
+++ b/cloverrouter/decide/latency.py
@@ -1,26 +1,26 @@
-"""How long requests take, and how much is sent, smoothed."""
+"""Smoothed latencies of each request class."""
 
 from __future__ import annotations
 
 from cloverrouter.interface import RequestClass
 
-# Smoothing of what a server is seen to do: about the last ten answers count.
+# Smoothing factor for observations of a server: about the last ten responses count.
 GAIN = 0.2
-# A server's answers may be slower than unhurried ones by this part of the room that the slow among
-# those leave up to the aim, and by these factors at least and at most.
+# Target slowness: base latency plus this fraction of the slack that slow unloaded responses leave up to the
+# aim, within these bounds.
 SLOWNESS_ROOM = 0.5
 SLOWNESS_LEAST, SLOWNESS_MOST = 1.25, 3.0
-BASE_WINDOW = 25  # answers in one sample of a class's unhurried latency
+BASE_WINDOW = 25  # responses in one sample of a class's base latency
 
 
 class ClassLatency:
-    """What a request class takes, whichever server answers: now, and when servers are unhurried."""
+    """Latency of a request class over all servers: current mean, and base latency of unloaded servers."""
 
     def __init__(self, cls: RequestClass) -> None:
         self.cls = cls
-        self.mean_ms = cls.aim_ms / 4  # until seen
-        self.base_ms = cls.aim_ms / 4  # until a window is full, the running mean stands in
-        self.slow_ratio = 2.0  # what the slow among unhurried answers take, as a multiple of base_ms
+        self.mean_ms = cls.aim_ms / 4  # initial value
+        self.base_ms = cls.aim_ms / 4  # the running mean, until a window is full
+        self.slow_ratio = 2.0  # latency of slow unloaded responses as a multiple of base_ms
         self.seen = 0
         self._window: list[float] = []
 
@@ -32,8 +32,8 @@
             self.base_ms = self.mean_ms
         self._window.append(latency_ms)
         if len(self._window) == BASE_WINDOW:
-            # The lowest window mean, each raised by its standard error: the lowest of many noisy
-            # means would lie far under the truth and throttle healthy servers.
+            # The lowest window mean, each raised by its standard error: the lowest of many noisy means would
+            # be far too low and throttle healthy servers.
             mean = sum(self._window) / BASE_WINDOW
             variance = sum((x - mean) ** 2 for x in self._window) / BASE_WINDOW
             self.base_ms = max(0.01, min(self.base_ms * 1.002, mean + (variance / BASE_WINDOW) ** 0.5))
@@ -42,14 +42,14 @@
             self._window.clear()
 
     def slowness(self, latency_ms: float) -> float:
-        """Relative to what the class takes unhurried."""
+        """Returns a latency as a multiple of the base latency."""
         return latency_ms / self.base_ms
 
     def in_good_time_ms(self) -> float:
-        """Half-way between what the class takes unhurried and its aim: later, the aim is in danger."""
+        """Midpoint of base latency and aim: beyond it, the aim is in danger."""
         return (self.base_ms + max(self.base_ms, self.cls.aim_ms)) / 2
 
     def target(self) -> float:
-        """The slowness up to which this class lets servers be fed."""
+        """Returns the slowness up to which this class lets servers be loaded."""
         room = self.cls.aim_ms / (self.base_ms * self.slow_ratio) - 1
         return min(SLOWNESS_MOST, max(SLOWNESS_LEAST, 1 + SLOWNESS_ROOM * room))
--- a/cloverrouter/decide/membership.py
+++ b/cloverrouter/decide/membership.py
@@ -1,4 +1,4 @@
-"""The list of servers, indexed so that a change costs little and a draw does not look at all of them."""
+"""Index of the servers: changes are cheap and a draw does not look at all of them."""
 
 from __future__ import annotations
 
@@ -19,45 +19,45 @@
     Settings,
 )
 
-# From this price of a crossing on, a request, draws follow the water-filled shares of the zones alone;
-# below it they are mixed with even ones, in proportion.
+# From this price of a zone crossing on, draws follow the zone shares filled by capacity alone; below it they
+# are mixed with even ones in proportion.
 DEAR_CROSSING = 0.05
-# Names of servers ever listed that are remembered, to tell an operator's slip from a server that has left.
+# Names of listed servers to remember, which tells an operator's typing error from a server that has left.
 MOST_NAMES = 50_000
-REACH = 32  # servers that are looked at one by one, at most, where draws have found none
+REACH = 32  # maximum number of servers checked one by one when draws found none
 
 
 Ring = indexes.Ring[Endpoint]
-# (ring, where the window begins in it, how many servers it holds, its part of this proxy's requests)
+# (ring, first index of the window, number of servers in it, share of this proxy's requests)
 Span = tuple[Ring, int, int, float]
 
 
 class Membership:
-    """The list of servers, as far as this proxy has been told."""
+    """The servers as known to this proxy."""
 
     def __init__(self, settings: Settings) -> None:
         self.settings = settings
         self.endpoints: dict[str, Endpoint] = {}
         self.judged = indexes.Mean()
         self.all = Ring()
-        self.ready = self.all.members  # kept up in place
-        self.rings: dict[str, Ring] = defaultdict(indexes.Ring)  # these, by zone; none is empty
+        self.ready = self.all.members  # updated in place
+        self.rings: dict[str, Ring] = defaultdict(indexes.Ring)  # the ready servers by zone; none is empty
         self.cells: dict[tuple[str, int], Ring] = defaultdict(indexes.Ring)  # and by cell
-        self.owed: dict[str, Endpoint] = {}  # back from a cordon, and sent nothing since
+        self.owed: dict[str, Endpoint] = {}  # sent nothing since the end of a cordon
         self.cold: dict[str, Endpoint] = {}
-        self._warming: list[tuple[float, str]] = []  # a heap of when each is warm
-        self.shares: dict[str, float] = {}  # each zone's part of this proxy's requests
-        self.weight = 0.0  # of all that are ready
+        self._warming: list[tuple[float, str]] = []  # a heap of (time when warm, name)
+        self.shares: dict[str, float] = {}  # share of this proxy's requests by zone
+        self.weight = 0.0  # of all ready servers
         self._spans: list[Span] = []
-        self._spans_of = -1.0  # the size for which those were reckoned, with this list
-        self.cordons: dict[str, None] = {}  # outlive lists: an id that leaves and returns is still banned
+        self._spans_of = -1.0  # the window size for which the spans were computed
+        self.cordons: dict[str, None] = {}  # outlive lists: a server that leaves and returns stays cordoned
         self.names: dict[str, None] = {}  # ever listed, the latest last
         self.back_ms: dict[str, float] = {}  # when cordons ended
         self.memories: dict[str, EndpointMemory] = {}  # of endpoints not listed yet
 
     def update(self, event: EndpointsListed) -> None:
         if event.kind is ListKind.FAILED:
-            return  # the old list stands
+            return  # keeps the old list
         if event.kind is not ListKind.DELTA:
             listed = {entry.name for entry in event.endpoints}
             for name in [name for name in self.endpoints if name not in listed]:
@@ -89,10 +89,10 @@
         self._unplace(endpoint)
         if endpoint.judged_ms is not None:
             self.judged.add(endpoint.earned, endpoint.slowness, -1)
-            endpoint.judged, endpoint.judged_ms = indexes.Mean(), None  # what runs there counts no more
+            endpoint.judged, endpoint.judged_ms = indexes.Mean(), None  # late outcomes no longer count
 
     def _rings(self, endpoint: Endpoint) -> tuple[Ring, Ring, Ring]:
-        """All that it is in while it is ready."""
+        """Returns the rings that contain the endpoint while it is ready."""
         listed = endpoint.listed
         return self.all, self.rings[listed.zone], self.cells[listed.zone, listed.cell]
 
@@ -118,7 +118,7 @@
             del self.cells[listed.zone, listed.cell]
 
     def cold_share(self, now_ms: float) -> float:
-        """The part of the ready servers that is not warm yet."""
+        """Returns the share of the ready servers that is not warm yet."""
         while self._warming and self._warming[0][0] <= now_ms:
             _, name = heappop(self._warming)
             endpoint = self.cold.get(name)
@@ -127,7 +127,7 @@
         return len(self.cold) / len(self.ready) if self.ready else 0.0
 
     def _remember(self, endpoint: Endpoint) -> None:
-        """What the balancer before knew of it, if it is still the same process."""
+        """Restores what the previous balancer learned, if the server is still the same process."""
         memory = self.memories.pop(endpoint.listed.name, None)
         if memory is None or not memory.fits(endpoint.listed.started_ms):
             return
@@ -136,8 +136,8 @@
         endpoint.handed_credit = memory.cold_credit
 
     def cordon(self, now_ms: float, name: str, on: bool) -> bool:
-        """False if no endpoint of that name was ever listed. Danger: between the two calls the server is
-        restarted, and the list tells so late or never; from the second on it is taken to be cold."""
+        """Sets or ends a cordon; False if the endpoint was never listed. It may be restarted meanwhile, which
+        lists report late or never, so it counts as cold when the cordon ends."""
         if name not in self.names and name not in self.cordons:
             return False
         endpoint = self.endpoints.get(name)
@@ -159,11 +159,11 @@
         return True
 
     def _share_out(self) -> None:
-        """How much of this zone's requests each zone gets.
+        """Computes which share of this zone's requests each zone gets.
 
-        Danger: where crossings cost, each proxy keeps to its own zone, and a zone with few servers jams
-        while others idle. Zones are taken to have the same traffic each: what a zone's servers can not
-        take of theirs goes to the zones with servers to spare, in proportion; no more needs to cross.
+        If crossings cost and each proxy used only its own zone, a zone with few servers would be overloaded
+        while others idle. Zones are assumed to have equal traffic: what exceeds the capacity of a zone's
+        servers goes to zones with spare capacity, in proportion; nothing more needs to cross.
         """
         weights = {self.settings.zone: 0.0, **{zone: ring.weight for zone, ring in self.rings.items()}}
         total, even, home = sum(weights.values()), 1 / len(weights), self.settings.zone
@@ -180,8 +180,8 @@
             self.shares[zone] = dear * filled + (1 - dear) * weight / total
 
     def spans(self, size: float, place: float) -> list[Span]:
-        """The servers that this proxy keeps to: about `size` of them, zone by zone, from `place` (0 to 1) of
-        each zone's ring on."""
+        """Returns the servers that this proxy uses: about `size`, zone by zone, starting at position `place`
+        (0 to 1) of each zone's ring."""
         if self._spans_of == size:
             return self._spans
         self._spans_of, self._spans = size, []
@@ -194,7 +194,7 @@
 
     @staticmethod
     def window(now_ms: float, spans: list[Span]) -> list[Endpoint]:
-        """Those with room of a few, zone by zone; those without are replaced by the next, within reach."""
+        """Returns servers with room, zone by zone; those without are replaced by the next on the ring."""
         found: list[Endpoint] = []
         for ring, start, wanted, share in spans:
             size, weight, mine = len(ring.members), 0.0, []
@@ -211,7 +211,7 @@
         return found
 
     def group(self, scope: RepeatScope, home: ListedEndpoint) -> Ring:
-        """The ready servers that know of what may have run at `home`."""
+        """Returns the ready servers that deduplicate with `home`."""
         if scope is RepeatScope.ALL:
             return self.all
         if scope is RepeatScope.ZONE:
--- a/cloverrouter/decide/request.py
+++ b/cloverrouter/decide/request.py
@@ -15,8 +15,8 @@
 class Attempt:
     endpoint: Endpoint
     sent_ms: float
-    outcome: Outcome | None = None  # None: still out
-    working: bool = False  # the server has all of it, and owes an answer
+    outcome: Outcome | None = None  # None: in flight
+    working: bool = False  # the server has the whole request and its response is pending
 
     def may_have_run(self) -> bool:
         return self.outcome not in NEVER_RAN
@@ -28,15 +28,15 @@
     cls: RequestClass | None
     arrived_ms: float
     deadline_ms: float
-    work: float  # expected, in any unit that is the same for all requests
+    work: float  # expected, in a unit common to all requests
     value: float  # worth per expected work
     attempts: list[Attempt] = field(default_factory=list)
-    out: int = 0  # attempts still out
+    out: int = 0  # attempts in flight
     prev_wait_ms: float = BACKOFF_BASE_MS
-    repeat: bool = False  # marked so by its client
-    in_aim_until_ms: float = 0.0  # sent by then it is likely to be answered within its aim
-    timer: int | None = None  # token of its one pending timer
-    held_as: int = 0  # the number under which it waits for a server; 0: it does not
+    repeat: bool = False  # marked as a retry by its client
+    in_aim_until_ms: float = 0.0  # sent by then, it is likely to be answered within its aim
+    timer: int | None = None  # token of its only pending timer
+    held_as: int = 0  # its number in the queue; 0: not queued
     done: bool = False
     streaming: bool = False
     uploading: bool = False
@@ -48,7 +48,7 @@
         return next((a for a in self.attempts if a.may_have_run()), None)
 
     def repeats_end_ms(self) -> float:
-        """From when on the servers no longer drop a repeat of a keyed request that may have run."""
+        """Returns when servers stop deduplicating a keyed request that may have run."""
         ran = self.first_possible_run()
         if ran is None or self.cls is None or self.cls.idempotency is not Idempotency.KEYED:
             return float("inf")
@@ -56,7 +56,7 @@
 
 
 def drops_repeats(cls: RequestClass | None, home: ListedEndpoint, there: ListedEndpoint) -> bool:
-    """Is `there` in the group of servers that drops repeats of what may have run at `home`?"""
+    """Returns whether `there` deduplicates requests that may have run at `home`."""
     if cls is None or cls.idempotency is not Idempotency.KEYED or cls.repeat_scope is RepeatScope.ALL:
         return True
     same_cell = cls.repeat_scope is RepeatScope.ZONE or home.cell == there.cell
--- a/cloverrouter/errors.py
+++ b/cloverrouter/errors.py
@@ -1,7 +1,7 @@
-"""The root of the exception tree: every error that this project raises on purpose descends from it."""
+"""The root of the exception hierarchy: every error that this project raises on purpose derives from it."""
 
 from __future__ import annotations
 
 
 class CypresswinchError(Exception):
-    """An error of this project's own."""
+    """Base class of this project's own errors."""
--- a/cloverrouter/indexes.py
+++ b/cloverrouter/indexes.py
@@ -1,4 +1,4 @@
-"""Structures that keep many things in order, and what they cost small. Nothing here decides anything."""
+"""Ordered collections and running statistics with cheap updates. This module makes no decisions."""
 
 from __future__ import annotations
 
@@ -12,22 +12,24 @@
 
 
 class Ring(Generic[T]):
-    """Members in an order that is the same everywhere: by a hash of their names. Adding one of n moves up to
-    n references, and looks at log n."""
+    """Members sorted by a hash of their names, so that the order is the same in every process.
+
+    Adding one of n members moves up to n references and compares log n keys.
+    """
 
     def __init__(self) -> None:
         self.members: list[T] = []
-        self.weight = 0.0  # of all
-        self.heaviest = 0.0  # of those that have been in it
+        self.weight = 0.0  # total weight
+        self.heaviest = 0.0  # highest weight of any member since the ring was last empty
         self._keys: list[tuple[int, str, float]] = []
 
     def _at(self, name: str) -> tuple[int, int]:
-        """The hash, and where it stands or would."""
+        """Returns the hash of a name and its index or insertion point."""
         key = crc32(name.encode())
         return key, bisect_left(self._keys, (key, name))
 
     def add(self, name: str, weight: float, member: T) -> None:
-        """Put it in; not for what is in it already."""
+        """Adds a member that is not in the ring yet."""
         key, at = self._at(name)
         self._keys.insert(at, (key, name, weight))
         self.members.insert(at, member)
@@ -35,40 +37,41 @@
         self.heaviest = max(self.heaviest, weight)
 
     def discard(self, name: str) -> None:
-        """Take it out, if it is in."""
+        """Removes a member if it is in the ring."""
         _, at = self._at(name)
         if at < len(self._keys) and self._keys[at][1] == name:
             self.weight -= self._keys[at][2]
             del self._keys[at], self.members[at]
             if not self.members:
-                self.weight = self.heaviest = 0.0  # no rounding is handed on
+                self.weight = self.heaviest = 0.0  # discards accumulated rounding errors
 
 
 class Mean:
-    """Means of two figures over some members, kept up as they come, change and go."""
+    """Running means of two values over a changing set of members."""
 
     def __init__(self) -> None:
         self.count = 0
         self._one = self._other = 0.0
 
     def add(self, one: float, other: float, sign: int = 1) -> None:
+        """Adds a member's values, or removes them with `sign=-1`."""
         self.count += sign
         self.change(sign * one, sign * other)
         if not self.count:
-            self._one = self._other = 0.0  # no rounding is handed on
+            self._one = self._other = 0.0  # discards accumulated rounding errors
 
     def change(self, one: float, other: float) -> None:
-        """A member's figures have changed by so much."""
+        """Adjusts the sums when a member's values change by these amounts."""
         self._one += one
         self._other += other
 
     def means(self) -> tuple[float, float]:
-        """1 each, without members."""
+        """Returns both means, or 1.0 each if there are no members."""
         return (self._one / self.count, self._other / self.count) if self.count else (1.0, 1.0)
 
 
 class Rate:
-    """How much of something comes a millisecond, smoothed over `span_ms`."""
+    """Amount per millisecond, smoothed over `span_ms`."""
 
     def __init__(self, span_ms: float) -> None:
         self._span_ms = span_ms
@@ -80,16 +83,18 @@
         self._at_ms = now_ms
 
     def add(self, now_ms: float, amount: float) -> None:
+        """Counts an amount at this time."""
         self._decay(now_ms)
         self._sum += amount
 
     def per_ms(self, now_ms: float) -> float:
+        """Returns the current rate."""
         self._decay(now_ms)
         return self._sum / self._span_ms
 
 
 class Waiting(Protocol):
-    """What can wait in a queue."""
+    """What a queue needs to know about its items."""
 
     @property
     def value(self) -> float: ...
@@ -104,26 +109,26 @@
 
 
 W = TypeVar("W", bound=Waiting)
-# (value, number, what waits): the number tells equals apart, so that what waits is never compared.
+# (value, number, item): the number breaks ties, so that items are never compared.
 Entry = tuple[float, int, W]
 
 
 def waits(entry: tuple[float, int, Waiting]) -> bool:
-    """Does its request still wait, and as this entry?"""
+    """Returns whether the item is still queued, and under this entry's number."""
     return entry[2].held_as == entry[1]
 
 
 class Line(Generic[W]):
-    """Requests in the order in which they are to be sent, the next one last. Late ones go after all others.
-
-    Danger: in an overload those that have waited longest are served late, and make the next late."""
+    """Queue of requests sorted by priority, the next one last. Late requests come after all others: in an
+    overload, serving those that have waited longest makes them late and delays the next ones as well."""
 
     def __init__(self) -> None:
         self.hopeful: list[Entry[W]] = []
         self.late: list[Entry[W]] = []
 
     def top(self, now_ms: float) -> tuple[bool, Entry[W]] | None:
-        """The next one, and whether it may still be in time. What waits no longer is dropped on the way."""
+        """Returns the next entry and whether it can still be on time. Discards entries that are no longer
+        queued."""
         while self.hopeful:
             entry = self.hopeful[-1]
             if waits(entry) and now_ms <= entry[2].in_aim_until_ms:
@@ -139,42 +144,47 @@
         (self.hopeful if hopeful else self.late).pop()
 
     def entries(self) -> list[Entry[W]]:
+        """Returns all entries that are still queued."""
         return [entry for entry in (*reversed(self.hopeful), *reversed(self.late)) if waits(entry)]
 
     def compact(self) -> None:
+        """Removes entries that are no longer queued."""
         self.hopeful = [entry for entry in self.hopeful if waits(entry)]
         self.late = [entry for entry in self.late if waits(entry)]
 
 
 class Held(Generic[W]):
-    """Requests that wait for a server: the most valuable first, the newest of equals.
+    """Requests that wait for a server: the highest value first, the newest among equals.
 
-    Those that have been tried apart from those that may go anywhere: of these, if one can't be sent, none
-    can, and no look at the others is needed."""
+    Requests that were already tried are kept apart from untried ones, which may go to any server: if one
+    untried request cannot be sent, no other can, and they need not be checked.
+    """
 
     def __init__(self) -> None:
         self.fresh, self.tried = Line[W](), Line[W]()
-        self._ages: list[Entry[W]] = []  # a heap by arrival
+        self._ages: list[Entry[W]] = []  # a heap by arrival time
         self._number = 0
 
     def add(self, request: W) -> None:
+        """Queues a request."""
         self._number += 1
         request.held_as = self._number
         self.put_back([(request.value, self._number, request)])
         heappush(self._ages, (request.arrived_ms, self._number, request))
 
     def oldest(self) -> W | None:
+        """Returns the request that has waited longest, or None."""
         while self._ages:
             entry = self._ages[0]
             if waits(entry) and entry[2].arrived_ms == entry[0]:
                 return entry[2]
             heappop(self._ages)
-            if waits(entry):  # its body has come since
+            if waits(entry):  # its upload completed after it was queued
                 heappush(self._ages, (entry[2].arrived_ms, entry[1], entry[2]))
         return None
 
     def pop(self, now_ms: float, fresh: bool) -> Entry[W] | None:
-        """Take out the next one; of those that may go anywhere only if `fresh`."""
+        """Removes and returns the next entry; considers untried requests only if `fresh`."""
         best, line = self.tried.top(now_ms), self.tried
         if fresh:
             other = self.fresh.top(now_ms)
@@ -186,12 +196,12 @@
         return best[1]
 
     def put_back(self, entries: list[Entry[W]]) -> None:
-        """What waits on, or anew."""
+        """Inserts entries of requests that wait again or continue to wait."""
         for entry in entries:
             insort((self.tried if entry[2].attempts else self.fresh).hopeful, entry)
 
     def compact(self, most: int) -> None:
-        """Let go of what waits no longer, once it is more than `most`."""
+        """Removes entries that are no longer queued once there are more than `most`."""
         if len(self._ages) > most:
             self._ages = [entry for entry in self._ages if waits(entry)]
             heapify(self._ages)
--- a/cloverrouter/interface.py
+++ b/cloverrouter/interface.py
@@ -1,7 +1,7 @@
-"""What a client proxy and the balancer say to each other: settings, events, actions.
+"""Public types shared by a client proxy and its balancer: settings, events and actions.
 
-Times are milliseconds on one monotonic clock of the proxy's choosing; spans end in ``_ms`` too.
-Ids (requests, endpoints, zones, cells) are opaque: they are compared and given back, never read.
+Times are milliseconds on one monotonic clock chosen by the proxy; durations also end in ``_ms``. Ids of
+requests, endpoints, zones and cells are opaque: they are compared and passed back, never parsed.
 """
 
 from __future__ import annotations
@@ -14,12 +14,12 @@
     """Whether a request that may have run can be sent again."""
 
     SAFE = "safe"  # always
-    KEYED = "keyed"  # within the group of endpoints and the time that drop its repeats
+    KEYED = "keyed"  # only to endpoints of the deduplication scope, within the deduplication window
     UNSAFE = "unsafe"  # never
 
 
 class RepeatScope(Enum):
-    """Which endpoints drop the repeats of a keyed request."""
+    """Which endpoints share the deduplication of a keyed request."""
 
     ALL = "all"
     ZONE = "zone"
@@ -27,20 +27,22 @@
 
 
 class Outcome(Enum):
-    """How an attempt, or a probe, ended."""
+    """How an attempt or a probe ended."""
 
     OK = "ok"
-    ERROR = "error"  # answered with an error; may have run
-    REJECTED = "rejected"  # turned away unseen
-    TIMEOUT = "timeout"  # may have run, may still run
+    ERROR = "error"  # an error response; may have run
+    REJECTED = "rejected"  # rejected before execution
+    TIMEOUT = "timeout"  # may have run and may still be running
     CONNECT_FAILED = "connect_failed"
-    RESET = "reset"  # connection lost under way; may have run
-    SPOILT = "spoilt"  # an answer came that is of no use; it ran
-    CANCELLED = "cancelled"  # called off by us; may have run
+    RESET = "reset"  # connection lost after the request was sent; may have run
+    SPOILT = "spoilt"  # an unusable response; the request ran
+    CANCELLED = "cancelled"  # cancelled by the balancer; may have run
     NOT_SENT = "not_sent"  # the proxy did not send it
 
 
 class EndpointState(Enum):
+    """State of an endpoint in the discovery list."""
+
     READY = "ready"
     DRAINING = "draining"
     GONE = "gone"
@@ -50,19 +52,21 @@
     """What an `EndpointsListed` event carries."""
 
     DELTA = "delta"  # changed endpoints only
-    FULL = "full"  # the whole list; what is not in it is gone
-    RESTORED = "restored"  # the whole list as last known before a restart, perhaps old
-    FAILED = "failed"  # a call to discovery failed or the subscription broke; nothing listed
+    FULL = "full"  # the whole list; endpoints missing from it are gone
+    RESTORED = "restored"  # the whole list as stored before a restart, possibly outdated
+    FAILED = "failed"  # a discovery call failed or the subscription broke; the list is empty
 
 
 @dataclass(frozen=True, slots=True)
 class RequestClass:
+    """Latency target, value and retry rules of a class of requests."""
+
     name: str
     aim_ms: float  # an answer within this earns the full worth
     deadline_ms: float
     worth: float = 1.0
-    late_worth: float = 0.0  # share of the worth earned between aim and deadline
-    aim_stretch: float = 0.0  # more time on the aim, as a multiple of the request's work
+    late_worth: float = 0.0  # fraction of the worth earned by an answer between aim and deadline
+    aim_stretch: float = 0.0  # extends the aim by this multiple of the request's work
     idempotency: Idempotency = Idempotency.UNSAFE
     repeat_scope: RepeatScope = RepeatScope.ALL
     repeat_window_ms: float = 0.0
@@ -71,60 +75,68 @@
 
 @dataclass(frozen=True, slots=True)
 class Limits:
+    """What the site allows the proxy to do."""
+
     max_attempts: int = 3
     parallel_attempts: bool = False
     cancel: bool = False
     probes: bool = False
-    peers: bool = False  # proxies may tell each other what they see
+    peers: bool = False  # proxies may exchange what they observe
     retry_after: bool = False
     max_retry_after_ms: float = 0.0
     connect_timeout_ms: float = 250.0
-    max_open: int = 0  # requests that the clients can have open here; more don't reach it. 0: not known
+    max_open: int = 0  # open client requests this proxy can accept, further ones cannot reach it; 0: unknown
 
 
 @dataclass(frozen=True, slots=True)
 class Safety:
-    """The figures of the rules on drains, discovery and cold endpoints."""
+    """Parameters of the rules on draining, discovery and cold endpoints."""
 
-    cold_share: float = 1.0  # an endpoint starts with at least this share of its capacity
-    cold_ms: float = 0.0  # and is warm at the latest after this
-    push_multiple: float = 3.0  # sent more than this multiple of its capacity
-    push_window_ms: float = 1000.0  # for this long, a cold endpoint falls over
-    must_ask_ms: float = 10_000.0  # unsubscribed proxies must ask discovery this often
-    drain_grace_ms: float = 500.0  # so long after it is told that one drains, a proxy may still send there
+    cold_share: float = 1.0  # an endpoint starts with at least this fraction of its capacity
+    cold_ms: float = 0.0  # and is warm after this at the latest
+    push_multiple: float = 3.0  # a cold endpoint that is sent more than this multiple of its capacity
+    push_window_ms: float = 1000.0  # for this long is overloaded and fails
+    must_ask_ms: float = 10_000.0  # without a subscription, discovery must be polled at least this often
+    drain_grace_ms: float = 500.0  # sends are still allowed for this long after the drain notice
 
 
 @dataclass(frozen=True, slots=True)
 class Prices:
-    """Points taken off the result, as the site counts them."""
+    """Penalties subtracted from the score of the site."""
 
-    cross_zone: float = 0.0  # an attempt that crosses zones, per first try
-    probe: float = 0.0  # a probe, per first try
-    waste: float = 0.0  # work that served no answer, as a share of work offered
-    late_fail: float = 0.0  # worth that ended unserved after its aim
+    cross_zone: float = 0.0  # an attempt that crosses zones, per first attempt
+    probe: float = 0.0  # a probe, per first attempt
+    waste: float = 0.0  # work that led to no answer, as a fraction of the work offered
+    late_fail: float = 0.0  # worth of requests that ended unanswered after their aim
 
 
 @dataclass(frozen=True, slots=True)
 class Tenant:
+    """A tenant and its request quota."""
+
     name: str
     quota_per_s: float
 
 
 @dataclass(frozen=True, slots=True)
 class Settings:
+    """Configuration of one balancer. Raises ValueError for inconsistent values."""
+
     classes: tuple[RequestClass, ...]
     zone: str = ""
-    proxies: int = 1  # client proxies that send to the same endpoints, this one included
-    number: int | None = None  # this proxy's, from 0; None: not known, and drawn
-    place: float | None = None  # where in the ring of servers its own begin, 0 to 1; None: by its number
-    subscribe: bool = False  # discovery tells of changes only when asked
-    report_fields: tuple[str, ...] = ()  # what a load report holds, in order
-    worth_by_work: bool = False  # worth counts per unit of work, not per request
+    proxies: int = 1  # client proxies that send to the same endpoints, including this one
+    # index of this proxy, from 0; None: unknown, its ring position is drawn at random
+    number: int | None = None
+    # where this proxy's servers begin on the ring, 0 to 1; None: derived from the index
+    place: float | None = None
+    subscribe: bool = False  # discovery pushes changes only after a subscription
+    report_fields: tuple[str, ...] = ()  # the fields of a load report, in order
+    worth_by_work: bool = False  # worth counts per unit of work instead of per request
     limits: Limits = field(default_factory=Limits)
     safety: Safety = field(default_factory=Safety)
     prices: Prices = field(default_factory=Prices)
     tenants: tuple[Tenant, ...] = ()
-    over_quota_worth: float = 1.0  # share of its worth that a request over its tenant's quota keeps
+    over_quota_worth: float = 1.0  # fraction of its worth that a request over its tenant's quota keeps
 
     def __post_init__(self) -> None:
         for cls in self.classes:
@@ -149,7 +161,7 @@
 
     @property
     def own_place(self) -> float | None:
-        """Where this proxy's servers begin; None if nothing says so."""
+        """Position on the ring where this proxy's servers begin, or None if it is not configured."""
         if self.place is not None or self.number is None:
             return self.place
         return self.number / self.proxies
@@ -157,7 +169,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ListedEndpoint:
-    """One entry of discovery's list."""
+    """One entry of the discovery list."""
 
     name: str
     zone: str = ""
@@ -172,7 +184,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointMemory:
-    """What a balancer knows of one endpoint, for the one that takes over from it."""
+    """What a balancer learned about one endpoint, handed over to its successor."""
 
     name: str
     started_ms: float | None
@@ -180,10 +192,13 @@
     slowness: float
     limit: float
     latency_ms: float
-    cold_credit: float | None  # work that it may be sent while cold; None: not reckoned yet
+    cold_credit: float | None  # work it may still be sent while cold; None: not computed yet
 
     def fits(self, started_ms: float | None) -> bool:
-        """Is it about the process that started then? Two processes reckon that on clocks set apart."""
+        """Returns whether the record is about the process that started at `started_ms`.
+
+        Two processes derive start times from clocks that differ slightly, hence the tolerance.
+        """
         if started_ms is None or self.started_ms is None:
             return started_ms is self.started_ms
         return abs(started_ms - self.started_ms) <= SAME_START_MS
@@ -191,6 +206,8 @@
 
 @dataclass(frozen=True, slots=True)
 class ClassMemory:
+    """What a balancer learned about one request class, handed over to its successor."""
+
     name: str
     mean_ms: float
     base_ms: float
@@ -200,12 +217,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Memory:
-    """What a balancer hands on when another takes over on the same clock: what operators have said, what
-    the rules count over both, and what it has learnt."""
+    """State handed over to the balancer that takes over on the same clock: operators' cordons, the counters
+    that the rules apply to both balancers together, and learned estimates."""
 
     cordons: tuple[str, ...] = ()
     listed: tuple[str, ...] = ()  # every endpoint that was ever listed
-    back_ms: tuple[tuple[str, float], ...] = ()  # when a cordon ended
+    back_ms: tuple[tuple[str, float], ...] = ()  # when each cordon ended
     tokens: float = 0.0
     peak_rate: float = 0.0
     flow_limit: float = 0.0
@@ -215,36 +232,40 @@
 
 @dataclass(frozen=True, slots=True)
 class Census:
-    """The list in figures."""
+    """Number of listed endpoints and how many of them are excluded."""
 
     listed: int
-    avoided: int  # of these, those that get nothing now: by the balancer's choice, or an operator's
+    avoided: int  # listed endpoints that get no requests now, excluded by the balancer or by an operator
 
 
-# Events: what the proxy tells.
+# Events: from the proxy to the balancer.
 
 
 @dataclass(frozen=True, slots=True)
 class EndpointsListed:
+    """A list of endpoints from discovery."""
+
     kind: ListKind
     endpoints: tuple[ListedEndpoint, ...] = ()
 
 
-@dataclass(slots=True)  # not frozen: made for each request
+@dataclass(slots=True)  # not frozen: created for each request
 class RequestArrived:
+    """A client request has arrived."""
+
     request_id: int
     class_name: str
-    deadline_ms: float | None = None  # on the clock, not a span; None: the class's own
+    deadline_ms: float | None = None  # a point in time; None: the deadline of the class applies
     tenant: str | None = None
     key: str | None = None
     work_hint_ms: float | None = None
-    repeat: bool = False  # marked by its client as a repeat
-    uploading: bool = False  # its body is still coming: time counts from `RequestCompleted` on
+    repeat: bool = False  # marked as a retry by its client
+    uploading: bool = False  # the body is still arriving: time counts from `RequestCompleted`
 
 
 @dataclass(frozen=True, slots=True)
 class RequestCompleted:
-    """The last byte of a request that arrived uploading has come, and its time begins."""
+    """The last byte of a request that arrived with `uploading` was received; its time starts now."""
 
     request_id: int
     deadline_ms: float | None = None  # as in `RequestArrived`
@@ -252,38 +273,44 @@
 
 @dataclass(frozen=True, slots=True)
 class StreamStarted:
-    """The answer has begun; from here the attempt is the client's."""
+    """The response has started; the attempt can no longer be retried."""
 
     request_id: int
     attempt: int
     latency_ms: float
 
 
-@dataclass(slots=True)  # not frozen: made for each request
+@dataclass(slots=True)  # not frozen: created for each request
 class AttemptEnded:
+    """An attempt has ended."""
+
     request_id: int
     attempt: int
     outcome: Outcome
     latency_ms: float
-    answered: bool = False  # nothing more is owed to the client
+    answered: bool = False  # the client needs no further answer
     report: tuple[float, ...] | None = None
-    spent: bool = False  # the request can't be sent again: a part of its body is gone
+    spent: bool = False  # part of the body was consumed, so the request cannot be sent again
 
 
 @dataclass(frozen=True, slots=True)
 class RequestGone:
-    """The client left; nothing more is owed."""
+    """The client disconnected and needs no answer."""
 
     request_id: int
 
 
 @dataclass(frozen=True, slots=True)
 class TimerFired:
+    """A timer set by `SetTimer` has expired."""
+
     token: int
 
 
 @dataclass(frozen=True, slots=True)
 class ProbeEnded:
+    """A probe has ended."""
+
     endpoint: str
     outcome: Outcome
     latency_ms: float
@@ -292,7 +319,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Cordon:
-    """An operator bans an endpoint, whatever the lists say, or ends the ban. Answered with `Cordoned`."""
+    """An operator excludes an endpoint regardless of the discovery lists, or ends that. Answered by
+    `Cordoned`."""
 
     endpoint: str
     on: bool
@@ -300,11 +328,11 @@
 
 @dataclass(frozen=True, slots=True)
 class PartTaken:
-    """From now on this part of what the proxy may do is this balancer's: another one has the rest, as one
-    takes over from the other. One alone has all of it."""
+    """Sets the fraction of the proxy's budgets that belongs to this balancer, while another balancer takes
+    over or hands over and has the rest. A balancer alone has all of it."""
 
     part: float
-    others_open: int = 0  # requests that the other one has open
+    others_open: int = 0  # requests open at the other balancer
 
 
 Event = (
@@ -321,22 +349,23 @@
 )
 
 
-# Actions: what the balancer answers.
+# Actions: from the balancer to the proxy.
 
 
-@dataclass(slots=True)  # not frozen: made for each request
+@dataclass(slots=True)  # not frozen: created for each request
 class Send:
-    """Start the next attempt of a request; attempts count from 0 in the order of their sends."""
+    """Starts the next attempt of a request; attempts are numbered from 0 in sending order."""
 
     request_id: int
     endpoint: str
-    timeout_ms: float  # 0: none, while the request is uploading
-    out_within_ms: float = float("inf")  # its last byte goes out by then, or it does not go out at all
+    timeout_ms: float  # 0: no timeout while the request is uploading
+    # the attempt is dropped unless its last byte is sent within this time
+    out_within_ms: float = float("inf")
 
 
 @dataclass(frozen=True, slots=True)
 class SetTimeout:
-    """Give an attempt that is out this long from now."""
+    """Sets the timeout of an attempt in progress, counted from now."""
 
     request_id: int
     attempt: int
@@ -345,7 +374,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Refuse:
-    """Final answer: rejected, and harmless to try again."""
+    """Final answer: rejected without execution; a retry by the client is safe."""
 
     request_id: int
     retry_after_ms: float = 0.0
@@ -353,35 +382,43 @@
 
 @dataclass(frozen=True, slots=True)
 class Fail:
-    """Final answer: failed; whether it ran is not said."""
+    """Final answer: failed; the request may have run."""
 
     request_id: int
 
 
 @dataclass(frozen=True, slots=True)
 class Cancel:
+    """Cancels an attempt in progress."""
+
     request_id: int
     attempt: int
 
 
 @dataclass(frozen=True, slots=True)
 class SetTimer:
+    """Requests a `TimerFired` event after a delay."""
+
     delay_ms: float
     token: int
 
 
 @dataclass(frozen=True, slots=True)
 class Probe:
+    """Checks whether an endpoint is reachable; answered by `ProbeEnded`."""
+
     endpoint: str
 
 
 @dataclass(frozen=True, slots=True)
 class Subscribe:
-    """Ask discovery for the changes missed, and for all that follow."""
+    """Requests the missed changes and all later ones from discovery."""
 
 
 @dataclass(frozen=True, slots=True)
 class Log:
+    """Writes a line to the log."""
+
     text: str
 
 
@@ -391,7 +428,7 @@
 
     endpoint: str
     on: bool
-    known: bool  # False: never listed, and nothing has changed
+    known: bool  # False: the endpoint was never listed and nothing changed
 
 
 Action = Send | SetTimeout | Refuse | Fail | Cancel | SetTimer | Probe | Subscribe | Log | Cordoned
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -37,7 +37,7 @@
 
 
 def test_nobody_looks_before_it_is_told() -> None:
-    with pytest.raises(ValueError, match="nobody has told"):
+    with pytest.raises(ValueError, match="shutdown has not started"):
         Leaving().look(1.0, Seen(0, 0))
 
 
--- a/tests/test_lifecycle.py
+++ b/tests/test_lifecycle.py
@@ -231,7 +231,7 @@
     script = Script().sent("a")
     with pytest.raises(ValueError, match="arrived twice"):
         script.on(RequestArrived(1, "x"))
-    with pytest.raises(ValueError, match="not a happening"):
+    with pytest.raises(ValueError, match="not an event"):
         script.on("nonsense")  # type: ignore[arg-type]
     with pytest.raises(ValueError, match="not an action"):
         script.act("nonsense")  # type: ignore[arg-type]
