--- a/tests/cold_world.py
+++ b/tests/cold_world.py
@@ -1,9 +1,9 @@
-"""Many proxies before servers of which some have just started: what all of them together send each of these.
+"""Simulation of many proxies and of servers that have just started, which measures what all proxies together
+send to each cold server.
 
-A world of its own, so that the law for cold servers is held against something that does not share its
-reckoning: real balancers, one clock, servers that know what they can do, and a count for each cold server of
-what it is sent, held against the page: no more than N + 3 x root of N + 3 requests of mean work within the
-push window, N being what the settings allow at its present capacity.
+It is independent of the implementation: real balancers, one clock, servers with a known capacity, and a count
+of the requests sent to each cold server. The limit within one overload window is N + 3 x root of N + 3
+requests of mean work, where N is what the settings allow at the server's present capacity.
 """
 
 from __future__ import annotations
@@ -36,9 +36,9 @@
     TimerFired,
 )
 
-CORES, WORK_MS = 4, 100.0  # of each server, and the mean work of a request
-RATE = CORES / WORK_MS  # requests a millisecond that a warm server can do
-WARM_UP_MS = 3000.0  # of traffic before the servers start
+CORES, WORK_MS = 4, 100.0  # per server; mean work of a request
+RATE = CORES / WORK_MS  # requests per millisecond that a warm server can serve
+WARM_UP_MS = 3000.0  # duration of the traffic before the servers start
 SAFETY = Safety(cold_share=0.12, cold_ms=6000.0, push_multiple=3.0, push_window_ms=2000.0)
 ASKED = RequestClass(
     "asked", aim_ms=600, deadline_ms=2000, idempotency=Idempotency.KEYED, repeat_window_ms=9e9
@@ -47,15 +47,15 @@
 
 @dataclass(frozen=True)
 class Plan:
-    """What is drawn for one world."""
+    """Parameters of one simulation."""
 
     proxies: int = 20
     servers: int = 12
-    cold: int = 4  # of these, start at the same time
-    load: float = 0.8  # of what all could do, warm
-    unequal: float = 1.0  # sigma of the lognormal of the proxies' traffic
-    told_spread_ms: float = 300.0  # within which the proxies are told of the start, the first at once
-    killed: float = 0.0  # part of the proxies that is killed during the warming, and starts anew at once
+    cold: int = 4  # how many of them start at the same time
+    load: float = 0.8  # fraction of the total capacity when warm
+    unequal: float = 1.0  # sigma of the lognormal distribution of the proxies' traffic
+    told_spread_ms: float = 300.0  # the proxies learn of the start within this time, the first one at once
+    killed: float = 0.0  # fraction of the proxies that is killed during the warm-up and restarted at once
     seed: int = 1
 
 
@@ -64,8 +64,8 @@
     name: str
     started_ms: float | None = None
     busy: int = 0
-    sent_ms: deque[float] = field(default_factory=deque)  # within the window
-    most: float = 0.0  # of what it was sent, as a part of what it may be
+    sent_ms: deque[float] = field(default_factory=deque)  # within the overload window
+    most: float = 0.0  # highest ratio of requests sent to requests allowed
     got: int = 0
 
     def warmth(self, now_ms: float) -> float:
@@ -75,7 +75,7 @@
         return min(1.0, SAFETY.cold_share + (1 - SAFETY.cold_share) * age)
 
     def take(self, now_ms: float) -> float:
-        """It is sent a request; how long that takes."""
+        """Accepts a request and returns how long it takes, in ms."""
         self.busy += 1
         self.got += 1
         warmth = self.warmth(now_ms)
@@ -96,7 +96,7 @@
         self._queue: list[tuple[float, int, str, tuple[Any, ...]]] = []
         self._numbers = count()
         self.served = self.asked = 0
-        self._attempts: dict[int, int] = {}  # the last one's number, by request
+        self._attempts: dict[int, int] = {}  # number of the last attempt, by request
         shares = [self.random.lognormvariate(0.0, plan.unequal) for _ in range(plan.proxies)]
         rate = plan.load * plan.servers * RATE
         self.rates = [rate * share / sum(shares) for share in shares]
@@ -121,7 +121,8 @@
         heappush(self._queue, (self.now_ms + delay_ms, next(self._numbers), what, more))
 
     def play(self) -> float:
-        """The highest part of its budget that a cold server was sent; over 1 the law is broken."""
+        """Runs the simulation and returns the highest ratio of sent to allowed requests; above 1 breaks the
+        rule."""
         self._at(WARM_UP_MS, "start")
         while self._queue:
             self.now_ms, _, what, more = heappop(self._queue)
--- a/tests/driver.py
+++ b/tests/driver.py
@@ -1,4 +1,4 @@
-"""What the tests share: settings to start from, and a driver that keeps a balancer's clock and timers."""
+"""Shared by the tests: default settings, and a driver with a clock and timers for one balancer."""
 
 from __future__ import annotations
 
@@ -64,7 +64,7 @@
 
 
 class Driver:
-    """Plays the proxy: hands over events, fires timers when due, remembers the attempts sent."""
+    """Stands in for the proxy: passes events, fires due timers and records the attempts sent."""
 
     def __init__(
         self,
@@ -80,7 +80,7 @@
         self.last_id = 0
         self.tell(EndpointsListed(ListKind.RESTORED, tuple(endpoints)))
         for known in self.balancer.membership.endpoints.values():
-            known.limit = 4.0  # past the slow start
+            known.limit = 4.0  # beyond the initial limit
         self.balancer.flow.limit = 100.0
 
     def tell(self, *events: Event) -> list[Action]:
@@ -94,7 +94,7 @@
         return [a for a in actions if not isinstance(a, SetTimer)]
 
     def wait(self, ms: float) -> list[Action]:
-        """Let time pass; what was done when timers fired meanwhile."""
+        """Advances the clock; returns the actions taken when timers fired meanwhile."""
         until, done = self.now_ms + ms, []
         while due := [t for t in self.timers if t[0] <= until]:
             timer = min(due)
@@ -109,13 +109,13 @@
         return self.last_id, self.tell(RequestArrived(self.last_id, class_name, deadline_ms))
 
     def end(self, request_id: int, outcome: Outcome, latency_ms: float = 50.0) -> list[Action]:
-        """End the last attempt of a request."""
+        """Ends the last attempt of a request."""
         attempt = len(self.sent[request_id]) - 1
         answered = outcome is Outcome.OK
         return self.tell(AttemptEnded(request_id, attempt, outcome, latency_ms, answered))
 
     def serve(self, count: int, class_name: str = "safe", latency_ms: float = 50.0) -> None:
-        """Have `count` requests served, one after the other."""
+        """Serves `count` requests one after the other."""
         for _ in range(count):
             request_id, _ = self.request(class_name)
             self.wait(latency_ms)
--- a/tests/test_benchlink.py
+++ b/tests/test_benchlink.py
@@ -1,4 +1,4 @@
-"""The adapter: what it reads, what it writes, and how it ends on bad input."""
+"""The simulator's adapter: parsing, output and the reaction to invalid input."""
 
 from __future__ import annotations
 
@@ -125,7 +125,7 @@
 
 
 def day() -> list[str]:
-    """A stretch with two instances, failures and retries."""
+    """Input lines for two instances with failures and retries."""
     lines = [batch(0, 0, who, begin(i), REGISTER, SYNC) for i, who in enumerate(("proxy_0", "proxy_1"))]
     for i in range(60):
         who, at = f"proxy_{i % 2}", 10.0 * i + 10
--- a/tests/test_cold_law.py
+++ b/tests/test_cold_law.py
@@ -1,5 +1,6 @@
-"""The law for cold servers as a property over many proxies: whatever their number, their traffic, when they
-are told and which of them are killed, the sum of what they send stays within what a cold server bears."""
+"""The rule for cold servers as a property: whatever the number of proxies, their traffic, the time at which
+they learn of the start, and restarts of proxies, the sum of their requests stays within what a cold server
+can bear."""
 
 from __future__ import annotations
 
@@ -31,7 +32,8 @@
 
 
 def test_the_world_finds_proxies_that_together_push_a_cold_server_over() -> None:
-    """None of them knows that it is cold, and all like it best."""
+    """The simulation must detect a violation: these proxies do not know that the server is cold, and prefer
+    it."""
 
     class Eager(ColdWorld):
         def _tell(self, number: int, event: Event) -> None:
--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -1,4 +1,4 @@
-"""Which package may import which: the boundaries that the design rests on, read from the sources."""
+"""Import rules between the packages, checked against the sources."""
 
 from __future__ import annotations
 
@@ -10,8 +10,8 @@
 import pytest
 
 ROOT = Path(__file__).parent.parent / "cloverrouter"
-# A package may import itself, the vocabulary, and what stands here; and of the standard library, where it
-# is pure, nothing that knows a socket, a clock or a loop.
+# A package may import itself and the packages listed here. Pure packages may not import modules of the
+# standard library that use sockets, clocks or event loops.
 ALLOWED = {
     "core": {"interface"},
     "decide": {"interface", "indexes"},
@@ -32,7 +32,7 @@
     },
     "proxy": {"interface", "core", "decide", "fleet", "handed", "http", "errors"},
     "fleet": {"indexes"},
-    # Of coordination and placement it loads the messages by name.
+    # Loads the messages of coordination and placement by name.
     "fuzz": {"errors", "daemon", "router", "control", "store", "messages", "http"},
     "lab": {"interface", "core", "decide", "fleet", "errors"},
     "cli": {"explore", "fuzz", "lab", "proxy", "daemon", "router", "control", "http", "messages", "errors"},
@@ -103,12 +103,13 @@
 def test_pure_modules_know_no_socket_clock_or_loop(part: str) -> None:
     for path in files(part):
         top = {name.split(".")[0] for name in imported(path)}
-        # The decision module draws from a source that it seeds itself.
+        # The decision module uses a random generator that it seeds itself.
         assert not top & (IMPURE - ({"random"} if part == "decide" else set())), path.name
 
 
 def module_graph() -> dict[str, set[str]]:
-    """Which module imports which, by name; also what is imported for the type checker or within functions."""
+    """Returns which module imports which, by name, including imports for type checking and within
+    functions."""
     modules = {}
     for path in ROOT.rglob("*.py"):
         parts = path.relative_to(ROOT.parent).with_suffix("").parts
@@ -128,7 +129,7 @@
 
 
 def test_no_module_imports_itself_by_way_of_others() -> None:
-    """A package's own name stands for its `__init__`, which may gather what its modules offer."""
+    """A package's own name stands for its `__init__`, which may import from its modules."""
     graph = module_graph()
     packages = {name for name in graph if any(other.startswith(f"{name}.") for other in graph)}
     plain = {name: imports - packages for name, imports in graph.items() if name not in packages}
@@ -137,7 +138,7 @@
 
 
 def test_the_proxy_loads_no_tools() -> None:
-    """What `run` starts is not to pay for the explorer or the command line."""
+    """Starting `run` must not load the explorer or the command line."""
     code = "import sys, cloverrouter.proxy.program; print(*sys.modules)"
     done = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, check=True)
     loaded = set(done.stdout.split())
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -1,4 +1,4 @@
-"""How the process ends, played as looks: what is done at each, and when it is over."""
+"""The shutdown sequence: the actions at each check, and when the process may exit."""
 
 from __future__ import annotations
 
@@ -58,10 +58,10 @@
 def test_it_ends_only_in_a_look_at_which_nobody_waits() -> None:
     leaving = finishing(seen=Seen(0, 1))
     last_s = 100.0 + STILL_COMING_S
-    assert leaving.look(last_s + COME_AGAIN_S - SOON, Seen(0, 0)) == []  # a request may come again
+    assert leaving.look(last_s + COME_AGAIN_S - SOON, Seen(0, 0)) == []  # a request may be retried
     at_s = last_s + COME_AGAIN_S + SOON
     assert leaving.look(at_s, Seen(0, 0)) == [Do.TAKE_IN]
-    assert leaving.look(at_s, Seen(0, 1)) == REST  # somebody did
+    assert leaving.look(at_s, Seen(0, 1)) == REST  # a connection was accepted
     assert leaving.look(at_s + SOON, Seen(0, 0)) == []
     assert leaving.look(at_s + COME_AGAIN_S + SOON, Seen(0, 0)) == [Do.TAKE_IN]
     assert leaving.look(at_s + COME_AGAIN_S + SOON, Seen(0, 0, nobody_waits=True)) == []
@@ -88,7 +88,7 @@
     assert leaving.look(at_s + LAST_BYTES_S - SOON, Seen(0, 1)) == REST
     assert leaving.look(at_s + LAST_BYTES_S, Seen(0, 1)) == [Do.END_HALF_SENT, *REST]
     assert leaving.look(at_s + LAST_BYTES_S + SOON, Seen(0, 1)) == REST
-    assert leaving.look(at_s + 2 * LAST_BYTES_S, Seen(0, 1)) == [Do.TAKE_IN]  # nor is anybody left waiting
+    assert leaving.look(at_s + 2 * LAST_BYTES_S, Seen(0, 1)) == [Do.TAKE_IN]  # and no connection is waiting
     assert leaving.look(at_s + 2 * LAST_BYTES_S, Seen(0, 1, nobody_waits=True)) == []
     assert leaving.over
 
@@ -136,7 +136,8 @@
 
 
 def test_a_request_that_came_in_time_has_all_of_its_deadline() -> None:
-    """Up to 0.7 s after SIGTERM, by the page; then nothing but what is left until the kill."""
+    """A request that arrives up to 0.7 s after SIGTERM gets its whole deadline; a later one only the time
+    until SIGKILL."""
     leaving = finishing(1.0)
     came_s, deadline_s = 100.0 + KILLED_AFTER_S - HALT_BEFORE_S - SOON, 1.0
     assert leaving.look(came_s + deadline_s, Seen(1, 1)) == REST
--- a/tests/test_lifecycle.py
+++ b/tests/test_lifecycle.py
@@ -1,4 +1,4 @@
-"""The automaton of calls and attempts, played as scripts: what happens, and the effects that follow."""
+"""The state machine of calls and attempts: sequences of events, and the resulting effects."""
 
 from __future__ import annotations
 
@@ -55,7 +55,7 @@
 
 
 class Script:
-    """Plays a conversation on one lifecycle; `told` is what the module was told last."""
+    """Runs a sequence of events on one lifecycle; `told` holds the last events for the decision module."""
 
     def __init__(self) -> None:
         self.life = Lifecycle(2000.0)
@@ -102,7 +102,7 @@
         script.on(Written(1, 0))
     assert script.on(TimeUp(1, 0)) == [Abandon(1, 0)]
     assert script.outcomes() == [outcome]
-    assert script.on(TimeUp(1, 0)) == [] and not script.told  # it is over
+    assert script.on(TimeUp(1, 0)) == [] and not script.told  # already ended
 
 
 def test_an_answer_held_in_time_is_passed_on_and_has_no_more_time_limit() -> None:
@@ -150,7 +150,7 @@
     script = Script().sent("a", "b")
     script.on(Written(1, 0))
     assert script.on(Ended(1, 0, Outcome.OK, "one")) == [Abandon(1, 1), Serve(1, "one"), Forget(1)]
-    assert script.outcomes() == [Outcome.NOT_SENT, Outcome.OK]  # it had not gone out, and never will
+    assert script.outcomes() == [Outcome.NOT_SENT, Outcome.OK]  # it was not sent yet, and never will be
 
 
 def test_a_copy_that_is_out_keeps_its_call_known_until_it_ends() -> None:
@@ -238,7 +238,7 @@
 
 
 def test_the_module_is_never_told_while_it_decides() -> None:
-    """An attempt that ends while it is being started is told in the next round."""
+    """An attempt that ends while it is being started is reported in the next round."""
     rounds: list[list[Event]] = []
 
     def decide(now_ms: float, events: Sequence[Event]) -> Sequence[Action]:
@@ -259,13 +259,13 @@
     assert done == [Start(1, 0, "a", 1, 500.0), GiveFailure(1), Forget(1)]
 
 
-# The end of the process, and the end of a window
+# Shutdown, and the limit on the sending time
 
 
 def test_halt_fails_what_is_owed_and_starts_nothing_more() -> None:
     script = Script().sent("a")
     script.on(Written(1, 0))
-    script.on(RequestArrived(2, "x", 1000.0))  # held: nothing of it is out
+    script.on(RequestArrived(2, "x", 1000.0))  # queued: it has no attempt in flight
     effects = script.on(Halted())
     assert effects == [GiveFailure(1), Abandon(1, 0), Forget(1), GiveFailure(2), Forget(2)]
     assert script.life.owed == 0
--- a/tests/test_many_servers.py
+++ b/tests/test_many_servers.py
@@ -1,4 +1,4 @@
-"""Long lists: decisions that look at few servers, and the rules on the way that draws take there."""
+"""Long server lists: a decision checks few servers, and draws from long lists keep the rules."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 
 def looked_at(monkeypatch: pytest.MonkeyPatch, driver: Driver, ask: int) -> float:
-    """Servers looked at for each of so many requests, that are answered one after the other."""
+    """Returns how many servers are checked per request, for `ask` requests served one after the other."""
     looks = 0
     has_room = Endpoint.has_room
 
@@ -63,7 +63,7 @@
         many.request()
         many.request()
     assert len(looks) <= 2 * 2 * 2 * REACH
-    # Answers free room, and the request that waits goes there: not many of these would be drawn by chance.
+    # Responses free capacity, and the queued request gets it; few random draws would find these servers.
     for known in list(many.balancer.membership.endpoints.values())[:300]:
         known.in_flight = 0
     assert [a for a in many.tell() if isinstance(a, Send)]
@@ -99,9 +99,9 @@
     driver.serve(400)
     used = {name for sent in driver.sent.values() for name in sent}
     assert not used & (banned | drained) and len(used) > 100
-    driver.tell(Cordon("s0", False), Cordon("s3", False))  # s0 is listed no more
+    driver.tell(Cordon("s0", False), Cordon("s3", False))  # s0 is not listed any more
     driver.sent.clear()
-    driver.serve(220)  # it warms in 10 s, and has the credit for a request then at the latest
+    driver.serve(220)  # it warms up in 10 s, and by then has enough credit for a request
     assert ["s3"] in driver.sent.values()
 
 
@@ -127,11 +127,11 @@
     for known in driver.balancer.membership.endpoints.values():
         known.in_flight = 0 if known.listed.name == "s0" else 9
     request, _ = driver.request("keyed")
-    while request not in driver.sent:  # the only one with room is found in time, if not at once
+    while request not in driver.sent:  # the only server with room is found after a few tries
         driver.tell()
     driver.end(request, Outcome.ERROR)
     driver.wait(1500)
-    # A group of one: with nowhere else to go, back to where it failed.
+    # A group of one server: with no alternative, the retry returns to it.
     assert driver.sent[request] == ["s0"] * (2 if scope is RepeatScope.CELL else len(driver.sent[request]))
 
 
@@ -160,11 +160,12 @@
     assert driver.balancer.membership.cold_share(driver.now_ms) == 0
 
 
-# Held requests
+# Queued requests
 
 
 def test_held_requests_go_when_a_pause_ends_with_no_other_traffic() -> None:
-    """Danger: nothing else happens, and a request waits for its time to be up beside a server with room."""
+    """Without other events, a queued request would wait until its timeout although a server has room
+    again."""
     driver = Driver(endpoints=[endpoint("s1")])
     server = driver.balancer.membership.endpoints["s1"]
     server.failed(driver.now_ms, 200.0, 1000.0)
@@ -195,7 +196,7 @@
     assert not driver.balancer.timers
 
 
-# The structures
+# Data structures
 
 
 @dataclass
@@ -257,7 +258,7 @@
     again: Ring[str] = Ring()
     for name in reversed(list(there)):
         again.add(name, 1.0, name)
-    assert again.members == ring.members  # whatever the order in which they came
+    assert again.members == ring.members  # independent of the order in which they were added
 
 
 def test_an_entry_that_says_the_same_changes_nothing() -> None:
--- a/tests/test_mechanism.py
+++ b/tests/test_mechanism.py
@@ -1,4 +1,4 @@
-"""The ordinary path: budget, backoff, two draws, deadline."""
+"""The normal path of a request: retry budget, backoff, two draws and deadline."""
 
 from dataclasses import replace
 from random import Random
@@ -220,11 +220,12 @@
 
 
 def test_answers_timed_by_a_stopped_clock_teach_nothing() -> None:
-    """A process whose clock stands still at its start sees answers in no time. Taken for what is usual, they
-    make each later answer look thousands of times too slow, and limits fall to next to nothing."""
+    """A process whose clock stands still at its start measures latencies of zero. If these counted as
+    normal, every later response would look thousands of times too slow, and the limits would fall to
+    almost nothing."""
     servers = [endpoint(f"s{i}") for i in range(4)]
     stopped, usual = Driver(endpoints=servers), Driver(endpoints=servers)
-    for _ in range(30):  # within one instant
+    for _ in range(30):  # without advancing the clock
         request, actions = stopped.request()
         if any(isinstance(action, Send) for action in actions):
             stopped.end(request, Outcome.OK, latency_ms=0.0)
@@ -237,7 +238,7 @@
 
 
 def test_cold_server_with_credit_is_drawn_like_any_other() -> None:
-    """Danger: held back by its credit and by the draw as well, it idles beside warm servers that are full."""
+    """If both its credit and its score held it back, a cold server would idle beside full warm servers."""
     driver = Driver(endpoints=[endpoint("warm"), endpoint("cold", started_ms=900.0)])
     driver.serve(40)
     cold, before = driver.balancer.membership.endpoints["cold"], driver.now_ms
@@ -253,14 +254,15 @@
 
 
 def crowd(*servers: ListedEndpoint) -> Driver:
-    """One of 60 proxies that has served a while."""
+    """Returns one of 60 proxies that has served some requests."""
     driver = Driver(replace(SETTINGS, proxies=60), servers)
     driver.serve(40)
     return driver
 
 
 def test_slow_answers_of_cold_servers_leave_the_pool_open() -> None:
-    """Danger: a cold server takes long by nature. With most of them cold, the pool closes before the warm."""
+    """A cold server is slow by nature. If most servers are cold, their latencies must not close the pooled
+    limit while the warm ones could serve."""
     driver = crowd(*(endpoint(f"w{i}") for i in range(9)))
     driver.tell(delta(endpoint("cold", started_ms=driver.now_ms)))
     flow, cold = driver.balancer.flow, driver.balancer.membership.endpoints["cold"]
@@ -295,8 +297,8 @@
 
 
 def test_no_cold_server_outside_the_window_is_sent_anything() -> None:
-    """Danger: each proxy's credit is its part of what the proxies near a server may send together. With all
-    proxies sending to it, the parts add up to a push."""
+    """A proxy's credit is its share of what the proxies near a server may send it together. If all proxies
+    sent to the server, the shares would add up to an overload."""
     servers = [endpoint(f"s{i:02}", started_ms=900.0) for i in range(60)]
     driver = Driver(replace(SETTINGS, proxies=60, place=0.0), servers)
     balancer = driver.balancer
@@ -311,22 +313,22 @@
 
 
 def test_credit_for_cold_servers_shrinks_as_the_window_widens() -> None:
-    """Danger: in a surge windows widen, so that more proxies share each server, and what a warm server got in
-    the narrow window is no measure any more."""
+    """In a surge the windows widen, so that more proxies share each server, and the rate of a warm server in
+    the narrower window is no longer a valid measure."""
     servers = [endpoint(f"s{i:02}") for i in range(60)]
     driver = Driver(replace(SETTINGS, proxies=60), servers)
     driver.serve(60)
     balancer = driver.balancer
     balancer.warm_rate()
     at_peak = balancer._window_size()
-    driver.wait(2000)  # the highest rate is one of the past from now on
+    driver.wait(2000)  # the peak rate lies in the past from now on
     driver.tell(delta(endpoint("cold", started_ms=driver.now_ms)))
     rate = balancer.warm_rate()
     cold = balancer.membership.endpoints["cold"]
     request = Request(10**6, SAFE, driver.now_ms, driver.now_ms + 2000, 1e9, 1.0)
 
     def earned() -> float:
-        """Credit of 10 ms at the present window."""
+        """Returns the credit earned in 10 ms at the present window."""
         cold.cold_credit, cold.cold_credit_ms = 0.0, driver.now_ms - 10
         balancer._cold_room(request, cold)
         return cold.cold_credit
--- a/tests/test_properties.py
+++ b/tests/test_properties.py
@@ -1,6 +1,6 @@
-"""Random legal histories: servers that die, hang, restart and drain; clients that leave; kills.
+"""Random valid histories: servers fail, hang, restart and drain; clients disconnect; proxies are killed.
 
-Every action is checked against the rules, from the outside and with books of its own.
+Every action is checked against the rules by a model that is independent of the implementation.
 """
 
 from __future__ import annotations
@@ -71,7 +71,7 @@
 
 
 class World:
-    """The proxy, its clients and its servers, as far as one balancer can see them."""
+    """The proxy, its clients and its servers, as seen by one balancer."""
 
     def __init__(self, config: Settings, seed: int) -> None:
         self.random = Random(seed)
@@ -94,12 +94,12 @@
         self.pushes: defaultdict[str, list[float]] = defaultdict(list)
         self.tell(EndpointsListed(ListKind.RESTORED, tuple(self.servers.values())))
 
-    # What happens
+    # Events
 
     def tick(self) -> None:
         self.now_ms += TICK_MS
         if self.random.random() < 0.0005:
-            self.begin()  # killed: what it held is its clients' again
+            self.begin()  # killed: its requests are lost and only clients can retry them
         if self.random.random() < 0.01:
             self.tell(self.change())
         for request_id, book in list(self.books.items()):
@@ -172,7 +172,7 @@
         self.servers[name] = new
         return EndpointsListed(ListKind.DELTA, (new,))
 
-    # What is done about it
+    # Actions
 
     def tell(self, event: Event) -> None:
         for action in self.balancer.handle(self.now_ms, [event]):
@@ -203,7 +203,7 @@
 
     def check_send(self, book: Book, action: Send) -> None:
         server = self.servers[action.endpoint]
-        assert not book.over, "sent after its end"
+        assert not book.over, "sent after its final answer"
         assert not book.streaming
         assert server.state is EndpointState.READY, "sent to a server that drains or is gone"
         assert len(book.sent) < self.config.limits.max_attempts
@@ -212,7 +212,7 @@
         assert not out or self.config.limits.parallel_attempts
         possible = [s for s in book.sent if s.outcome not in NEVER_RAN]
         if possible:
-            assert book.cls.idempotency is not Idempotency.UNSAFE, "an effect twice"
+            assert book.cls.idempotency is not Idempotency.UNSAFE, "the effect could happen twice"
         if possible and book.cls.idempotency is Idempotency.KEYED:
             assert self.now_ms < possible[0].at_ms + book.cls.repeat_window_ms
             for earlier in possible:
@@ -225,8 +225,8 @@
         self.check_push(server)
 
     def check_push(self, server: ListedEndpoint) -> None:
-        """A cold server gets, in any window, two requests and no more than the rule's multiple of its share
-        of what the busiest warm server ever got, or of all that ever came in where that is more."""
+        """In any window, a cold server gets at most two requests plus the rule's multiple of its share of the
+        highest load of a warm server, or of all arrivals if that is more."""
         safety = self.config.safety
         if self.warmth(server) >= 1:
             return
@@ -235,7 +235,7 @@
         warm = [self.pushes[s.name] for s in self.servers.values() if self.warmth(s) >= 1]
         busiest = max((sum(at - span < b <= at for b in p) for p in warm for at in p), default=0)
         share = max(busiest, self.most_came / len(self.servers))
-        assert sent <= 2 + safety.push_multiple * self.warmth(server) * share, "a cold server pushed"
+        assert sent <= 2 + safety.push_multiple * self.warmth(server) * share, "a cold server is overloaded"
 
     def warmth(self, server: ListedEndpoint) -> float:
         if server.started_ms is None:
@@ -247,7 +247,7 @@
     def check_answers(self) -> None:
         for book in self.books.values():
             late = self.now_ms > book.deadline_ms + GRACE_MS
-            assert book.over or book.streaming or not late, "a request lost"
+            assert book.over or book.streaming or not late, "a request without an answer"
 
 
 @settings(derandomize=True, deadline=None, max_examples=25, database=None)
--- a/tests/test_readme.py
+++ b/tests/test_readme.py
@@ -1,4 +1,4 @@
-"""What the README says holds: its example of embedding runs, and it lists the system's packages."""
+"""Statements of the README: its embedding example runs, and its list of the system packages is complete."""
 
 import re
 import tomllib
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -1,4 +1,5 @@
-"""Rules 2 to 4 at the guard, case by case, and the exceptions that answer a failure seen."""
+"""The rules for sending, draining and repeating requests, checked case by case, and the exceptions to the
+normal path, each of which guards against a failure."""
 
 from dataclasses import replace
 
@@ -51,7 +52,7 @@
 def test_keyed_repeat_is_skipped_once_the_window_has_passed() -> None:
     driver = keyed(RepeatScope.ALL)
     request, _ = driver.request("keyed")
-    driver.wait(750)  # a repeat now would be sent after the window of 800
+    driver.wait(750)  # a retry now would be sent after the window of 800 ms
     assert driver.end(request, Outcome.ERROR) == [Fail(request)]
 
 
@@ -82,10 +83,10 @@
 
 
 def test_cold_server_gets_less_than_its_share_until_warm() -> None:
-    """Danger: a server just started falls over under a warm server's share."""
+    """A server that has just started fails under a warm server's share of the load."""
 
     def crowd(rounds: int) -> list[str]:
-        """Rounds of ten requests at once, served within 100 ms; the servers they went to."""
+        """Sends rounds of ten requests at once, served within 100 ms; returns the servers used."""
         names = []
         for _ in range(rounds):
             requests = [driver.request()[0] for _ in range(10)]
@@ -98,7 +99,7 @@
     driver = Driver()
     crowd(100)
     driver.tell(delta(endpoint("new", started_ms=driver.now_ms)))
-    cold = crowd(30)  # 3 s of the 10 that warming may take
+    cold = crowd(30)  # 3 s of the 10 s that the warm-up may take
     assert 0 < cold.count("new") < len(cold) / 4 * 0.6
     driver.wait(10_000)
     warm = crowd(30)
@@ -106,7 +107,7 @@
 
 
 def test_a_cold_fleet_is_used_and_many_proxies_first_requests_do_not_add_up() -> None:
-    """Danger: with nothing warm to go by, one request each from hundreds of proxies is a push."""
+    """Without a warm server as a measure, one request from each of hundreds of proxies is an overload."""
     sent = 0
     for number in range(200):
         config = replace(SETTINGS, proxies=200, number=number)
@@ -124,7 +125,8 @@
 
 
 def test_cold_servers_go_by_the_best_of_late_not_by_a_jam() -> None:
-    """Danger: in a jam little is sent to warm servers, and the cold ones that could end it starve."""
+    """In an overload little is sent to warm servers; with that as the measure, the cold servers that could
+    relieve them would get nothing."""
     driver = Driver()
     driver.serve(200)
     rate = driver.balancer.warm_rate()
@@ -137,7 +139,7 @@
 
 
 def test_full_servers_are_spared_and_the_most_valuable_go_first() -> None:
-    """Danger: sent to full servers, work queues there until it is late, and jams them."""
+    """Requests sent to full servers wait there until they are late, and slow the servers down."""
     driver = Driver(endpoints=[endpoint("s1")])
     first = [driver.request()[0] for _ in range(4)]
     cheap, actions = driver.request("safe")
@@ -155,23 +157,23 @@
     for _ in range(20):
         server.adapt_limit(driver.now_ms, 100.0, 3.0, least=0.1)
     assert server.limit == pytest.approx(0.1)
-    assert not server.has_room(driver.now_ms + 899)  # a rest: one out for a tenth of the time
+    assert not server.has_room(driver.now_ms + 899)  # a pause: one request in flight for a tenth of the time
     assert server.has_room(driver.now_ms + 901)
     for _ in range(60):
         server.in_flight = int(server.limit)
         server.adapt_limit(driver.now_ms, 50.0, 0.5, least=0.1)
-    assert 3 < server.limit < 8  # slowly: by the time slowness shows, a surge has had some rounds
+    assert 3 < server.limit < 8  # grows slowly: a surge has had some rounds before latencies show it
 
 
 def test_server_that_turns_work_away_is_paused_longer_each_time() -> None:
-    """Danger: a server that fails at once takes in, and spoils, more than its share."""
+    """A server that fails at once would attract, and fail, more than its share of the requests."""
     driver = Driver(endpoints=[endpoint("s1"), endpoint("s2")])
     driver.serve(30)
     server = driver.balancer.membership.endpoints["s1"]
     pauses = []
     for _ in range(3):
         server.failed(driver.now_ms, 50, 1000)
-        server.failed(driver.now_ms, 50, 1000)  # of the same burst
+        server.failed(driver.now_ms, 50, 1000)  # belongs to the same burst
         pauses.append(server.paused_until_ms - driver.now_ms)
         assert not server.has_room(driver.now_ms)
         driver.wait(pauses[-1])
@@ -180,7 +182,7 @@
 
 
 def test_silent_server_gets_nothing_new_until_it_answers() -> None:
-    """Danger: a hung server swallows work until the first time-out tells."""
+    """A hung server would take requests until the first timeout."""
     driver = Driver(endpoints=[endpoint("s1"), endpoint("s2")])
     driver.serve(40)
     stuck = [driver.request()[0] for _ in range(4)]
@@ -198,7 +200,7 @@
 
 
 def shares(zone: str, price: float, **servers: int) -> dict[str, float]:
-    """Each zone's part of the draws of a proxy in `zone`, with so many servers in each."""
+    """Returns the share of each zone in the draws of a proxy in `zone`, with this many servers per zone."""
     config = replace(SETTINGS, zone=zone, proxies=300, prices=replace(SETTINGS.prices, cross_zone=price))
     listed = [endpoint(f"{name}{i}", name) for name, count in servers.items() for i in range(count)]
     driver = Driver(config, listed)
@@ -207,17 +209,18 @@
 
 
 def test_dear_crossings_are_made_only_where_a_zone_is_short_of_servers() -> None:
-    """Danger: where crossings cost, a zone with few servers jams while others idle."""
+    """Where crossings cost, a zone with few servers would be overloaded while others idle."""
     assert shares("a", 0.2, a=2, b=2) == {"a": 1, "b": 0}
     assert shares("a", 0.2, a=1, b=3) == {"a": 0.5, "b": 0.5}
     assert shares("b", 0.2, a=1, b=3) == {"a": 0, "b": 1}
     assert shares("c", 0.2, a=4, b=5) == {"a": pytest.approx(1 / 3), "b": pytest.approx(2 / 3)}
     assert shares("a", 0.0, a=1, b=3) == {"a": 0.25, "b": 0.75}
-    assert shares("a", 0.025, a=2, b=2) == {"a": 0.75, "b": 0.25}  # the price weighs continuously
+    assert shares("a", 0.025, a=2, b=2) == {"a": 0.75, "b": 0.25}  # shares change continuously with the price
 
 
 def test_few_proxies_keep_to_their_zone_and_to_limits_of_one_and_more() -> None:
-    """Danger: exceptions made for crowds refuse and cross where each proxy knows its servers well."""
+    """The exceptions for many proxies must not refuse requests or cross zones where each proxy knows its
+    servers well."""
     dear = replace(SETTINGS, prices=replace(SETTINGS.prices, cross_zone=0.2))
     driver = Driver(dear, [endpoint("here", "a"), endpoint("there", "b")])
     names = []
@@ -245,7 +248,7 @@
 
 
 def test_guard_alone_keeps_the_rules() -> None:
-    """Whatever the callers check: the guard says no by itself."""
+    """The check rejects each violation by itself, whatever its callers check."""
     cls = replace(KEYED, repeat_scope=RepeatScope.ALL)
     driver = Driver(replace(SETTINGS, classes=(cls, replace(UNSAFE, name="once"))))
     server = driver.balancer.membership.endpoints["s1"]
@@ -267,7 +270,7 @@
 
 
 def test_attempts_end_with_the_aim_where_late_answers_earn_nothing() -> None:
-    """Danger: work for nobody, on servers that are full."""
+    """Later answers earn nothing, and their work would load full servers."""
     for late_worth, timeout_ms in ((0.0, 500.0), (0.3, 2000.0)):
         driver = Driver(replace(SETTINGS, classes=(replace(SAFE, late_worth=late_worth),)))
         _, actions = driver.request()
@@ -275,7 +278,7 @@
 
 
 def test_reported_queues_shrink_the_limit_where_latencies_look_usual() -> None:
-    """Danger: a proxy that starts in the middle of an overload takes its latencies for unhurried."""
+    """A proxy that starts during an overload takes the latencies it sees for normal."""
     for waiting, shrinks in ((0.0, False), (20.0, True)):
         driver = Driver(replace(SETTINGS, report_fields=("inflight", "queue")), [endpoint("s1")])
         for i in range(1, 41):
@@ -287,7 +290,7 @@
 
 
 def test_the_class_with_the_least_room_sets_the_target_for_all() -> None:
-    """Danger: servers fed up to what a roomy class bears jam, and are late for the tight one."""
+    """Servers loaded up to the target of a class with much slack would be too slow for the tight class."""
     roomy = replace(SAFE, name="roomy", aim_ms=5000, deadline_ms=8000)
     driver = Driver(replace(SETTINGS, classes=(SAFE, roomy)))
     driver.serve(60, "roomy", 200)
@@ -297,7 +300,7 @@
 
 
 def test_all_attempts_out_together_stay_under_the_part_of_one_of_many_proxies() -> None:
-    """Danger: one attempt a server is no limit where hundreds of proxies each allow themselves that."""
+    """One request per server is no limit if each of hundreds of proxies allows itself that."""
     servers = [endpoint(f"s{i}") for i in range(10)]
     many = Balancer(replace(SETTINGS, proxies=300), seed=1)
     few = Balancer(replace(SETTINGS, proxies=3), seed=1)
@@ -307,7 +310,7 @@
         assert sum(isinstance(a, Send) for a in actions) == sent
     assert many.flow.limit < 1
     sent = paused = 0
-    for i in range(16):  # a few one after the other, and then with pauses, to keep to the part
+    for i in range(16):  # a few at once, and then with pauses, to stay within the share
         request_id = next(r.id for r in many.requests.values() if r.out)
         actions = many.handle(100 + 2 * i, [AttemptEnded(request_id, 0, Outcome.OK, 50, True)])
         if not any(isinstance(a, Send) for a in actions):
@@ -322,7 +325,7 @@
 
 
 def test_slow_answers_shrink_the_pooled_limit_to_its_floor_and_good_ones_grow_it() -> None:
-    """Danger: a fleet driven past its knee stays slow for long."""
+    """A fleet loaded beyond its saturation point stays slow for long."""
     driver = Driver(replace(SETTINGS, proxies=21))
     flow = driver.balancer.flow
     for _ in range(200):
@@ -332,7 +335,7 @@
     for _ in range(300):
         flow.out += 1
         flow.ended(driver.now_ms, 50, 0.3)
-    assert flow.limit == flow.start  # not beyond, while nothing wants more
+    assert flow.limit == flow.start  # no further growth without demand
     for _ in range(300):
         flow.out = int(flow.limit) + 1
         assert not flow.has_room(driver.now_ms)
@@ -341,12 +344,12 @@
 
 
 def test_busy_proxy_among_many_reaches_its_traffic_within_a_few_rounds() -> None:
-    """Danger: equal parts of unequal traffic. By a fixed step the busiest turned away most of what it got,
-    beside idle servers."""
+    """The proxies' traffic is unequal: with growth by a fixed step, the busiest one rejected most of its
+    requests beside idle servers."""
     driver = Driver(replace(SETTINGS, proxies=40), [endpoint(f"s{i}") for i in range(60)])
     flow = driver.balancer.flow
     flow.limit = first = 20.0
-    for _ in range(12):  # rounds in which all that is out is answered in good time
+    for _ in range(12):  # rounds in which all requests in flight are answered in time
         for _ in range(int(flow.limit)):
             flow.out = int(flow.limit) + 1
             flow.has_room(driver.now_ms)
@@ -355,18 +358,19 @@
 
 
 def test_with_a_part_of_the_servers_the_pooled_limit_goes() -> None:
-    """Danger: with a zone gone, all proxies go on with what the servers bore before it went."""
+    """After the loss of a zone, the proxies must not keep the limit of all servers."""
     driver = Driver(replace(SETTINGS, proxies=40), [endpoint(f"s{i}") for i in range(60)])
     flow = driver.balancer.flow
     flow.limit = 18.0
     driver.tell(full(*(endpoint(f"s{i}") for i in range(40))))
     assert flow.limit == pytest.approx(12.0)
     driver.tell(full(*(endpoint(f"s{i}") for i in range(60))))
-    assert flow.limit == pytest.approx(12.0)  # what they bear is found out anew
+    assert flow.limit == pytest.approx(12.0)  # the new capacity must be learned again
 
 
 def test_a_window_of_the_servers_for_each_proxy_and_all_servers_in_even_use() -> None:
-    """Danger: with many proxies each server is met too rarely to be known, and holds connections to all."""
+    """With many proxies, each server would be used too rarely to be assessed, and each proxy would hold
+    connections to all servers."""
     servers = [endpoint(f"s{i}") for i in range(12)]
     used: dict[str, int] = {}
     for number in range(240):
@@ -398,19 +402,20 @@
 
 
 def test_held_requests_that_can_make_their_aim_go_before_those_that_cannot() -> None:
-    """Danger: in an overload those that have waited longest are served late, and make the next late."""
+    """In an overload, serving those that have waited longest makes them late and delays the next ones as
+    well."""
     classes = (replace(SAFE, late_worth=0.5), replace(UNSAFE, late_worth=0.5))
     config = replace(SETTINGS, proxies=300, classes=classes)
     driver = Driver(config, [endpoint("s1")])
     first = [driver.request()[0] for _ in range(4)]
-    driver.tell(RequestArrived(900, "unsafe", repeat=True))  # worth more, but hardly in time any more
+    driver.tell(RequestArrived(900, "unsafe", repeat=True))  # higher value, but hardly on time any more
     fresh, _ = driver.request("safe")
     actions = driver.end(first[0], Outcome.OK) + driver.end(first[1], Outcome.OK)
     assert [a.request_id for a in actions if isinstance(a, Send)] == [fresh, 900]
 
 
 def test_held_only_while_the_aim_can_be_met_and_never_past_the_deadline() -> None:
-    """Danger: work held for long is served late, or its client is gone before it is answered."""
+    """Requests queued for long are served late, or their client is gone before the answer."""
     config = replace(SETTINGS, proxies=300, classes=(replace(SAFE, late_worth=0.5),))
     driver = Driver(config, endpoints=[])
     lost, _ = driver.request()
@@ -423,7 +428,7 @@
 
 
 def test_clients_with_hardly_a_connection_left_lose_what_has_waited_longest() -> None:
-    """Danger: requests held for long take up the connections that others need to come at all."""
+    """Requests queued for long occupy the connections that new requests need."""
     config = replace(SETTINGS, limits=replace(SETTINGS.limits, max_open=10))
     driver = Driver(config, [endpoint("s1")])
     for _ in range(8):
@@ -432,7 +437,7 @@
     assert len(held) > 2 and not [a for a in driver.log if isinstance(a, Refuse)]
     driver.wait(20)
     driver.request("safe")
-    # At once, not when its time is up.
+    # At once, not at its timeout.
     (refused,) = [a.request_id for a in driver.log if isinstance(a, Refuse)]
     assert refused == min(request.id for request in held)
     assert len(driver.balancer.requests) == 8
