--- a/cloverrouter/benchlink.py
+++ b/cloverrouter/benchlink.py
@@ -84,7 +84,7 @@
     return tuple(fields["stats"]) if fields.get("stats") else None
 
 
-def whole(fields: Json, name: str) -> int:
+def integer(fields: Json, name: str) -> int:
     value = fields[name]
     if not isinstance(value, int):
         raise WireError(f"{name} is not a whole number: {value!r}")
@@ -101,7 +101,7 @@
 def read_request(fields: Json) -> RequestArrived:
     flags = fields.get("flags", 0)
     return RequestArrived(
-        request_id=whole(fields, "handle"),
+        request_id=integer(fields, "handle"),
         class_name=fields.get("priority", ""),
         deadline_ms=number(fields, "give_up_at_ms"),
         tenant=fields.get("org") or None,
@@ -113,7 +113,7 @@
 
 def read_outcome(fields: Json) -> AttemptEnded:
     return AttemptEnded(
-        request_id=whole(fields, "handle"),
+        request_id=integer(fields, "handle"),
         attempt=fields.get("n", 0),
         outcome=OUTCOMES[fields["verdict"]],
         latency_ms=fields.get("delay_seen_ms", 0.0),
@@ -123,7 +123,7 @@
 
 
 def read_stream(fields: Json) -> StreamStarted:
-    return StreamStarted(whole(fields, "handle"), fields.get("n", 0), fields.get("delay_seen_ms", 0.0))
+    return StreamStarted(integer(fields, "handle"), fields.get("n", 0), fields.get("delay_seen_ms", 0.0))
 
 
 def read_probe(fields: Json) -> ProbeEnded:
@@ -134,9 +134,9 @@
 EVENTS: dict[str, Callable[[Json], Event]] = {
     "new_request": read_request,
     "resolved": read_outcome,
-    "timeout_fired": lambda fields: TimerFired(whole(fields, "cookie")),
+    "timeout_fired": lambda fields: TimerFired(integer(fields, "cookie")),
     "head_received": read_stream,
-    "left": lambda fields: RequestGone(whole(fields, "handle")),
+    "left": lambda fields: RequestGone(integer(fields, "handle")),
     "health_result": read_probe,
 }
 
@@ -198,7 +198,7 @@
 
     def __init__(self, err: TextIO) -> None:
         self._lists: dict[int, tuple[ListedEndpoint, ...]] = {}
-        self._unknown_named: list[str] = []
+        self._reported_unknown: list[str] = []
         self._err = err
 
     def read(self, line: str) -> Batch:
@@ -241,8 +241,8 @@
             return EndpointsListed(scope, () if scope is ListKind.FAILED else self._lists[fields["list"]])
         if kind == "register":
             self._lists[fields["list"]] = tuple(read_endpoint(e) for e in fields["members"])
-        elif kind != "peer" and kind not in self._unknown_named:
-            self._unknown_named.append(kind)
+        elif kind != "peer" and kind not in self._reported_unknown:
+            self._reported_unknown.append(kind)
             print(f"benchlink: unknown event {kind!r} ignored", file=self._err)
         return None
 
--- a/cloverrouter/core/leaving.py
+++ b/cloverrouter/core/leaving.py
@@ -31,23 +31,23 @@
 # for the error responses that incomplete requests get then.
 LAST_BYTES_S = 0.5
 # A request that crossed the close of its connection is retried within this time, and is still accepted.
-COME_AGAIN_S = 0.15
+RECONNECT_S = 0.15
 # SIGKILL comes no sooner than the longest deadline, of which at most this much counts, plus a margin.
-LONGEST_COUNTED_S = 3.0
-KILLED_AFTER_S = 0.7
+MAX_COUNTED_DEADLINE_S = 3.0
+KILL_MARGIN_S = 0.7
 # Connections that have sent nothing are kept until then: a later request would not have its full deadline.
-SPEAK_S = KILLED_AFTER_S - 0.05
+SILENT_CONNECTION_S = KILL_MARGIN_S - 0.05
 # Pending calls are answered this long before SIGKILL, which covers the delay of a busy machine's event loop.
-HALT_BEFORE_S = 0.15
+HALT_MARGIN_S = 0.15
 
 
 class Stage(Enum):
     """Phases of the shutdown."""
 
     SERVING = "serving"
-    SENDING_AWAY = "sending away"
+    DRAINING = "sending away"
     FINISHING = "finishing"
-    CUTTING = "cutting"
+    ENDING_INCOMPLETE = "cutting"
     HALTED = "halted"
     OVER = "over"
 
@@ -69,19 +69,19 @@
     owed: int  # calls without a final answer
     open: int  # client connections
     others_accept: bool = False  # another process accepts new connections
-    nobody_waits: bool = False  # `TAKE_IN` has just found no connection
-    taken_in: bool = False  # `TAKE_IN` has just accepted a connection
-    moving: bool = False  # data is still being sent on one of these, or has arrived unread
+    no_connection_waiting: bool = False  # `TAKE_IN` has just found no connection
+    connection_accepted: bool = False  # `TAKE_IN` has just accepted a connection
+    data_in_transit: bool = False  # data is still being sent on one of these, or has arrived unread
 
 
 class Leaving:
     """The shutdown of one process. `look` must be called every few hundredths of a second after `told`."""
 
-    __slots__ = ("_halt_s", "_open_s", "_owed_s", "_told_s", "stage")
+    __slots__ = ("_begun_s", "_halt_s", "_last_connection_s", "_last_open_call_s", "stage")
 
     def __init__(self) -> None:
         self.stage = Stage.SERVING
-        self._told_s = self._halt_s = self._owed_s = self._open_s = 0.0
+        self._begun_s = self._halt_s = self._last_open_call_s = self._last_connection_s = 0.0
 
     @property
     def over(self) -> bool:
@@ -91,10 +91,10 @@
     def told(self, now_s: float, longest_deadline_s: float) -> None:
         """Starts the shutdown. A second call changes nothing."""
         if self.stage is Stage.SERVING:
-            self.stage = Stage.SENDING_AWAY
-            self._told_s = self._owed_s = now_s
-            killed_s = now_s + min(longest_deadline_s, LONGEST_COUNTED_S) + KILLED_AFTER_S
-            self._halt_s = max(now_s + STILL_COMING_S, killed_s - HALT_BEFORE_S)
+            self.stage = Stage.DRAINING
+            self._begun_s = self._last_open_call_s = now_s
+            killed_s = now_s + min(longest_deadline_s, MAX_COUNTED_DEADLINE_S) + KILL_MARGIN_S
+            self._halt_s = max(now_s + STILL_COMING_S, killed_s - HALT_MARGIN_S)
 
     def look(self, now_s: float, seen: Seen) -> list[Do]:
         """Returns what to do now, in this order. Raises ValueError before `told` was called."""
@@ -103,33 +103,33 @@
         if self.stage is Stage.OVER:
             return []
         if seen.owed:
-            self._owed_s = now_s
+            self._last_open_call_s = now_s
         if seen.open:
-            self._open_s = now_s
-        still_coming = not seen.others_accept and now_s < self._told_s + STILL_COMING_S
-        if self.stage is Stage.SENDING_AWAY and not still_coming:
+            self._last_connection_s = now_s
+        still_coming = not seen.others_accept and now_s < self._begun_s + STILL_COMING_S
+        if self.stage is Stage.DRAINING and not still_coming:
             self.stage = Stage.FINISHING
-            self._owed_s = now_s
-        if self.stage is Stage.SENDING_AWAY:
+            self._last_open_call_s = now_s
+        if self.stage is Stage.DRAINING:
             return [Do.CLOSE_QUIET]
-        if seen.taken_in:  # its request gets as much time to arrive as one that crossed a close
-            self._owed_s = max(self._owed_s, now_s + COME_AGAIN_S - 2 * LAST_BYTES_S)
+        if seen.connection_accepted:  # its request gets as much time to arrive as one that crossed a close
+            self._last_open_call_s = max(self._last_open_call_s, now_s + RECONNECT_S - 2 * LAST_BYTES_S)
         rest = [Do.CLOSE_QUIET]
-        if now_s >= self._told_s + SPEAK_S:
+        if now_s >= self._begun_s + SILENT_CONNECTION_S:
             rest.append(Do.CLOSE_SILENT)
         if seen.owed and now_s >= self._halt_s and self.stage is not Stage.HALTED:
             self.stage = Stage.HALTED
             return [Do.HALT, Do.END_HALF_SENT, *rest]
-        idle_s = now_s - self._owed_s
+        idle_s = now_s - self._last_open_call_s
         # Requests cut off by the process's own exit are lost, while those that SIGKILL interrupts are not
         # counted. Responses that the client does not read end by themselves (`ClientConnection.check`).
-        stuck = bool(seen.open) and idle_s >= 2 * LAST_BYTES_S and not seen.moving
+        stuck = bool(seen.open) and idle_s >= 2 * LAST_BYTES_S and not seen.data_in_transit
         if not seen.owed and (stuck or not seen.open):
-            if seen.others_accept or seen.nobody_waits:
+            if seen.others_accept or seen.no_connection_waiting:
                 self.stage = Stage.OVER
                 return []
-            return [Do.TAKE_IN] if stuck or now_s >= self._open_s + COME_AGAIN_S else []
+            return [Do.TAKE_IN] if stuck or now_s >= self._last_connection_s + RECONNECT_S else []
         if not seen.owed and idle_s >= LAST_BYTES_S and self.stage is Stage.FINISHING:
-            self.stage = Stage.CUTTING
+            self.stage = Stage.ENDING_INCOMPLETE
             return [Do.END_HALF_SENT, *rest]
         return rest
--- a/cloverrouter/core/lifecycle.py
+++ b/cloverrouter/core/lifecycle.py
@@ -199,7 +199,7 @@
         effects: list[Effect] = []
         for call in list(self.calls.values()):
             if not call.state.final and call.state is not CallState.STREAMING:
-                effects += self._let_go(now_ms, call, CallState.ANSWERED, GiveFailure(call.id))
+                effects += self._finish_call(now_ms, call, CallState.ANSWERED, GiveFailure(call.id))
         return effects
 
     def _completed(self, event: RequestCompleted) -> list[Effect]:
@@ -231,7 +231,7 @@
         call = self.calls.get(call_id)
         if call is None or call.state.final:
             return []
-        return self._let_go(now_ms, call, CallState.LEFT)
+        return self._finish_call(now_ms, call, CallState.LEFT)
 
     def _begun(self, now_ms: float, call_id: int, number: int) -> list[Effect]:
         call, attempt = self.calls.get(call_id), self._find(call_id, number)
@@ -253,13 +253,13 @@
             return []
         if attempt.state is AttemptState.HELD and not call.state.final:
             return [PassOn(call_id, number)]  # its first bytes arrived in time
-        return self._call_off(now_ms, call, attempt, Outcome.TIMEOUT)
+        return self._abort_and_release(now_ms, call, attempt, Outcome.TIMEOUT)
 
     def _too_late(self, now_ms: float, call_id: int, number: int) -> list[Effect]:
         call, attempt = self.calls.get(call_id), self._find(call_id, number)
         if call is None or attempt is None or not attempt.state.unsent:
             return []
-        return self._call_off(now_ms, call, attempt, Outcome.NOT_SENT)
+        return self._abort_and_release(now_ms, call, attempt, Outcome.NOT_SENT)
 
     def _ended(self, now_ms: float, event: Ended) -> list[Effect]:
         call = self.calls.get(event.call)
@@ -278,7 +278,7 @@
             effects.append(Serve(call.id, event.answer))
         if not call.out:
             effects += self._forget_if_over(call)
-        effects.append(self._told(call, attempt, event.outcome, latency_ms, event.report))
+        effects.append(self._attempt_ended(call, attempt, event.outcome, latency_ms, event.report))
         return effects
 
     def _listed(self, now_ms: float, event: Listed) -> list[Effect]:
@@ -301,14 +301,14 @@
                     return []
                 return [SetDue(call_id, number, timeout_ms)]
             case Refuse(call_id, retry_after_ms):
-                return self._give(now_ms, call_id, GiveRefusal(call_id, retry_after_ms))
+                return self._answer(now_ms, call_id, GiveRefusal(call_id, retry_after_ms))
             case Fail(call_id):
-                return self._give(now_ms, call_id, GiveFailure(call_id))
+                return self._answer(now_ms, call_id, GiveFailure(call_id))
             case Cancel(call_id, number):
                 call, attempt = self.calls.get(call_id), self._find(call_id, number)
                 if call is None or attempt is None or attempt.state is AttemptState.STREAMING:
                     return []
-                return self._call_off(now_ms, call, attempt, Outcome.CANCELLED)
+                return self._abort_and_release(now_ms, call, attempt, Outcome.CANCELLED)
             case Probe(endpoint):  # no driver sends probes
                 return [Tell(ProbeEnded(endpoint, Outcome.NOT_SENT, 0.0))]
             case Subscribe():
@@ -332,8 +332,8 @@
         if call.deadline_ms is not None:
             timeout_ms = min(timeout_ms, call.deadline_ms - now_ms)
         # A body that is not kept can be read by one attempt only; another one would send a part of it.
-        taken = call.spent or (call.uploaded and call.out)
-        if call.state.final or taken or target is None or min(timeout_ms, action.out_within_ms) <= 0:
+        body_in_use = call.spent or (call.uploaded and call.out)
+        if call.state.final or body_in_use or target is None or min(timeout_ms, action.out_within_ms) <= 0:
             return [Tell(AttemptEnded(call.id, number, Outcome.NOT_SENT, 0.0, call.state.final))]
         call.out[number] = Attempt(number, action.endpoint, target, now_ms)
         uploading = call.state is CallState.UPLOADING
@@ -342,7 +342,7 @@
         within_ms = action.out_within_ms if due_ms is None or action.out_within_ms < due_ms else float("inf")
         return [Start(call.id, number, action.endpoint, target, due_ms, within_ms)]
 
-    def _give(self, now_ms: float, call_id: int, answer: GiveRefusal | GiveFailure) -> list[Effect]:
+    def _answer(self, now_ms: float, call_id: int, answer: GiveRefusal | GiveFailure) -> list[Effect]:
         call = self.calls.get(call_id)
         if call is None or call.state.final or call.state is CallState.STREAMING:
             return []
@@ -364,14 +364,16 @@
                 effects += self._abandon(now_ms, call, attempt, Outcome.NOT_SENT)
         return effects
 
-    def _let_go(self, now_ms: float, call: Call, state: CallState, *answer: Effect) -> list[Effect]:
+    def _finish_call(self, now_ms: float, call: Call, state: CallState, *answer: Effect) -> list[Effect]:
         """Makes the call final, with this answer if one is needed, and aborts all its attempts."""
         effects = [*self._settle(now_ms, call, state), *answer, Tell(RequestGone(call.id))]
         for attempt in list(call.out.values()):
             effects += self._abandon(now_ms, call, attempt, Outcome.CANCELLED)
         return effects + self._forget_if_over(call)
 
-    def _call_off(self, now_ms: float, call: Call, attempt: Attempt, outcome: Outcome) -> list[Effect]:
+    def _abort_and_release(
+        self, now_ms: float, call: Call, attempt: Attempt, outcome: Outcome
+    ) -> list[Effect]:
         """Aborts an attempt, which may be the last one of its call."""
         effects = self._abandon(now_ms, call, attempt, outcome)
         return effects + self._forget_if_over(call)
@@ -382,8 +384,8 @@
             outcome = Outcome.CONNECT_FAILED if outcome is Outcome.TIMEOUT else Outcome.NOT_SENT
         latency_ms = self._latency_ms(now_ms, call, attempt)
         self._take_out(call, attempt)
-        told = self._told(call, attempt, outcome, latency_ms, None)
-        return [Abandon(call.id, attempt.number), told]
+        notification = self._attempt_ended(call, attempt, outcome, latency_ms, None)
+        return [Abandon(call.id, attempt.number), notification]
 
     @staticmethod
     def _take_out(call: Call, attempt: Attempt) -> None:
@@ -391,7 +393,7 @@
         del call.out[attempt.number]
 
     @staticmethod
-    def _told(
+    def _attempt_ended(
         call: Call, attempt: Attempt, outcome: Outcome, latency_ms: float, report: tuple[float, ...] | None
     ) -> Effect:
         return Tell(
--- a/cloverrouter/decide/balancer.py
+++ b/cloverrouter/decide/balancer.py
@@ -10,10 +10,10 @@
 
 from cloverrouter.decide.budget import BACKOFF_BASE_MS, DEADLINE_MARGIN_MS, RetryBudget, backoff_ms
 from cloverrouter.decide.endpoint import Endpoint
-from cloverrouter.decide.flow import COVER, Flow, crowded
-from cloverrouter.decide.latency import SLOWNESS_LEAST, ClassLatency
-from cloverrouter.decide.membership import DEAR_CROSSING, REACH, Membership, Ring, Span
-from cloverrouter.decide.request import Attempt, Request, drops_repeats
+from cloverrouter.decide.flow import PROXIES_PER_SERVER, Flow, crowded
+from cloverrouter.decide.latency import MIN_SLOWNESS, ClassLatency
+from cloverrouter.decide.membership import HIGH_PRICE, MAX_SCANNED, Membership, Ring, Span
+from cloverrouter.decide.request import Attempt, Request, deduplicates
 from cloverrouter.indexes import Entry, Held, Rate
 from cloverrouter.interface import (
     Action,
@@ -48,27 +48,27 @@
 # the usual multiple of three this is a third more than its warm share of what the others get, as those rarely
 # run at capacity. The rest covers bursts and machines slower than the fleet's mean (by half, where two kinds
 # are mixed).
-COLD_MARGIN = 0.45
+COLD_LOAD_SHARE = 0.45
 RATE_WINDOWS = 4  # overload windows over which the rate of warm servers is smoothed
-LIMIT_LEAST = 0.1  # then one attempt is in flight there for this fraction of the time
+MIN_LIMIT = 0.1  # then one attempt is in flight there for this fraction of the time
 # Size of a proxy's window of servers: at least this many, so that two draws differ, and at least one for
 # each request that arrives within this many longest deadlines.
-WINDOW_LEAST = 3.0
-WINDOW_SPANS = 0.5
-TRIES = 8  # draws from a large window to find one suitable server
-OPEN_GAIN = 0.02  # smoothing factor of the share of drawn servers that have room
-FADE_AT_ONCE = 64
-TIMED_LEAST_MS = 0.01  # lower latencies mean that the clock did not advance
-SOON_MS = 25.0  # minimum delay of the timer that retries queued requests; with traffic, events do so anyway
+MIN_WINDOW = 3.0
+ARRIVAL_DEADLINES = 0.5
+MAX_DRAWS = 8  # draws from a large window to find one suitable server
+ROOM_SHARE_GAIN = 0.02  # smoothing factor of the share of drawn servers that have room
+DECAY_BATCH = 64
+MIN_LATENCY_MS = 0.01  # lower latencies mean that the clock did not advance
+MIN_CHECK_DELAY_MS = 25.0  # minimum delay of the timer that checks queued requests; events do so as well
 # Above this fraction of the requests that clients can have open, queued ones are dropped, the oldest first.
-FULL_SHARE = 0.85
-FULL_SHARE_BESIDE = 0.7  # with a second balancer, whose count is slightly outdated
+MAX_OPEN_SHARE = 0.85
+MAX_OPEN_SHARE_OF_TWO = 0.7  # with a second balancer, whose count is slightly outdated
 DEFAULT_DEADLINE_MS = 1000.0  # for unknown classes, if the request has none either
 
 # The server did the work, so the latency shows its load. It is not paused for an unusable response: those
 # come from all servers alike, and pauses would exclude the whole fleet.
-WORKED = (Outcome.OK, Outcome.SPOILT)
-TIMED = (*WORKED, Outcome.TIMEOUT)  # outcomes whose latency shows the server's load
+SERVED = (Outcome.OK, Outcome.SPOILT)
+TIMED = (*SERVED, Outcome.TIMEOUT)  # outcomes whose latency shows the server's load
 BROKEN = (Outcome.RESET, Outcome.CONNECT_FAILED)  # connection failures, possibly caused by the network
 NO_EVIDENCE = (Outcome.CANCELLED, Outcome.NOT_SENT)  # caused by this proxy: says nothing about the server
 
@@ -82,7 +82,7 @@
         self.budget = RetryBudget()
         self.crowded = crowded(settings)
         # Avoids needless crossings: with few proxies, the limits show when the local servers are full.
-        self.keeps_home = not self.crowded and settings.prices.cross_zone >= DEAR_CROSSING
+        self.prefers_own_zone = not self.crowded and settings.prices.cross_zone >= HIGH_PRICE
         self.membership = Membership(settings)
         self.latencies = {cls.name: ClassLatency(cls) for cls in settings.classes}
         self.requests: dict[int, Request] = {}
@@ -90,23 +90,23 @@
         self.timers: dict[int, Callable[[], None]] = {}  # no lambdas: a balancer can be pickled
         self.last_token = self.failed_calls = 0
         self.window_count = self.window_warm = 0.0  # servers in the window looked at last; warm ones
-        self.open_share = 1.0  # smoothed share of the drawn servers that have room
+        self.room_share = 1.0  # smoothed share of the drawn servers that have room
         self.room_ms = inf  # earliest time at which one of the servers just checked gets room by itself
-        self.stuck = False  # an untried request could not be sent, and nothing has freed room since
-        self.look_ms = 0.0  # when the timer checks the queued requests next
-        self.look_token = 0  # token of that timer
+        self.blocked = False  # an untried request could not be sent, and nothing has freed room since
+        self.next_check_ms = 0.0  # when the timer checks the queued requests next
+        self.check_token = 0  # token of that timer
         self.handed_peak = 0.0  # the peak rate handed over by the previous balancer
         self.peak_rate = self.peak_ms = 0.0  # highest work rate of a warm server, decaying since then
         self.peak_window = inf  # size of the window at that time
         self.work_rate = Rate(RATE_WINDOWS * settings.safety.push_window_ms)
         self.longest_deadline_ms = max((c.deadline_ms for c in settings.classes), default=DEFAULT_DEADLINE_MS)
-        self.arrivals = Rate(WINDOW_SPANS * self.longest_deadline_ms)
-        place = settings.own_place
+        self.arrivals = Rate(ARRIVAL_DEADLINES * self.longest_deadline_ms)
+        place = settings.ring_start
         self.place = self.random.random() if place is None else place
         self.flow = Flow(settings)
-        self.forgot_ms: float | None = None
-        self.fading: list[Endpoint] = []  # endpoints whose estimates are still to decay in this round
-        self.fade = (0.0, 1.0, 1.0)  # by which fraction, and towards which means
+        self.decayed_ms: float | None = None
+        self.decaying: list[Endpoint] = []  # endpoints whose estimates are still to decay in this round
+        self.decay = (0.0, 1.0, 1.0)  # by which fraction, and towards which means
         self.now_ms = float("-inf")
         self.actions: list[Action] = []
         self.started = False
@@ -117,14 +117,14 @@
         """Processes events; returns the actions, in order. Raises ValueError for impossible events."""
         if now_ms < self.now_ms:
             raise ValueError(f"time ran backwards: {now_ms} after {self.now_ms}")
-        self.now_ms, self.room_ms, self.stuck = now_ms, inf, False
+        self.now_ms, self.room_ms, self.blocked = now_ms, inf, False
         self.actions = []
         if not self.started:
             self.started = True
             if self.settings.subscribe:
                 self.actions.append(Subscribe())
         for event in events:
-            self.stuck = self.stuck and isinstance(event, RequestArrived)
+            self.blocked = self.blocked and isinstance(event, RequestArrived)
             match event:
                 case AttemptEnded():
                     self._on_attempt_ended(event)
@@ -144,13 +144,13 @@
                 case RequestCompleted():
                     self._on_completed(event)
                 case PartTaken():
-                    self._on_part(event)
+                    self._on_share(event)
                 case ProbeEnded():
                     if event.endpoint in self.membership.endpoints:
                         self.membership.endpoints[event.endpoint].down = event.outcome is not Outcome.OK
                 case _:
                     raise ValueError(f"not an event: {event!r}")
-        self._forget_old_judgements()
+        self._decay_estimates()
         self._send_held()
         return self.actions
 
@@ -175,7 +175,7 @@
     def _subscribe(self) -> None:
         self.actions.append(Subscribe())
 
-    def _look(self) -> None:
+    def _check_queue(self) -> None:
         """Does nothing: queued requests are checked after every round of events."""
 
     # Operators, and a second balancer during a handover
@@ -185,7 +185,7 @@
         self.flow.resize(self.membership.weight)
         self.actions.append(Cordoned(event.endpoint, event.on, known))
 
-    def _on_part(self, event: PartTaken) -> None:
+    def _on_share(self, event: PartTaken) -> None:
         """Scales the budgets: two balancers with a whole one each could overload a cold server."""
         if event.part < self.part:
             kept = event.part / self.part
@@ -194,8 +194,8 @@
                 endpoint.cold_credit *= kept
         self.part, self.others_open = event.part, event.others_open
         # The other balancer sees the same excess and drops its half.
-        for _ in range(ceil(self._over_full() / 2)):
-            self._let_go()
+        for _ in range(ceil(self._excess_requests() / 2)):
+            self._drop_oldest()
 
     # Requests
 
@@ -228,11 +228,11 @@
         for number, attempt in enumerate(request.attempts):
             if attempt.outcome is None:
                 attempt.sent_ms = self.now_ms
-                self._count_in(attempt)
+                self._count_in_flight(attempt)
                 wait_ms = max(1.0, self._useless_ms(request) - self.now_ms)
                 self.actions.append(SetTimeout(request.id, number, wait_ms))
 
-    def _count_in(self, attempt: Attempt) -> None:
+    def _count_in_flight(self, attempt: Attempt) -> None:
         attempt.working = True
         if not attempt.endpoint.in_flight:
             attempt.endpoint.waiting_since_ms = self.now_ms
@@ -247,9 +247,9 @@
             self._hold(request)
 
     def _window_size(self) -> float:
-        cover = COVER * len(self.membership.ready) / self.settings.proxies
-        met = self.arrivals.per_ms(self.now_ms) * WINDOW_SPANS * self.longest_deadline_ms
-        return max(WINDOW_LEAST, cover, met)
+        cover = PROXIES_PER_SERVER * len(self.membership.ready) / self.settings.proxies
+        met = self.arrivals.per_ms(self.now_ms) * ARRIVAL_DEADLINES * self.longest_deadline_ms
+        return max(MIN_WINDOW, cover, met)
 
     def _try_send(self, request: Request) -> Endpoint | None:
         """Sends to a server with room that the request may use; returns the server, or None."""
@@ -258,14 +258,14 @@
         spans = self.membership.spans(self._window_size(), self.place)
         # After a cordon a cold server would lose every draw against warm ones, and operators would see it get
         # no traffic. It is sent one request early, regardless of the window.
-        found = [e for e in islice(self.membership.owed.values(), REACH) if self._has_room(e)]
+        found = [e for e in islice(self.membership.owed.values(), MAX_SCANNED) if self._has_room(e)]
         allowed = [e for e in found if self._may_send(request, e)]
         if not allowed:
-            small = sum([span[2] for span in spans]) <= REACH
-            allowed = self._among(request, spans) if small else self._drawn(request, spans)
+            small = sum([span[2] for span in spans]) <= MAX_SCANNED
+            allowed = self._candidates(request, spans) if small else self._draw_candidates(request, spans)
         endpoint = self._pick(allowed)
         if endpoint is None or not self._may_send(request, endpoint):
-            self.stuck = self.stuck or not request.attempts
+            self.blocked = self.blocked or not request.attempts
             return None
         self._send(request, endpoint)
         return endpoint
@@ -279,42 +279,42 @@
             self.room_ms = min(self.room_ms, endpoint.paused_until_ms)
         return False
 
-    def _fits(self, request: Request, endpoint: Endpoint) -> bool:
+    def _is_suitable(self, request: Request, endpoint: Endpoint) -> bool:
         """As `_may_send`, but for an untried request checks only what differs between servers."""
         if request.attempts or endpoint.cold_until_ms > self.now_ms:
             return self._may_send(request, endpoint)
         return True
 
-    def _roomy(self, spans: list[Span]) -> list[Endpoint]:
+    def _window_with_room(self, spans: list[Span]) -> list[Endpoint]:
         """Returns all servers with room of a small window, or of a stretch of the ring if it has none."""
         members, now_ms = self.membership, self.now_ms
-        window = members.window(now_ms, spans) or [e for e in self._reach(members.all) if self._has_room(e)]
+        window = members.window(now_ms, spans) or [e for e in self._slice(members.all) if self._has_room(e)]
         self.window_count = self.window_warm = len(window)
         if members.cold:
             self.window_warm = sum(e.cold_until_ms <= now_ms for e in window)
         return window
 
-    def _reach(self, ring: Ring) -> list[Endpoint]:
+    def _slice(self, ring: Ring) -> list[Endpoint]:
         """Returns a few consecutive members from a random position, or all if there are no more."""
         members = ring.members
-        more = len(members) - 2 * REACH
+        more = len(members) - 2 * MAX_SCANNED
         start = self.random.randrange(more) if more > 0 else 0
-        return members[start : start + 2 * REACH]
+        return members[start : start + 2 * MAX_SCANNED]
 
-    def _among(self, request: Request, spans: list[Span]) -> list[Endpoint]:
+    def _candidates(self, request: Request, spans: list[Span]) -> list[Endpoint]:
         """Returns the servers of the window that the request may use, reduced to the preferred ones."""
-        allowed = roomy = self._roomy(spans)
+        allowed = roomy = self._window_with_room(spans)
         if request.attempts or self.membership.cold:
-            allowed = [e for e in roomy if self._fits(request, e)]
+            allowed = [e for e in roomy if self._is_suitable(request, e)]
         if not allowed and roomy:  # e.g. a retry bound to its group, or only cold servers
-            allowed = [e for e in self._reach(self._group(request)) if self._has_room(e)]
+            allowed = [e for e in self._slice(self._group(request)) if self._has_room(e)]
             # No cold servers: the requests of all proxies, not just of those near it, overload one.
             allowed = [e for e in allowed if e.cold_until_ms <= self.now_ms and self._may_send(request, e)]
         if request.attempts:
             tried = [a.endpoint for a in request.attempts]
             # A retry prefers other servers and returns to a tried one only if there is no other.
             allowed = [e for e in allowed if e not in tried] or allowed
-        if self.keeps_home:
+        if self.prefers_own_zone:
             allowed = [e for e in allowed if e.listed.zone == self.settings.zone] or allowed
         return allowed
 
@@ -349,29 +349,29 @@
                     break
         return last
 
-    def _drawn(self, request: Request, spans: list[Span]) -> list[Endpoint]:
+    def _draw_candidates(self, request: Request, spans: list[Span]) -> list[Endpoint]:
         """Draws two servers of the window by their shares: a few tries each, and then the following ones on
         the ring."""
         members = self.membership
         wanted = sum(span[2] for span in spans)
-        self.window_count = max(1.0, wanted * self.open_share)
+        self.window_count = max(1.0, wanted * self.room_share)
         self.window_warm = max(1.0, self.window_count * (1 - members.cold_share(self.now_ms)))
         group = self._group(request)
         if group is not members.all:
             spans = [(group, 0, len(group.members), 1.0)]
-        elif self.keeps_home:
+        elif self.prefers_own_zone:
             home = members.rings.get(self.settings.zone)
-            found = self._two(request, [span for span in spans if span[0] is home])
+            found = self._draw_two(request, [span for span in spans if span[0] is home])
             if found:
                 return found
         back = [a.endpoint for a in request.attempts if self._has_room(a.endpoint)]
-        return self._two(request, spans) or [e for e in back if self._may_send(request, e)]
+        return self._draw_two(request, spans) or [e for e in back if self._may_send(request, e)]
 
-    def _two(self, request: Request, spans: list[Span]) -> list[Endpoint]:
+    def _draw_two(self, request: Request, spans: list[Span]) -> list[Endpoint]:
         but = [a.endpoint for a in request.attempts]
         found: list[Endpoint] = []
         while spans and len(found) < 2:
-            endpoint = self._try(request, spans, but)
+            endpoint = self._draw_one(request, spans, but)
             if endpoint is None:
                 break
             endpoint.share = 1.0
@@ -379,24 +379,24 @@
             but.append(endpoint)
         return found
 
-    def _try(self, request: Request, spans: list[Span], but: list[Endpoint]) -> Endpoint | None:
+    def _draw_one(self, request: Request, spans: list[Span], but: list[Endpoint]) -> Endpoint | None:
         ring, start, wanted, _ = self._draw_span(spans)
-        for _ in range(TRIES):
+        for _ in range(MAX_DRAWS):
             size = len(ring.members)
             at = start + self.random.randrange(wanted)
             endpoint = ring.members[at if at < size else at - size]
             if endpoint.weight < ring.heaviest and self.random.random() * ring.heaviest >= endpoint.weight:
                 continue
             room = self._has_room(endpoint)
-            self.open_share += OPEN_GAIN * (room - self.open_share)
-            if room and endpoint not in but and self._fits(request, endpoint):
+            self.room_share += ROOM_SHARE_GAIN * (room - self.room_share)
+            if room and endpoint not in but and self._is_suitable(request, endpoint):
                 return endpoint
             ring, start, wanted, _ = self._draw_span(spans)
         size = len(ring.members)
         first = start + (wanted if wanted < size else self.random.randrange(size))
-        for i in range(first, first + min(size, REACH)):
+        for i in range(first, first + min(size, MAX_SCANNED)):
             endpoint = ring.members[i % size]
-            if endpoint not in but and self._has_room(endpoint) and self._fits(request, endpoint):
+            if endpoint not in but and self._has_room(endpoint) and self._is_suitable(request, endpoint):
                 return endpoint
         return None
 
@@ -425,17 +425,17 @@
             wait_ms = min(wait_ms, request.in_aim_until_ms - self.now_ms)
         request.timer = self._set_timer(wait_ms, partial(self._wake, request, self._give_up))
         self.held.add(request)
-        self.held.compact(2 * len(self.requests) + REACH)
-        if self._over_full() > 0:
-            self._let_go()
+        self.held.compact(2 * len(self.requests) + MAX_SCANNED)
+        if self._excess_requests() > 0:
+            self._drop_oldest()
 
-    def _over_full(self) -> float:
+    def _excess_requests(self) -> float:
         """Returns how many requests exceed the allowed share of client connections."""
         most = self.settings.limits.max_open
-        share = FULL_SHARE if self.part >= 1 else FULL_SHARE_BESIDE
+        share = MAX_OPEN_SHARE if self.part >= 1 else MAX_OPEN_SHARE_OF_TWO
         return len(self.requests) + self.others_open - share * most if most else 0.0
 
-    def _let_go(self) -> None:
+    def _drop_oldest(self) -> None:
         """Drops the oldest queued request, which is the least likely to be served in time. Each one occupies
         a client connection; when none is left, new requests are lost unseen."""
         oldest = self.held.oldest()
@@ -447,26 +447,26 @@
         no other untried one can; those that were tried may use only some servers, so each is checked."""
         held = self.held
         if held.oldest() is None:
-            self.timers.pop(self.look_token, None)
-            self.look_ms = 0.0
+            self.timers.pop(self.check_token, None)
+            self.next_check_ms = 0.0
             return
         aside: list[Entry[Request]] = []
-        while len(aside) < REACH:
+        while len(aside) < MAX_SCANNED:
             if not self.flow.has_room(self.now_ms):
                 self.room_ms = min(self.room_ms, self.flow.closed_until_ms)
                 break
-            top = held.pop(self.now_ms, fresh=not self.stuck)
+            top = held.pop(self.now_ms, fresh=not self.blocked)
             if top is None:
                 break
             if self._try_send(top[2]) is None:
                 aside.append(top)
         held.put_back(aside)
         # Without other traffic, no event would show that a pause is over.
-        waiting = self.now_ms < self.look_ms <= self.room_ms + SOON_MS
+        waiting = self.now_ms < self.next_check_ms <= self.room_ms + MIN_CHECK_DELAY_MS
         if self.now_ms < self.room_ms < inf and not waiting:
-            self.look_ms = max(self.room_ms, self.now_ms + SOON_MS)
-            self.timers.pop(self.look_token, None)
-            self.look_token = self._set_timer(self.look_ms - self.now_ms, self._look)
+            self.next_check_ms = max(self.room_ms, self.now_ms + MIN_CHECK_DELAY_MS)
+            self.timers.pop(self.check_token, None)
+            self.check_token = self._set_timer(self.next_check_ms - self.now_ms, self._check_queue)
 
     def _useless_ms(self, request: Request) -> float:
         """Returns when an answer becomes worthless; later work would load full servers for nothing."""
@@ -492,9 +492,9 @@
         # The effect of a request must not happen twice.
         ran = request.first_possible_run() if request.attempts else None
         if ran is not None:
-            if not request.repeatable() or self.now_ms >= request.repeats_end_ms():
+            if not request.repeatable() or self.now_ms >= request.dedup_until_ms():
                 return False
-            if not drops_repeats(request.cls, ran.endpoint.listed, endpoint.listed):
+            if not deduplicates(request.cls, ran.endpoint.listed, endpoint.listed):
                 return False
         return self._cold_room(request, endpoint)
 
@@ -507,12 +507,12 @@
         # themselves in the same way. Credit is capped at half a window, to prevent bursts. It starts at a
         # random part of one request: from full, the proxies' first requests would add up to an overload; from
         # zero, a server that few proxies use would get nothing until it is warm.
-        rate = COLD_MARGIN * safety.push_multiple * warmth * self.warm_rate() * self.part
+        rate = COLD_LOAD_SHARE * safety.push_multiple * warmth * self.warm_rate() * self.part
         # That rate may be from a smaller window. In a larger one more proxies share each server.
         rate *= min(1.0, self.peak_window / self._window_size())
         if endpoint.cold_credit_ms is None:
             first = self.random.random() * request.work * self.part
-            first = first if endpoint.handed_credit is None else endpoint.handed_credit * self.part
+            first = first if endpoint.restored_credit is None else endpoint.restored_credit * self.part
             endpoint.cold_credit, endpoint.cold_credit_ms = first, self.now_ms
         most = max(rate * safety.push_window_ms / 2, request.work)
         earned = rate * (self.now_ms - endpoint.cold_credit_ms)
@@ -550,21 +550,21 @@
         else:
             # The last warm server of a small window gets the load of all; with that as the measure, the
             # proxies would overload the cold servers together.
-            least = WINDOW_LEAST if self.crowded else 1.0
+            least = MIN_WINDOW if self.crowded else 1.0
             self.work_rate.add(self.now_ms, request.work / max(least, self.window_warm))
         if endpoint.owed:
             endpoint.owed = False
             self.membership.owed.pop(endpoint.listed.name, None)
-        request.held_as = 0
+        request.queue_number = 0
         self._drop_timer(request)
         attempt = Attempt(endpoint, self.now_ms)
         request.attempts.append(attempt)
         # A slow connection attempt could otherwise overlap another one after the deduplication window.
-        within_ms = inf if request.uploading else request.repeats_end_ms() - self.now_ms
+        within_ms = inf if request.uploading else request.dedup_until_ms() - self.now_ms
         request.out += 1
         timeout_ms = 0.0
         if not request.uploading:
-            self._count_in(attempt)
+            self._count_in_flight(attempt)
             timeout_ms = self._useless_ms(request) - self.now_ms
         self.actions.append(Send(request.id, endpoint.listed.name, timeout_ms, within_ms))
 
@@ -592,7 +592,7 @@
     def _target(self) -> float:
         """A server slows down for all classes alike, so the class with the least slack sets the target."""
         seen = [usual.target() for usual in self.latencies.values() if usual.seen]
-        return min(seen, default=SLOWNESS_LEAST)
+        return min(seen, default=MIN_SLOWNESS)
 
     def _reported_slowness(self, report: tuple[float, ...] | None) -> float:
         """Factor by which queueing at the server, as it reports, stretches latencies; 1 if unknown. A proxy
@@ -615,12 +615,12 @@
         attempt.working = False
         attempt.endpoint.in_flight -= 1
         # Beside a latency of zero every later one looks too slow, and no server would get requests.
-        untimed = outcome in TIMED and latency_ms < TIMED_LEAST_MS
+        untimed = outcome in TIMED and latency_ms < MIN_LATENCY_MS
         if outcome in NO_EVIDENCE or cls is None or untimed:
             self.flow.ended(self.now_ms, latency_ms, None)
             return
         usual = self.latencies[cls.name]
-        good_ms = usual.in_good_time_ms()
+        good_ms = usual.midpoint_ms()
         # A cold server is slow by nature; that must not close the pooled limit while warm servers idle.
         warmth = attempt.endpoint.warmth(self.now_ms)
         slow = warmth * usual.slowness(latency_ms) / self._target() if outcome in TIMED else None
@@ -629,15 +629,15 @@
             slowness = usual.slowness(latency_ms)
             usual.add(latency_ms)
             on_time = latency_ms <= self._aim_ms(cls, request)
-            attempt.endpoint.judge(self.now_ms, 1.0 if on_time else cls.late_worth, slowness)
+            attempt.endpoint.learn(self.now_ms, 1.0 if on_time else cls.late_worth, slowness)
         else:
             # A server that fails fast must not look fast: a failure never counts as faster than normal.
-            attempt.endpoint.judge(self.now_ms, 0.0, max(1.0, usual.slowness(latency_ms)))
-        if outcome in WORKED:
+            attempt.endpoint.learn(self.now_ms, 0.0, max(1.0, usual.slowness(latency_ms)))
+        if outcome in SERVED:
             attempt.endpoint.answered(self.now_ms, latency_ms)
         if outcome in TIMED:
             strain = max(usual.slowness(latency_ms), reported) / self._target()
-            least = LIMIT_LEAST if self.crowded else 1.0
+            least = MIN_LIMIT if self.crowded else 1.0
             attempt.endpoint.adapt_limit(self.now_ms, min(latency_ms, good_ms), strain, least)
         else:
             self._failed(attempt.endpoint, usual, outcome)
@@ -663,7 +663,7 @@
         """Pays for a retry and schedules it after the backoff; False if time or tokens do not suffice."""
         wait = backoff_ms(request.prev_wait_ms, self.random)
         sleep = min(wait, self._useless_ms(request) - self.now_ms - DEADLINE_MARGIN_MS)
-        if self.now_ms + sleep >= request.repeats_end_ms():
+        if self.now_ms + sleep >= request.dedup_until_ms():
             return False
         if sleep <= 0 or not self.budget.spend():
             return False
@@ -672,23 +672,23 @@
         return True
 
     def _wake(self, request: Request, then: Callable[[Request], None]) -> None:
-        request.timer, request.held_as = None, 0
+        request.timer, request.queue_number = None, 0
         then(request)
 
     def _give_up(self, request: Request) -> None:
         """Ends the request with `Refuse`, which permits a retry, if no attempt may have run; else `Fail`."""
         ran = request.first_possible_run() is not None
-        self.actions.append(Fail(request.id) if ran else Refuse(request.id, self._come_back_ms()))
+        self.actions.append(Fail(request.id) if ran else Refuse(request.id, self._retry_after_ms()))
         self._finish(request)
 
-    def _come_back_ms(self) -> float:
+    def _retry_after_ms(self) -> float:
         """The first backoff wait, where sites pass it to clients: refused requests that are retried at once
         meet the same overload again."""
         limits = self.settings.limits
         return min(BACKOFF_BASE_MS, limits.max_retry_after_ms) if limits.retry_after else 0.0
 
     def _finish(self, request: Request) -> None:
-        request.done, request.held_as = True, 0
+        request.done, request.queue_number = True, 0
         self._drop_timer(request)
         self._drop_if_over(request)
 
@@ -715,24 +715,24 @@
         if call is not None:
             call()
 
-    def _forget_old_judgements(self) -> None:
+    def _decay_estimates(self) -> None:
         """Decays estimates over four times the longest deadline, after which their cause is over."""
-        if self.fading:
-            self._fade_some()
+        if self.decaying:
+            self._decay_some()
             return
-        if self.forgot_ms is None:
-            self.forgot_ms = self.now_ms
-        share = (self.now_ms - self.forgot_ms) / (4 * self.longest_deadline_ms)
+        if self.decayed_ms is None:
+            self.decayed_ms = self.now_ms
+        share = (self.now_ms - self.decayed_ms) / (4 * self.longest_deadline_ms)
         if share < 0.01:
             return
-        self.forgot_ms = self.now_ms
-        self.fading = self.membership.ready.copy()
+        self.decayed_ms = self.now_ms
+        self.decaying = self.membership.ready.copy()
         self.membership.cold_share(self.now_ms)  # drops warm ones from the index of cold servers
-        self.fade = (min(1.0, share), *self.membership.judged.means())
-        self._fade_some()
+        self.decay = (min(1.0, share), *self.membership.all_means.means())
+        self._decay_some()
 
-    def _fade_some(self) -> None:
+    def _decay_some(self) -> None:
         """Decays some endpoints per call, so that a long list does not delay a request."""
-        for endpoint in self.fading[-FADE_AT_ONCE:]:
-            endpoint.forget(*self.fade)
-        del self.fading[-FADE_AT_ONCE:]
+        for endpoint in self.decaying[-DECAY_BATCH:]:
+            endpoint.decay_towards(*self.decay)
+        del self.decaying[-DECAY_BATCH:]
--- a/cloverrouter/decide/endpoint.py
+++ b/cloverrouter/decide/endpoint.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
-from cloverrouter.decide.latency import GAIN
-from cloverrouter.indexes import Mean
+from cloverrouter.decide.latency import SMOOTHING_GAIN
+from cloverrouter.indexes import PairMean
 from cloverrouter.interface import EndpointState, ListedEndpoint, Safety
 
 # A server with pending requests counts as silent after this many mean gaps between responses; by chance that
@@ -11,20 +11,20 @@
 SILENT_GAPS = 5.0
 # Growth of a limit per round of responses: a surge has had some rounds before latencies show it.
 LIMIT_GROWTH = 0.25
-FIRST_LIMIT = 1.0  # requests in flight to an unknown server: many proxies may start at once
+INITIAL_LIMIT = 1.0  # requests in flight to an unknown server: many proxies may start at once
 
 
 class Endpoint:
     """One server as estimated by this proxy."""
 
-    def __init__(self, listed: ListedEndpoint, judged: Mean, safety: Safety) -> None:
-        self.judged = judged
+    def __init__(self, listed: ListedEndpoint, all_means: PairMean, safety: Safety) -> None:
+        self.all_means = all_means
         self.safety = safety
         self.listed, self.weight = listed, max(0.0, listed.weight)
-        self.earned, self.slowness = judged.means()  # smoothed: share of worth earned; latency / base latency
+        self.earned, self.slowness = all_means.means()  # smoothed: worth share; latency / base latency
         self.strain = 1.0  # smoothed; above 1 it is overloaded
         self.in_flight = 0
-        self.limit = FIRST_LIMIT  # own requests in flight that it may have
+        self.limit = INITIAL_LIMIT  # own requests in flight that it may have
         self.latency_ms = 0.0  # smoothed, over all classes
         self.waiting_since_ms = 0.0  # start of the current wait for a response
         self.failures = 0  # in a row; a burst counts once
@@ -32,7 +32,7 @@
         self.judged_ms: float | None = None  # time of the last outcome that affected the estimates
         self.cold_credit = 0.0  # work that it may be sent while cold
         self.cold_credit_ms: float | None = None  # when the credit was last computed
-        self.handed_credit: float | None = None  # initial credit, if the previous balancer has spent some
+        self.restored_credit: float | None = None  # initial credit, if the previous balancer has spent some
         self.share = 1.0  # relative probability of being drawn
         self.cordoned = False  # excluded by an operator
         self.down = False  # the last probe failed
@@ -60,19 +60,19 @@
 
     def start_over(self) -> None:
         """Resets the estimates: the server is, or may be, a new process."""
-        self._set(*self.judged.means())
-        self.cold_credit, self.cold_credit_ms, self.handed_credit = 0.0, None, None
+        self._set(*self.all_means.means())
+        self.cold_credit, self.cold_credit_ms, self.restored_credit = 0.0, None, None
         self.down = False
 
     def _set(self, earned: float, slowness: float) -> None:
         if self.judged_ms is not None:
-            self.judged.change(earned - self.earned, slowness - self.slowness)
+            self.all_means.change(earned - self.earned, slowness - self.slowness)
         self.earned, self.slowness = earned, slowness
 
     def answered(self, now_ms: float, latency_ms: float) -> None:
         self.waiting_since_ms = now_ms
         self.failures = 0
-        self.latency_ms += (GAIN if self.latency_ms else 1.0) * (latency_ms - self.latency_ms)
+        self.latency_ms += (SMOOTHING_GAIN if self.latency_ms else 1.0) * (latency_ms - self.latency_ms)
 
     def failed(self, now_ms: float, pause_ms: float, longest_ms: float, broken: bool = False) -> None:
         """Pauses a server that rejects or fails requests, twice as long each time, and halves its limit. A
@@ -86,17 +86,17 @@
             self.paused_until_ms = now_ms + min(longest_ms, pause_ms * 2.0 ** min(self.failures - 1, 16))
             self.limit = max(min(1.0, self.limit), self.limit / 2)
 
-    def judge(self, now_ms: float, earned: float, slowness: float) -> None:
+    def learn(self, now_ms: float, earned: float, slowness: float) -> None:
         if self.judged_ms is None:
-            self.judged.add(self.earned, self.slowness)
+            self.all_means.add(self.earned, self.slowness)
         self.judged_ms = now_ms
-        self.forget(GAIN, earned, slowness)
+        self.decay_towards(SMOOTHING_GAIN, earned, slowness)
 
     def adapt_limit(self, now_ms: float, latency_ms: float, strain: float, least: float) -> None:
         """Adapts the concurrency limit: slow growth while latencies are on target, reduction in proportion to
         slowness otherwise. Overfed servers slow down, time out and congest. Below one, a pause follows each
         response, as one request from each of many proxies is an overload already."""
-        self.strain += GAIN * (strain - self.strain)
+        self.strain += SMOOTHING_GAIN * (strain - self.strain)
         if self.strain > 1:
             self.limit -= min(1.0, self.limit) * (1 - 1 / self.strain)
         elif self.limit < 1:
@@ -108,26 +108,26 @@
             rest_ms = latency_ms * (1 / self.limit - 1)
             self.paused_until_ms = max(self.paused_until_ms, now_ms + rest_ms)
 
-    def forget(self, share: float, earned: float, slowness: float) -> None:
+    def decay_towards(self, share: float, earned: float, slowness: float) -> None:
         """Moves the estimates towards the mean of all: a server judged bad is never drawn, so nothing would
         show that it has recovered."""
         self._set(
             self.earned + share * (earned - self.earned), self.slowness + share * (slowness - self.slowness)
         )
 
-    def relisted(self, listed: ListedEndpoint) -> None:
+    def update_listing(self, listed: ListedEndpoint) -> None:
         """Updates the entry from discovery."""
         if self.listed.started_ms != listed.started_ms:
             self.start_over()
         self.listed, self.weight = listed, max(0.0, listed.weight)
         self.cold_until_ms = self._cold_until_ms()
 
-    def back(self, now_ms: float) -> None:
+    def end_cordon(self, now_ms: float) -> None:
         """Handles the end of a cordon."""
         self.start_over()
         self.back_ms, self.owed = now_ms, True
         self.failures, self.paused_until_ms = 0, now_ms
-        self.limit = max(self.limit, FIRST_LIMIT)
+        self.limit = max(self.limit, INITIAL_LIMIT)
         self.cold_until_ms = self._cold_until_ms()
 
     def _started_ms(self) -> float | None:
--- a/cloverrouter/decide/flow.py
+++ b/cloverrouter/decide/flow.py
@@ -3,26 +3,26 @@
 from __future__ import annotations
 
 from cloverrouter.decide.endpoint import LIMIT_GROWTH
-from cloverrouter.decide.latency import GAIN
+from cloverrouter.decide.latency import SMOOTHING_GAIN
 from cloverrouter.interface import Settings
 
 # Pooled limit per unit of weight of the servers, shared between the proxies, at the start: about what keeps a
 # core busy; the limit never falls below this fraction of its start.
 FLOW_START = 3.0
-FLOW_LEAST = 0.1
+FLOW_FLOOR = 0.1
 # Growth per round beyond the start, relative to the limit. Traffic is unequal, and a fixed step would leave a
 # busy proxy rejecting requests beside idle servers.
 FLOW_GROWTH = LIMIT_GROWTH / 4
 FLOW_BURST = 5.0  # pauses that may be skipped in advance
 # A proxy uses a window of the servers, sized so that each server has this many proxies on average, enough to
 # even out unequal traffic.
-COVER = 12.0
+PROXIES_PER_SERVER = 12.0
 
 
 def crowded(settings: Settings) -> bool:
     """Returns whether servers have more proxies than COVER. If so, the pooled limit, limits below one, and
     zone shares filled by capacity apply."""
-    return settings.proxies > COVER
+    return settings.proxies > PROXIES_PER_SERVER
 
 
 class Flow:
@@ -44,7 +44,7 @@
     def resize(self, weight: float) -> None:
         """Adjusts the limit to the total weight of the known servers."""
         before, self.start = self.start, FLOW_START * weight / self._proxies
-        self.least = FLOW_LEAST * self.start
+        self.least = FLOW_FLOOR * self.start
         # After the loss of a zone the proxies must not keep the limit of all servers.
         if before and weight:
             self.limit *= min(1.0, self.start / before)
@@ -61,7 +61,7 @@
         bound, self.bound = self.bound, False
         self.out -= 1
         if strain is not None:
-            self.strain += GAIN * (strain - self.strain)
+            self.strain += SMOOTHING_GAIN * (strain - self.strain)
             if self.strain > 1:
                 self.limit -= min(1.0, self.limit) * (1 - 1 / self.strain)
             elif self.limit < self.start:
--- a/cloverrouter/decide/latency.py
+++ b/cloverrouter/decide/latency.py
@@ -5,11 +5,11 @@
 from cloverrouter.interface import RequestClass
 
 # Smoothing factor for observations of a server: about the last ten responses count.
-GAIN = 0.2
+SMOOTHING_GAIN = 0.2
 # Target slowness: base latency plus this fraction of the slack that slow unloaded responses leave up to the
 # aim, within these bounds.
-SLOWNESS_ROOM = 0.5
-SLOWNESS_LEAST, SLOWNESS_MOST = 1.25, 3.0
+SLOWNESS_SLACK = 0.5
+MIN_SLOWNESS, MAX_SLOWNESS = 1.25, 3.0
 BASE_WINDOW = 25  # responses in one sample of a class's base latency
 
 
@@ -26,7 +26,7 @@
 
     def add(self, latency_ms: float) -> None:
         self.seen += 1
-        self.mean_ms += max(1 / self.seen, GAIN / 10) * (latency_ms - self.mean_ms)
+        self.mean_ms += max(1 / self.seen, SMOOTHING_GAIN / 10) * (latency_ms - self.mean_ms)
         self.mean_ms = max(self.mean_ms, 0.01)
         if self.seen <= BASE_WINDOW:
             self.base_ms = self.mean_ms
@@ -38,18 +38,18 @@
             variance = sum((x - mean) ** 2 for x in self._window) / BASE_WINDOW
             self.base_ms = max(0.01, min(self.base_ms * 1.002, mean + (variance / BASE_WINDOW) ** 0.5))
             slow = sorted(self._window)[-2] / mean  # about the 95th percentile
-            self.slow_ratio += GAIN * (max(1.0, slow) - self.slow_ratio)
+            self.slow_ratio += SMOOTHING_GAIN * (max(1.0, slow) - self.slow_ratio)
             self._window.clear()
 
     def slowness(self, latency_ms: float) -> float:
         """Returns a latency as a multiple of the base latency."""
         return latency_ms / self.base_ms
 
-    def in_good_time_ms(self) -> float:
+    def midpoint_ms(self) -> float:
         """Midpoint of base latency and aim: beyond it, the aim is in danger."""
         return (self.base_ms + max(self.base_ms, self.cls.aim_ms)) / 2
 
     def target(self) -> float:
         """Returns the slowness up to which this class lets servers be loaded."""
         room = self.cls.aim_ms / (self.base_ms * self.slow_ratio) - 1
-        return min(SLOWNESS_MOST, max(SLOWNESS_LEAST, 1 + SLOWNESS_ROOM * room))
+        return min(MAX_SLOWNESS, max(MIN_SLOWNESS, 1 + SLOWNESS_SLACK * room))
--- a/cloverrouter/decide/membership.py
+++ b/cloverrouter/decide/membership.py
@@ -21,10 +21,10 @@
 
 # From this price of a zone crossing on, draws follow the zone shares filled by capacity alone; below it they
 # are mixed with even ones in proportion.
-DEAR_CROSSING = 0.05
+HIGH_PRICE = 0.05
 # Names of listed servers to remember, which tells an operator's typing error from a server that has left.
-MOST_NAMES = 50_000
-REACH = 32  # maximum number of servers checked one by one when draws found none
+MAX_REMEMBERED_NAMES = 50_000
+MAX_SCANNED = 32  # maximum number of servers checked one by one when draws found none
 
 
 Ring = indexes.Ring[Endpoint]
@@ -38,7 +38,7 @@
     def __init__(self, settings: Settings) -> None:
         self.settings = settings
         self.endpoints: dict[str, Endpoint] = {}
-        self.judged = indexes.Mean()
+        self.all_means = indexes.PairMean()
         self.all = Ring()
         self.ready = self.all.members  # updated in place
         self.rings: dict[str, Ring] = defaultdict(indexes.Ring)  # the ready servers by zone; none is empty
@@ -49,7 +49,7 @@
         self.shares: dict[str, float] = {}  # share of this proxy's requests by zone
         self.weight = 0.0  # of all ready servers
         self._spans: list[Span] = []
-        self._spans_of = -1.0  # the window size for which the spans were computed
+        self._spans_size = -1.0  # the window size for which the spans were computed
         self.cordons: dict[str, None] = {}  # outlive lists: a server that leaves and returns stays cordoned
         self.names: dict[str, None] = {}  # ever listed, the latest last
         self.back_ms: dict[str, float] = {}  # when cordons ended
@@ -69,34 +69,34 @@
             if entry.state is EndpointState.GONE:
                 self._drop(entry.name)
             elif known is None:
-                known = self.endpoints[entry.name] = Endpoint(entry, self.judged, self.settings.safety)
+                known = self.endpoints[entry.name] = Endpoint(entry, self.all_means, self.settings.safety)
                 known.cordoned, known.back_ms = entry.name in self.cordons, self.back_ms.get(entry.name)
-                known.relisted(entry)
-                self._remember(known)
-                self._place(known)
+                known.update_listing(entry)
+                self._restore(known)
+                self._index(known)
             elif known.listed != entry:
-                self._unplace(known)
-                known.relisted(entry)
-                self._place(known)
-        while len(self.names) > MOST_NAMES:
+                self._unindex(known)
+                known.update_listing(entry)
+                self._index(known)
+        while len(self.names) > MAX_REMEMBERED_NAMES:
             self.names.pop(next(iter(self.names)))
-        self._share_out()
+        self._assign_zone_shares()
 
     def _drop(self, name: str) -> None:
         endpoint = self.endpoints.pop(name, None)
         if endpoint is None:
             return
-        self._unplace(endpoint)
+        self._unindex(endpoint)
         if endpoint.judged_ms is not None:
-            self.judged.add(endpoint.earned, endpoint.slowness, -1)
-            endpoint.judged, endpoint.judged_ms = indexes.Mean(), None  # late outcomes no longer count
+            self.all_means.add(endpoint.earned, endpoint.slowness, -1)
+            endpoint.all_means, endpoint.judged_ms = indexes.PairMean(), None  # late outcomes no longer count
 
     def _rings(self, endpoint: Endpoint) -> tuple[Ring, Ring, Ring]:
         """Returns the rings that contain the endpoint while it is ready."""
         listed = endpoint.listed
         return self.all, self.rings[listed.zone], self.cells[listed.zone, listed.cell]
 
-    def _place(self, endpoint: Endpoint) -> None:
+    def _index(self, endpoint: Endpoint) -> None:
         if endpoint.listed.state is EndpointState.READY and not endpoint.cordoned:
             for ring in self._rings(endpoint):
                 ring.add(endpoint.listed.name, endpoint.weight, endpoint)
@@ -106,7 +106,7 @@
                 self.cold[endpoint.listed.name] = endpoint
                 heappush(self._warming, (endpoint.cold_until_ms, endpoint.listed.name))
 
-    def _unplace(self, endpoint: Endpoint) -> None:
+    def _unindex(self, endpoint: Endpoint) -> None:
         for ring in self._rings(endpoint):
             ring.discard(endpoint.listed.name)
         self.owed.pop(endpoint.listed.name, None)
@@ -126,14 +126,14 @@
                 del self.cold[name]
         return len(self.cold) / len(self.ready) if self.ready else 0.0
 
-    def _remember(self, endpoint: Endpoint) -> None:
+    def _restore(self, endpoint: Endpoint) -> None:
         """Restores what the previous balancer learned, if the server is still the same process."""
         memory = self.memories.pop(endpoint.listed.name, None)
-        if memory is None or not memory.fits(endpoint.listed.started_ms):
+        if memory is None or not memory.is_same_process(endpoint.listed.started_ms):
             return
         endpoint.earned, endpoint.slowness = memory.earned, memory.slowness
         endpoint.limit, endpoint.latency_ms = memory.limit, memory.latency_ms
-        endpoint.handed_credit = memory.cold_credit
+        endpoint.restored_credit = memory.cold_credit
 
     def cordon(self, now_ms: float, name: str, on: bool) -> bool:
         """Sets or ends a cordon; False if the endpoint was never listed. It may be restarted meanwhile, which
@@ -142,7 +142,7 @@
             return False
         endpoint = self.endpoints.get(name)
         if endpoint is not None:
-            self._unplace(endpoint)
+            self._unindex(endpoint)
         if on:
             self.cordons[name] = None
         elif name in self.cordons:
@@ -151,14 +151,14 @@
             self.back_ms = {n: at for n, at in self.back_ms.items() if now_ms - at < cold_ms}
             self.back_ms[name] = now_ms
             if endpoint is not None:
-                endpoint.back(now_ms)
+                endpoint.end_cordon(now_ms)
         if endpoint is not None:
             endpoint.cordoned = on
-            self._place(endpoint)
-        self._share_out()
+            self._index(endpoint)
+        self._assign_zone_shares()
         return True
 
-    def _share_out(self) -> None:
+    def _assign_zone_shares(self) -> None:
         """Computes which share of this zone's requests each zone gets.
 
         If crossings cost and each proxy used only its own zone, a zone with few servers would be overloaded
@@ -168,13 +168,13 @@
         weights = {self.settings.zone: 0.0, **{zone: ring.weight for zone, ring in self.rings.items()}}
         total, even, home = sum(weights.values()), 1 / len(weights), self.settings.zone
         self.weight = total
-        self.shares, self._spans_of = {}, -1.0
+        self.shares, self._spans_size = {}, -1.0
         if total <= 0:
             return
         spare = {zone: max(0.0, weight / total - even) for zone, weight in weights.items()}
         at_home = min(1.0, weights[home] / total / even)
         away = max(sum(spare.values()), 1e-9)
-        dear = min(1.0, self.settings.prices.cross_zone / DEAR_CROSSING) if crowded(self.settings) else 0.0
+        dear = min(1.0, self.settings.prices.cross_zone / HIGH_PRICE) if crowded(self.settings) else 0.0
         for zone, weight in weights.items():
             filled = at_home if zone == home else (1 - at_home) * spare[zone] / away
             self.shares[zone] = dear * filled + (1 - dear) * weight / total
@@ -182,9 +182,9 @@
     def spans(self, size: float, place: float) -> list[Span]:
         """Returns the servers that this proxy uses: about `size`, zone by zone, starting at position `place`
         (0 to 1) of each zone's ring."""
-        if self._spans_of == size:
+        if self._spans_size == size:
             return self._spans
-        self._spans_of, self._spans = size, []
+        self._spans_size, self._spans = size, []
         for zone, share in self.shares.items():
             ring = self.rings.get(zone)
             if ring is not None and share > 1e-9:
@@ -198,7 +198,7 @@
         found: list[Endpoint] = []
         for ring, start, wanted, share in spans:
             size, weight, mine = len(ring.members), 0.0, []
-            for i in range(start, start + min(size, wanted + REACH)):
+            for i in range(start, start + min(size, wanted + MAX_SCANNED)):
                 e = ring.members[i if i < size else i - size]
                 if e.has_room(now_ms):
                     mine.append(e)
--- a/cloverrouter/decide/request.py
+++ b/cloverrouter/decide/request.py
@@ -36,7 +36,7 @@
     repeat: bool = False  # marked as a retry by its client
     in_aim_until_ms: float = 0.0  # sent by then, it is likely to be answered within its aim
     timer: int | None = None  # token of its only pending timer
-    held_as: int = 0  # its number in the queue; 0: not queued
+    queue_number: int = 0  # its number in the queue; 0: not queued
     done: bool = False
     streaming: bool = False
     uploading: bool = False
@@ -47,7 +47,7 @@
     def first_possible_run(self) -> Attempt | None:
         return next((a for a in self.attempts if a.may_have_run()), None)
 
-    def repeats_end_ms(self) -> float:
+    def dedup_until_ms(self) -> float:
         """Returns when servers stop deduplicating a keyed request that may have run."""
         ran = self.first_possible_run()
         if ran is None or self.cls is None or self.cls.idempotency is not Idempotency.KEYED:
@@ -55,7 +55,7 @@
         return ran.sent_ms + self.cls.repeat_window_ms
 
 
-def drops_repeats(cls: RequestClass | None, home: ListedEndpoint, there: ListedEndpoint) -> bool:
+def deduplicates(cls: RequestClass | None, home: ListedEndpoint, there: ListedEndpoint) -> bool:
     """Returns whether `there` deduplicates requests that may have run at `home`."""
     if cls is None or cls.idempotency is not Idempotency.KEYED or cls.repeat_scope is RepeatScope.ALL:
         return True
--- a/cloverrouter/indexes.py
+++ b/cloverrouter/indexes.py
@@ -23,14 +23,14 @@
         self.heaviest = 0.0  # highest weight of any member since the ring was last empty
         self._keys: list[tuple[int, str, float]] = []
 
-    def _at(self, name: str) -> tuple[int, int]:
+    def _locate(self, name: str) -> tuple[int, int]:
         """Returns the hash of a name and its index or insertion point."""
         key = crc32(name.encode())
         return key, bisect_left(self._keys, (key, name))
 
     def add(self, name: str, weight: float, member: T) -> None:
         """Adds a member that is not in the ring yet."""
-        key, at = self._at(name)
+        key, at = self._locate(name)
         self._keys.insert(at, (key, name, weight))
         self.members.insert(at, member)
         self.weight += weight
@@ -38,7 +38,7 @@
 
     def discard(self, name: str) -> None:
         """Removes a member if it is in the ring."""
-        _, at = self._at(name)
+        _, at = self._locate(name)
         if at < len(self._keys) and self._keys[at][1] == name:
             self.weight -= self._keys[at][2]
             del self._keys[at], self.members[at]
@@ -46,28 +46,28 @@
                 self.weight = self.heaviest = 0.0  # discards accumulated rounding errors
 
 
-class Mean:
+class PairMean:
     """Running means of two values over a changing set of members."""
 
     def __init__(self) -> None:
         self.count = 0
-        self._one = self._other = 0.0
+        self._first_sum = self._second_sum = 0.0
 
     def add(self, one: float, other: float, sign: int = 1) -> None:
         """Adds a member's values, or removes them with `sign=-1`."""
         self.count += sign
         self.change(sign * one, sign * other)
         if not self.count:
-            self._one = self._other = 0.0  # discards accumulated rounding errors
+            self._first_sum = self._second_sum = 0.0  # discards accumulated rounding errors
 
     def change(self, one: float, other: float) -> None:
         """Adjusts the sums when a member's values change by these amounts."""
-        self._one += one
-        self._other += other
+        self._first_sum += one
+        self._second_sum += other
 
     def means(self) -> tuple[float, float]:
         """Returns both means, or 1.0 each if there are no members."""
-        return (self._one / self.count, self._other / self.count) if self.count else (1.0, 1.0)
+        return (self._first_sum / self.count, self._second_sum / self.count) if self.count else (1.0, 1.0)
 
 
 class Rate:
@@ -76,11 +76,11 @@
     def __init__(self, span_ms: float) -> None:
         self._span_ms = span_ms
         self._sum = 0.0
-        self._at_ms = 0.0
+        self._updated_ms = 0.0
 
     def _decay(self, now_ms: float) -> None:
-        self._sum *= max(0.0, 1 - (now_ms - self._at_ms) / self._span_ms)
-        self._at_ms = now_ms
+        self._sum *= max(0.0, 1 - (now_ms - self._updated_ms) / self._span_ms)
+        self._updated_ms = now_ms
 
     def add(self, now_ms: float, amount: float) -> None:
         """Counts an amount at this time."""
@@ -93,7 +93,7 @@
         return self._sum / self._span_ms
 
 
-class Waiting(Protocol):
+class Queueable(Protocol):
     """What a queue needs to know about its items."""
 
     @property
@@ -105,52 +105,52 @@
     @property
     def in_aim_until_ms(self) -> float: ...
 
-    held_as: int
+    queue_number: int
 
 
-W = TypeVar("W", bound=Waiting)
+W = TypeVar("W", bound=Queueable)
 # (value, number, item): the number breaks ties, so that items are never compared.
 Entry = tuple[float, int, W]
 
 
-def waits(entry: tuple[float, int, Waiting]) -> bool:
+def is_queued(entry: tuple[float, int, Queueable]) -> bool:
     """Returns whether the item is still queued, and under this entry's number."""
-    return entry[2].held_as == entry[1]
+    return entry[2].queue_number == entry[1]
 
 
-class Line(Generic[W]):
+class PriorityList(Generic[W]):
     """Queue of requests sorted by priority, the next one last. Late requests come after all others: in an
     overload, serving those that have waited longest makes them late and delays the next ones as well."""
 
     def __init__(self) -> None:
-        self.hopeful: list[Entry[W]] = []
+        self.on_time: list[Entry[W]] = []
         self.late: list[Entry[W]] = []
 
     def top(self, now_ms: float) -> tuple[bool, Entry[W]] | None:
         """Returns the next entry and whether it can still be on time. Discards entries that are no longer
         queued."""
-        while self.hopeful:
-            entry = self.hopeful[-1]
-            if waits(entry) and now_ms <= entry[2].in_aim_until_ms:
+        while self.on_time:
+            entry = self.on_time[-1]
+            if is_queued(entry) and now_ms <= entry[2].in_aim_until_ms:
                 return True, entry
-            self.hopeful.pop()
-            if waits(entry):
+            self.on_time.pop()
+            if is_queued(entry):
                 insort(self.late, entry)
-        while self.late and not waits(self.late[-1]):
+        while self.late and not is_queued(self.late[-1]):
             self.late.pop()
         return (False, self.late[-1]) if self.late else None
 
-    def pop(self, hopeful: bool) -> None:
-        (self.hopeful if hopeful else self.late).pop()
+    def pop(self, on_time: bool) -> None:
+        (self.on_time if on_time else self.late).pop()
 
     def entries(self) -> list[Entry[W]]:
         """Returns all entries that are still queued."""
-        return [entry for entry in (*reversed(self.hopeful), *reversed(self.late)) if waits(entry)]
+        return [entry for entry in (*reversed(self.on_time), *reversed(self.late)) if is_queued(entry)]
 
     def compact(self) -> None:
         """Removes entries that are no longer queued."""
-        self.hopeful = [entry for entry in self.hopeful if waits(entry)]
-        self.late = [entry for entry in self.late if waits(entry)]
+        self.on_time = [entry for entry in self.on_time if is_queued(entry)]
+        self.late = [entry for entry in self.late if is_queued(entry)]
 
 
 class Held(Generic[W]):
@@ -161,14 +161,14 @@
     """
 
     def __init__(self) -> None:
-        self.fresh, self.tried = Line[W](), Line[W]()
+        self.fresh, self.tried = PriorityList[W](), PriorityList[W]()
         self._ages: list[Entry[W]] = []  # a heap by arrival time
         self._number = 0
 
     def add(self, request: W) -> None:
         """Queues a request."""
         self._number += 1
-        request.held_as = self._number
+        request.queue_number = self._number
         self.put_back([(request.value, self._number, request)])
         heappush(self._ages, (request.arrived_ms, self._number, request))
 
@@ -176,10 +176,10 @@
         """Returns the request that has waited longest, or None."""
         while self._ages:
             entry = self._ages[0]
-            if waits(entry) and entry[2].arrived_ms == entry[0]:
+            if is_queued(entry) and entry[2].arrived_ms == entry[0]:
                 return entry[2]
             heappop(self._ages)
-            if waits(entry):  # its upload completed after it was queued
+            if is_queued(entry):  # its upload completed after it was queued
                 heappush(self._ages, (entry[2].arrived_ms, entry[1], entry[2]))
         return None
 
@@ -198,12 +198,12 @@
     def put_back(self, entries: list[Entry[W]]) -> None:
         """Inserts entries of requests that wait again or continue to wait."""
         for entry in entries:
-            insort((self.tried if entry[2].attempts else self.fresh).hopeful, entry)
+            insort((self.tried if entry[2].attempts else self.fresh).on_time, entry)
 
     def compact(self, most: int) -> None:
         """Removes entries that are no longer queued once there are more than `most`."""
         if len(self._ages) > most:
-            self._ages = [entry for entry in self._ages if waits(entry)]
+            self._ages = [entry for entry in self._ages if is_queued(entry)]
             heapify(self._ages)
             for line in (self.fresh, self.tried):
                 line.compact()
--- a/cloverrouter/interface.py
+++ b/cloverrouter/interface.py
@@ -160,7 +160,7 @@
             raise ValueError("safety.drain_grace_ms must not be negative")
 
     @property
-    def own_place(self) -> float | None:
+    def ring_start(self) -> float | None:
         """Position on the ring where this proxy's servers begin, or None if it is not configured."""
         if self.place is not None or self.number is None:
             return self.place
@@ -179,7 +179,7 @@
     started_ms: float | None = None  # None: a long time ago
 
 
-SAME_START_MS = 1000.0
+START_TOLERANCE_MS = 1000.0
 
 
 @dataclass(frozen=True, slots=True)
@@ -194,14 +194,14 @@
     latency_ms: float
     cold_credit: float | None  # work it may still be sent while cold; None: not computed yet
 
-    def fits(self, started_ms: float | None) -> bool:
+    def is_same_process(self, started_ms: float | None) -> bool:
         """Returns whether the record is about the process that started at `started_ms`.
 
         Two processes derive start times from clocks that differ slightly, hence the tolerance.
         """
         if started_ms is None or self.started_ms is None:
             return started_ms is self.started_ms
-        return abs(started_ms - self.started_ms) <= SAME_START_MS
+        return abs(started_ms - self.started_ms) <= START_TOLERANCE_MS
 
 
 @dataclass(frozen=True, slots=True)
--- a/tests/cold_world.py
+++ b/tests/cold_world.py
@@ -40,7 +40,7 @@
 RATE = CORES / WORK_MS  # requests per millisecond that a warm server can serve
 WARM_UP_MS = 3000.0  # duration of the traffic before the servers start
 SAFETY = Safety(cold_share=0.12, cold_ms=6000.0, push_multiple=3.0, push_window_ms=2000.0)
-ASKED = RequestClass(
+REQUEST_CLASS = RequestClass(
     "asked", aim_ms=600, deadline_ms=2000, idempotency=Idempotency.KEYED, repeat_window_ms=9e9
 )
 
@@ -53,8 +53,8 @@
     servers: int = 12
     cold: int = 4  # how many of them start at the same time
     load: float = 0.8  # fraction of the total capacity when warm
-    unequal: float = 1.0  # sigma of the lognormal distribution of the proxies' traffic
-    told_spread_ms: float = 300.0  # the proxies learn of the start within this time, the first one at once
+    traffic_sigma: float = 1.0  # sigma of the lognormal distribution of the proxies' traffic
+    notice_spread_ms: float = 300.0  # the proxies learn of the start within this time, the first one at once
     killed: float = 0.0  # fraction of the proxies that is killed during the warm-up and restarted at once
     seed: int = 1
 
@@ -97,7 +97,7 @@
         self._numbers = count()
         self.served = self.asked = 0
         self._attempts: dict[int, int] = {}  # number of the last attempt, by request
-        shares = [self.random.lognormvariate(0.0, plan.unequal) for _ in range(plan.proxies)]
+        shares = [self.random.lognormvariate(0.0, plan.traffic_sigma) for _ in range(plan.proxies)]
         rate = plan.load * plan.servers * RATE
         self.rates = [rate * share / sum(shares) for share in shares]
         self.proxies: list[Balancer] = []
@@ -109,7 +109,9 @@
 
     def _new(self, number: int) -> Balancer:
         limits = Limits(max_attempts=3)
-        told = Settings((ASKED,), proxies=self.plan.proxies, number=number, limits=limits, safety=SAFETY)
+        told = Settings(
+            (REQUEST_CLASS,), proxies=self.plan.proxies, number=number, limits=limits, safety=SAFETY
+        )
         return Balancer(told, self.random.randrange(1 << 30))
 
     def _listed(self, kind: ListKind) -> EndpointsListed:
@@ -135,7 +137,7 @@
         for server in list(self.servers.values())[: self.plan.cold]:
             server.started_ms, server.busy = self.now_ms, 0
         for number in range(self.plan.proxies):
-            self._at(self.random.random() * self.plan.told_spread_ms, "told", number)
+            self._at(self.random.random() * self.plan.notice_spread_ms, "told", number)
             if self.random.random() < self.plan.killed:
                 self._at(self.random.random() * SAFETY.cold_ms, "killed", number)
 
@@ -150,7 +152,9 @@
     def _arrival(self, number: int) -> None:
         self._at(self.random.expovariate(self.rates[number]), "arrival", number)
         self.asked += 1
-        self._tell(number, RequestArrived(self.asked, ASKED.name, self.now_ms + ASKED.deadline_ms))
+        self._tell(
+            number, RequestArrived(self.asked, REQUEST_CLASS.name, self.now_ms + REQUEST_CLASS.deadline_ms)
+        )
 
     def _timer(self, number: int, life: int, token: int) -> None:
         if self.lives[number] == life:
--- a/tests/test_cold_law.py
+++ b/tests/test_cold_law.py
@@ -16,8 +16,8 @@
     servers=st.integers(6, 14),
     cold=st.integers(1, 6),
     load=st.floats(0.4, 1.2),
-    unequal=st.sampled_from((0.0, 1.0, 1.8)),
-    told_spread_ms=st.sampled_from((0.0, 300.0, 2000.0)),
+    traffic_sigma=st.sampled_from((0.0, 1.0, 1.8)),
+    notice_spread_ms=st.sampled_from((0.0, 300.0, 2000.0)),
     killed=st.sampled_from((0.0, 0.5, 1.0)),
     seed=st.integers(0, 10_000),
 )
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -5,12 +5,12 @@
 import pytest
 
 from cloverrouter.core.leaving import (
-    COME_AGAIN_S,
-    HALT_BEFORE_S,
-    KILLED_AFTER_S,
+    HALT_MARGIN_S,
+    KILL_MARGIN_S,
     LAST_BYTES_S,
-    LONGEST_COUNTED_S,
-    SPEAK_S,
+    MAX_COUNTED_DEADLINE_S,
+    RECONNECT_S,
+    SILENT_CONNECTION_S,
     STILL_COMING_S,
     Do,
     Leaving,
@@ -44,8 +44,8 @@
 def test_while_new_ones_may_come_it_does_not_end_even_with_nothing_owed() -> None:
     leaving = told()
     for at_s in (100.0, 100.0 + STILL_COMING_S - SOON):
-        assert leaving.look(at_s, Seen(0, 0, nobody_waits=True)) == [Do.CLOSE_QUIET]
-    assert leaving.stage is Stage.SENDING_AWAY
+        assert leaving.look(at_s, Seen(0, 0, no_connection_waiting=True)) == [Do.CLOSE_QUIET]
+    assert leaving.stage is Stage.DRAINING
 
 
 def test_told_twice_is_told_once() -> None:
@@ -58,13 +58,13 @@
 def test_it_ends_only_in_a_look_at_which_nobody_waits() -> None:
     leaving = finishing(seen=Seen(0, 1))
     last_s = 100.0 + STILL_COMING_S
-    assert leaving.look(last_s + COME_AGAIN_S - SOON, Seen(0, 0)) == []  # a request may be retried
-    at_s = last_s + COME_AGAIN_S + SOON
+    assert leaving.look(last_s + RECONNECT_S - SOON, Seen(0, 0)) == []  # a request may be retried
+    at_s = last_s + RECONNECT_S + SOON
     assert leaving.look(at_s, Seen(0, 0)) == [Do.TAKE_IN]
     assert leaving.look(at_s, Seen(0, 1)) == REST  # a connection was accepted
     assert leaving.look(at_s + SOON, Seen(0, 0)) == []
-    assert leaving.look(at_s + COME_AGAIN_S + SOON, Seen(0, 0)) == [Do.TAKE_IN]
-    assert leaving.look(at_s + COME_AGAIN_S + SOON, Seen(0, 0, nobody_waits=True)) == []
+    assert leaving.look(at_s + RECONNECT_S + SOON, Seen(0, 0)) == [Do.TAKE_IN]
+    assert leaving.look(at_s + RECONNECT_S + SOON, Seen(0, 0, no_connection_waiting=True)) == []
     assert leaving.over
 
 
@@ -77,9 +77,9 @@
 
 def test_who_has_connected_may_speak_as_long_as_its_request_has_all_of_its_time() -> None:
     leaving = finishing()
-    assert leaving.look(100.0 + SPEAK_S - SOON, Seen(1, 1)) == EARLY
-    assert leaving.look(100.0 + SPEAK_S, Seen(1, 1)) == REST
-    assert SPEAK_S < KILLED_AFTER_S
+    assert leaving.look(100.0 + SILENT_CONNECTION_S - SOON, Seen(1, 1)) == EARLY
+    assert leaving.look(100.0 + SILENT_CONNECTION_S, Seen(1, 1)) == REST
+    assert SILENT_CONNECTION_S < KILL_MARGIN_S
 
 
 def test_what_is_half_sent_gets_an_error_once_and_does_not_keep_the_process() -> None:
@@ -89,7 +89,7 @@
     assert leaving.look(at_s + LAST_BYTES_S, Seen(0, 1)) == [Do.END_HALF_SENT, *REST]
     assert leaving.look(at_s + LAST_BYTES_S + SOON, Seen(0, 1)) == REST
     assert leaving.look(at_s + 2 * LAST_BYTES_S, Seen(0, 1)) == [Do.TAKE_IN]  # and no connection is waiting
-    assert leaving.look(at_s + 2 * LAST_BYTES_S, Seen(0, 1, nobody_waits=True)) == []
+    assert leaving.look(at_s + 2 * LAST_BYTES_S, Seen(0, 1, no_connection_waiting=True)) == []
     assert leaving.over
 
 
@@ -98,37 +98,37 @@
     at_s = 100.0 + STILL_COMING_S + 2 * LAST_BYTES_S
     leaving.look(at_s - SOON, Seen(0, 1))
     assert leaving.look(at_s, Seen(0, 1)) == [Do.TAKE_IN]
-    assert leaving.look(at_s, Seen(0, 2, taken_in=True)) == REST
-    assert leaving.look(at_s + COME_AGAIN_S - SOON, Seen(0, 2)) == REST
-    assert leaving.look(at_s + COME_AGAIN_S + SOON, Seen(0, 2)) == [Do.TAKE_IN]
+    assert leaving.look(at_s, Seen(0, 2, connection_accepted=True)) == REST
+    assert leaving.look(at_s + RECONNECT_S - SOON, Seen(0, 2)) == REST
+    assert leaving.look(at_s + RECONNECT_S + SOON, Seen(0, 2)) == [Do.TAKE_IN]
 
 
 def test_while_something_moves_it_does_not_end_of_itself() -> None:
     leaving = finishing(seen=Seen(0, 1))
     at_s = 100.0 + STILL_COMING_S + LAST_BYTES_S
-    assert leaving.look(at_s, Seen(0, 1, moving=True)) == [Do.END_HALF_SENT, *REST]
-    assert leaving.look(at_s + 2.0, Seen(0, 1, nobody_waits=True, moving=True)) == REST
-    assert leaving.look(at_s + 2.1, Seen(0, 1, nobody_waits=True)) == []
+    assert leaving.look(at_s, Seen(0, 1, data_in_transit=True)) == [Do.END_HALF_SENT, *REST]
+    assert leaving.look(at_s + 2.0, Seen(0, 1, no_connection_waiting=True, data_in_transit=True)) == REST
+    assert leaving.look(at_s + 2.1, Seen(0, 1, no_connection_waiting=True)) == []
     assert leaving.over
 
 
-@pytest.mark.parametrize("longest_s", [0.1, 1.0, LONGEST_COUNTED_S, 60.0])
+@pytest.mark.parametrize("longest_s", [0.1, 1.0, MAX_COUNTED_DEADLINE_S, 60.0])
 def test_what_is_owed_is_answered_before_the_kill(longest_s: float) -> None:
     leaving = finishing(longest_s)
-    killed_s = 100.0 + min(longest_s, LONGEST_COUNTED_S) + KILLED_AFTER_S
-    before = leaving.look(killed_s - HALT_BEFORE_S - SOON, Seen(2, 2))
-    assert before == (REST if killed_s - HALT_BEFORE_S - SOON >= 100.0 + SPEAK_S else EARLY)
-    rest = REST if killed_s - HALT_BEFORE_S + SOON >= 100.0 + SPEAK_S else EARLY
-    assert leaving.look(killed_s - HALT_BEFORE_S + SOON, Seen(2, 2)) == [Do.HALT, Do.END_HALF_SENT, *rest]
+    killed_s = 100.0 + min(longest_s, MAX_COUNTED_DEADLINE_S) + KILL_MARGIN_S
+    before = leaving.look(killed_s - HALT_MARGIN_S - SOON, Seen(2, 2))
+    assert before == (REST if killed_s - HALT_MARGIN_S - SOON >= 100.0 + SILENT_CONNECTION_S else EARLY)
+    rest = REST if killed_s - HALT_MARGIN_S + SOON >= 100.0 + SILENT_CONNECTION_S else EARLY
+    assert leaving.look(killed_s - HALT_MARGIN_S + SOON, Seen(2, 2)) == [Do.HALT, Do.END_HALF_SENT, *rest]
     assert leaving.stage is Stage.HALTED and not leaving.over
-    at_s = killed_s - HALT_BEFORE_S + 2 * SOON
-    assert leaving.look(at_s, Seen(0, 0, nobody_waits=True)) == []
+    at_s = killed_s - HALT_MARGIN_S + 2 * SOON
+    assert leaving.look(at_s, Seen(0, 0, no_connection_waiting=True)) == []
     assert leaving.over
 
 
 def test_answers_that_have_begun_go_on_after_the_halt_which_comes_once() -> None:
     leaving = finishing(1.0)
-    halt_s = 100.0 + 1.0 + KILLED_AFTER_S - HALT_BEFORE_S
+    halt_s = 100.0 + 1.0 + KILL_MARGIN_S - HALT_MARGIN_S
     assert leaving.look(halt_s, Seen(2, 2))[0] is Do.HALT
     for after_s in (SOON, 1.0, 5.0):
         assert leaving.look(halt_s + after_s, Seen(1, 1)) == REST
@@ -139,5 +139,5 @@
     """A request that arrives up to 0.7 s after SIGTERM gets its whole deadline; a later one only the time
     until SIGKILL."""
     leaving = finishing(1.0)
-    came_s, deadline_s = 100.0 + KILLED_AFTER_S - HALT_BEFORE_S - SOON, 1.0
+    came_s, deadline_s = 100.0 + KILL_MARGIN_S - HALT_MARGIN_S - SOON, 1.0
     assert leaving.look(came_s + deadline_s, Seen(1, 1)) == REST
--- a/tests/test_many_servers.py
+++ b/tests/test_many_servers.py
@@ -10,8 +10,8 @@
 from hypothesis import strategies as st
 
 from cloverrouter.decide import Endpoint
-from cloverrouter.decide.membership import REACH
-from cloverrouter.indexes import Held, Mean, Ring
+from cloverrouter.decide.membership import MAX_SCANNED
+from cloverrouter.indexes import Held, PairMean, Ring
 from cloverrouter.interface import (
     Cordon,
     EndpointState,
@@ -62,7 +62,7 @@
         patched.setattr(Endpoint, "has_room", full_up)
         many.request()
         many.request()
-    assert len(looks) <= 2 * 2 * 2 * REACH
+    assert len(looks) <= 2 * 2 * 2 * MAX_SCANNED
     # Responses free capacity, and the queued request gets it; few random draws would find these servers.
     for known in list(many.balancer.membership.endpoints.values())[:300]:
         known.in_flight = 0
@@ -183,7 +183,7 @@
     for i in range(1000):
         driver.tell(RequestArrived(10_000 + i, "unsafe" if i % 2 else "safe"))
         driver.tell(RequestGone(10_000 + i))
-    assert len(driver.balancer.held._ages) <= 2 * REACH
+    assert len(driver.balancer.held._ages) <= 2 * MAX_SCANNED
     assert not list(driver.balancer.held) and not driver.balancer.timers
 
 
@@ -205,7 +205,7 @@
     arrived_ms: float
     in_aim_until_ms: float
     attempts: list[int] = field(default_factory=list)
-    held_as: int = 0
+    queue_number: int = 0
 
 
 @given(
@@ -222,27 +222,29 @@
             held.add(thing)
             there.append(thing)
         elif what == "g" and there:
-            there.pop(value % len(there)).held_as = 0
+            there.pop(value % len(there)).queue_number = 0
         elif what == "c":
             held.compact(0)
         else:
             allowed = [t for t in there if tried or t.attempts]
             entry = held.pop(now_ms, fresh=tried)
-            best = max(allowed, key=lambda t: (now_ms <= t.in_aim_until_ms, t.value, t.held_as), default=None)
+            best = max(
+                allowed, key=lambda t: (now_ms <= t.in_aim_until_ms, t.value, t.queue_number), default=None
+            )
             assert (entry and entry[2]) is best
             if entry is not None and until_ms % 2:
                 held.put_back([entry])
             elif best is not None:
-                best.held_as = 0
+                best.queue_number = 0
                 there.remove(best)
         assert sorted(map(id, held)) == sorted(map(id, there))
-        assert held.oldest() is min(there, key=lambda t: (t.arrived_ms, t.held_as), default=None)
+        assert held.oldest() is min(there, key=lambda t: (t.arrived_ms, t.queue_number), default=None)
 
 
 @given(st.lists(st.tuples(st.booleans(), st.integers(0, 30), st.integers(0, 4)), max_size=80))
 def test_ring_and_mean_are_as_counted_anew(steps: list[tuple[bool, int, int]]) -> None:
     ring: Ring[str] = Ring()
-    mean, there = Mean(), dict[str, float]()
+    mean, there = PairMean(), dict[str, float]()
     for add, number, weight in steps:
         name = f"s{number}"
         if add and name not in there:
--- a/tests/test_mechanism.py
+++ b/tests/test_mechanism.py
@@ -130,7 +130,7 @@
     driver.serve(30)
     for name, earned in (("s1", 0.8), ("s2", 0.4)):
         for _ in range(99):
-            driver.balancer.membership.endpoints[name].judge(driver.now_ms, earned, 1.0)
+            driver.balancer.membership.endpoints[name].learn(driver.now_ms, earned, 1.0)
     driver.tell(delta(endpoint("s3")))
     assert driver.balancer.membership.endpoints["s3"].earned == pytest.approx(0.6)
 
@@ -244,7 +244,7 @@
     cold, before = driver.balancer.membership.endpoints["cold"], driver.now_ms
     counts = {"warm": 0, "cold": 0}
     while driver.now_ms < before + 6000:
-        cold.judge(driver.now_ms, 1.0, 1.0)
+        cold.learn(driver.now_ms, 1.0, 1.0)
         cold.cold_credit = 1e6
         request, _ = driver.request()
         counts[driver.sent[request][0]] += 1
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -389,7 +389,7 @@
 
 def window(driver: Driver) -> list[Endpoint]:
     balancer = driver.balancer
-    return balancer._roomy(balancer.membership.spans(balancer._window_size(), balancer.place))
+    return balancer._window_with_room(balancer.membership.spans(balancer._window_size(), balancer.place))
 
 
 def test_a_window_whose_servers_are_paused_reaches_further() -> None:
