--- a/cloverrouter/core/connection.py
+++ b/cloverrouter/core/connection.py
@@ -64,8 +64,8 @@
 
     NOTHING = "nothing"
     WRITE = "write"  # send the request
-    HOLD = "hold"  # start the hold timer, which reports HELD_ENOUGH
-    PASS_ON = "pass on"  # stream the response to the client; report UNWANTED if nobody accepts it
+    HOLD = "hold"  # start the hold timer, which reports `HELD_ENOUGH`
+    PASS_ON = "pass on"  # stream the response to the client; report `UNWANTED` if nobody accepts it
     REST = "rest"  # deliver the response and keep the connection for reuse
     GIVE_AND_CLOSE = "give and close"  # deliver the response and close
     FAIL_AND_CLOSE = "fail and close"  # fail the exchange, truncating a response that has started, and close
--- a/cloverrouter/interface.py
+++ b/cloverrouter/interface.py
@@ -145,17 +145,17 @@
         if len({cls.name for cls in self.classes}) != len(self.classes):
             raise ValueError("two classes share a name")
         if self.proxies < 1:
-            raise ValueError("proxies must be at least 1, this one included")
+            raise ValueError("proxies must be at least 1, including this one")
         if self.number is not None and not 0 <= self.number < self.proxies:
-            raise ValueError("number must be from 0 to proxies - 1")
+            raise ValueError("proxy_index must be from 0 to proxies - 1")
         if self.place is not None and not 0 <= self.place < 1:
-            raise ValueError("place must be from 0 to below 1")
+            raise ValueError("ring_position must be at least 0 and below 1")
         if self.limits.max_attempts < 1:
             raise ValueError("limits.max_attempts must be at least 1")
         if not 0 < self.safety.cold_share <= 1:
             raise ValueError("safety.cold_share must be above 0 and at most 1")
         if min(self.safety.push_multiple, self.safety.push_window_ms) <= 0:
-            raise ValueError("safety.push_multiple and safety.push_window_ms must be positive")
+            raise ValueError("safety.overload_multiple and safety.overload_window_ms must be positive")
         if self.safety.drain_grace_ms < 0:
             raise ValueError("safety.drain_grace_ms must not be negative")
 
--- a/tests/test_benchlink.py
+++ b/tests/test_benchlink.py
@@ -97,7 +97,7 @@
     assert err.count("weather") == 1
 
 
-def test_kill_voids_the_old_life_and_a_new_one_starts_from_nothing() -> None:
+def test_a_killed_instance_restarts_without_state() -> None:
     code, replies, _ = run(
         batch(1, 10, "proxy_0", begin(), REGISTER, SYNC, request(5)),
         batch(2, 20, "proxy_0", {"left": {"handle": 5}}, request(6), {"power_off": {}}),
--- a/tests/test_cold_law.py
+++ b/tests/test_cold_law.py
@@ -31,7 +31,7 @@
     assert world.served > 0
 
 
-def test_the_world_finds_proxies_that_together_push_a_cold_server_over() -> None:
+def test_the_simulation_detects_proxies_that_together_overload_a_cold_server() -> None:
     """The simulation must detect a violation: these proxies do not know that the server is cold, and prefer
     it."""
 
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -36,26 +36,26 @@
     return leaving
 
 
-def test_nobody_looks_before_it_is_told() -> None:
+def test_next_actions_before_the_shutdown_raises() -> None:
     with pytest.raises(ValueError, match="shutdown has not started"):
         Leaving().look(1.0, Seen(0, 0))
 
 
-def test_while_new_ones_may_come_it_does_not_end_even_with_nothing_owed() -> None:
+def test_does_not_end_while_new_connections_may_arrive() -> None:
     leaving = told()
     for at_s in (100.0, 100.0 + STILL_COMING_S - SOON):
         assert leaving.look(at_s, Seen(0, 0, no_connection_waiting=True)) == [Do.CLOSE_QUIET]
     assert leaving.stage is Stage.DRAINING
 
 
-def test_told_twice_is_told_once() -> None:
+def test_second_begin_changes_nothing() -> None:
     leaving = told()
     leaving.told(100.4, 3.0)
     leaving.look(100.0 + STILL_COMING_S, Seen(1, 1))
     assert leaving.stage is Stage.FINISHING
 
 
-def test_it_ends_only_in_a_look_at_which_nobody_waits() -> None:
+def test_ends_only_at_a_check_without_waiting_connections() -> None:
     leaving = finishing(seen=Seen(0, 1))
     last_s = 100.0 + STILL_COMING_S
     assert leaving.look(last_s + RECONNECT_S - SOON, Seen(0, 0)) == []  # a request may be retried
@@ -68,21 +68,21 @@
     assert leaving.over
 
 
-def test_where_another_process_accepts_it_waits_for_nobody() -> None:
+def test_does_not_wait_for_connections_that_another_process_accepts() -> None:
     leaving = told()
     assert leaving.look(100.0, Seen(1, 1, others_accept=True)) == EARLY
     assert leaving.look(100.1, Seen(0, 0, others_accept=True)) == []
     assert leaving.over
 
 
-def test_who_has_connected_may_speak_as_long_as_its_request_has_all_of_its_time() -> None:
+def test_silent_connections_are_kept_while_a_request_would_get_its_whole_deadline() -> None:
     leaving = finishing()
     assert leaving.look(100.0 + SILENT_CONNECTION_S - SOON, Seen(1, 1)) == EARLY
     assert leaving.look(100.0 + SILENT_CONNECTION_S, Seen(1, 1)) == REST
     assert SILENT_CONNECTION_S < KILL_MARGIN_S
 
 
-def test_what_is_half_sent_gets_an_error_once_and_does_not_keep_the_process() -> None:
+def test_incomplete_requests_get_one_error_and_do_not_delay_the_exit() -> None:
     leaving = finishing(seen=Seen(0, 1))
     at_s = 100.0 + STILL_COMING_S
     assert leaving.look(at_s + LAST_BYTES_S - SOON, Seen(0, 1)) == REST
@@ -93,7 +93,7 @@
     assert leaving.over
 
 
-def test_who_is_taken_in_at_the_last_moment_has_time_to_ask() -> None:
+def test_connection_accepted_last_has_time_to_send_its_request() -> None:
     leaving = finishing(seen=Seen(0, 1))
     at_s = 100.0 + STILL_COMING_S + 2 * LAST_BYTES_S
     leaving.look(at_s - SOON, Seen(0, 1))
@@ -103,7 +103,7 @@
     assert leaving.look(at_s + RECONNECT_S + SOON, Seen(0, 2)) == [Do.TAKE_IN]
 
 
-def test_while_something_moves_it_does_not_end_of_itself() -> None:
+def test_does_not_end_while_data_is_in_transit() -> None:
     leaving = finishing(seen=Seen(0, 1))
     at_s = 100.0 + STILL_COMING_S + LAST_BYTES_S
     assert leaving.look(at_s, Seen(0, 1, data_in_transit=True)) == [Do.END_HALF_SENT, *REST]
@@ -113,7 +113,7 @@
 
 
 @pytest.mark.parametrize("longest_s", [0.1, 1.0, MAX_COUNTED_DEADLINE_S, 60.0])
-def test_what_is_owed_is_answered_before_the_kill(longest_s: float) -> None:
+def test_open_calls_are_answered_before_sigkill(longest_s: float) -> None:
     leaving = finishing(longest_s)
     killed_s = 100.0 + min(longest_s, MAX_COUNTED_DEADLINE_S) + KILL_MARGIN_S
     before = leaving.look(killed_s - HALT_MARGIN_S - SOON, Seen(2, 2))
--- a/tests/test_lifecycle.py
+++ b/tests/test_lifecycle.py
@@ -162,7 +162,7 @@
     assert script.told == [AttemptEnded(1, 1, Outcome.OK, 0.0, True)]
 
 
-def test_a_client_that_leaves_takes_its_attempts_along() -> None:
+def test_a_disconnected_client_aborts_its_attempts() -> None:
     script = Script().sent("a", "b")
     script.on(Written(1, 0))
     assert script.on(RequestGone(1)) == [Abandon(1, 1), Abandon(1, 0), Forget(1)]
@@ -170,7 +170,7 @@
     assert script.on(Ended(1, 0, Outcome.OK, "late")) == [] == script.on(RequestGone(1))
 
 
-def test_what_is_unsent_is_called_back_from_a_server_that_is_not_listed_any_more() -> None:
+def test_unsent_attempts_are_aborted_when_their_server_is_no_longer_listed() -> None:
     script = Script().sent("a", "b")
     script.on(Written(1, 0))
     assert script.on(Listed(EndpointsListed(ListKind.DELTA), {})) == [Abandon(1, 1)]
@@ -185,7 +185,7 @@
 
 
 @pytest.mark.parametrize(("known", "effects"), [(True, [Abandon(1, 0)]), (False, [])])
-def test_a_cordon_calls_back_only_if_it_holds(known: bool, effects: list[Effect]) -> None:
+def test_a_cordon_aborts_unsent_attempts_only_of_a_known_endpoint(known: bool, effects: list[Effect]) -> None:
     script = Script().sent("a", "b")
     assert script.act(Cordoned("a", True, known))[1:] == effects
 
@@ -227,7 +227,7 @@
     assert script.told == [AttemptEnded(7, 0, Outcome.NOT_SENT, 0.0, answered=True)]
 
 
-def test_mistakes_of_the_driver_are_told() -> None:
+def test_misuse_by_the_driver_raises_value_error() -> None:
     script = Script().sent("a")
     with pytest.raises(ValueError, match="arrived twice"):
         script.on(RequestArrived(1, "x"))
@@ -237,7 +237,7 @@
         script.act("nonsense")  # type: ignore[arg-type]
 
 
-def test_the_module_is_never_told_while_it_decides() -> None:
+def test_the_module_gets_no_events_while_it_decides() -> None:
     """An attempt that ends while it is being started is reported in the next round."""
     rounds: list[list[Event]] = []
 
@@ -283,7 +283,7 @@
 
 
 @pytest.mark.parametrize("written", [False, True])
-def test_what_has_not_gone_out_within_its_time_never_does(written: bool) -> None:
+def test_attempt_not_sent_within_its_time_is_never_sent(written: bool) -> None:
     script = Script()
     script.on(RequestArrived(1, "x", 1000.0))
     (start,) = script.act(Send(1, "a", 500.0, 120.0))
--- a/tests/test_many_servers.py
+++ b/tests/test_many_servers.py
@@ -135,7 +135,7 @@
     assert driver.sent[request] == ["s0"] * (2 if scope is RepeatScope.CELL else len(driver.sent[request]))
 
 
-def test_dear_crossings_are_spared_among_many_while_there_is_room_at_home() -> None:
+def test_expensive_crossings_are_avoided_while_local_servers_have_room() -> None:
     config = replace(SETTINGS, prices=replace(SETTINGS.prices, cross_zone=0.2))
     driver = Driver(config, LIST)
     driver.serve(100)
@@ -178,7 +178,7 @@
     assert set(requests) <= set(cold.sent) | {a.request_id for a in cold.log if isinstance(a, Refuse)}
 
 
-def test_what_waits_no_longer_is_let_go_of_in_a_long_overload() -> None:
+def test_entries_no_longer_queued_are_removed_in_a_long_overload() -> None:
     driver = Driver(endpoints=[])
     for i in range(1000):
         driver.tell(RequestArrived(10_000 + i, "unsafe" if i % 2 else "safe"))
@@ -187,7 +187,7 @@
     assert not list(driver.balancer.held) and not driver.balancer.timers
 
 
-def test_a_look_that_is_not_needed_any_more_is_called_off() -> None:
+def test_check_timer_that_is_not_needed_is_dropped() -> None:
     driver = Driver(replace(SETTINGS, classes=(UNSAFE,)), endpoints=[endpoint("s1")])
     driver.balancer.membership.endpoints["s1"].failed(driver.now_ms, 200.0, 1000.0)
     request, _ = driver.request("unsafe")
--- a/tests/test_mechanism.py
+++ b/tests/test_mechanism.py
@@ -174,7 +174,7 @@
     assert play() == play()
 
 
-def test_news_of_what_is_no_longer_held_is_ignored() -> None:
+def test_events_of_ended_requests_are_ignored() -> None:
     driver = Driver()
     request, _ = driver.request()
     driver.end(request, Outcome.OK)
@@ -219,7 +219,7 @@
     assert lost.wait(3 * SAFE.deadline_ms) == [Refuse(request)]
 
 
-def test_answers_timed_by_a_stopped_clock_teach_nothing() -> None:
+def test_latencies_measured_by_a_stopped_clock_are_ignored() -> None:
     """A process whose clock stands still at its start measures latencies of zero. If these counted as
     normal, every later response would look thousands of times too slow, and the limits would fall to
     almost nothing."""
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -106,7 +106,7 @@
     assert warm.count("new") > len(warm) / 4 * 0.8
 
 
-def test_a_cold_fleet_is_used_and_many_proxies_first_requests_do_not_add_up() -> None:
+def test_a_cold_fleet_is_used_and_first_requests_of_many_proxies_do_not_add_up() -> None:
     """Without a warm server as a measure, one request from each of hundreds of proxies is an overload."""
     sent = 0
     for number in range(200):
@@ -124,7 +124,7 @@
     assert served > 5
 
 
-def test_cold_servers_go_by_the_best_of_late_not_by_a_jam() -> None:
+def test_cold_servers_use_the_recent_peak_rate_not_that_of_an_overload() -> None:
     """In an overload little is sent to warm servers; with that as the measure, the cold servers that could
     relieve them would get nothing."""
     driver = Driver()
@@ -165,7 +165,7 @@
     assert 3 < server.limit < 8  # grows slowly: a surge has had some rounds before latencies show it
 
 
-def test_server_that_turns_work_away_is_paused_longer_each_time() -> None:
+def test_server_that_rejects_requests_is_paused_longer_each_time() -> None:
     """A server that fails at once would attract, and fail, more than its share of the requests."""
     driver = Driver(endpoints=[endpoint("s1"), endpoint("s2")])
     driver.serve(30)
@@ -208,7 +208,7 @@
     return {name: round(found[name], 6) for name in servers}
 
 
-def test_dear_crossings_are_made_only_where_a_zone_is_short_of_servers() -> None:
+def test_expensive_crossings_are_made_only_where_a_zone_is_short_of_servers() -> None:
     """Where crossings cost, a zone with few servers would be overloaded while others idle."""
     assert shares("a", 0.2, a=2, b=2) == {"a": 1, "b": 0}
     assert shares("a", 0.2, a=1, b=3) == {"a": 0.5, "b": 0.5}
@@ -247,7 +247,7 @@
     assert not any(driver.balancer._may_send(held, e) for e in driver.balancer.membership.ready)
 
 
-def test_guard_alone_keeps_the_rules() -> None:
+def test_may_send_alone_enforces_the_rules() -> None:
     """The check rejects each violation by itself, whatever its callers check."""
     cls = replace(KEYED, repeat_scope=RepeatScope.ALL)
     driver = Driver(replace(SETTINGS, classes=(cls, replace(UNSAFE, name="once"))))
@@ -357,7 +357,7 @@
     assert flow.limit > 1.8 * first
 
 
-def test_with_a_part_of_the_servers_the_pooled_limit_goes() -> None:
+def test_pooled_limit_shrinks_with_the_servers() -> None:
     """After the loss of a zone, the proxies must not keep the limit of all servers."""
     driver = Driver(replace(SETTINGS, proxies=40), [endpoint(f"s{i}") for i in range(60)])
     flow = driver.balancer.flow
@@ -427,7 +427,7 @@
     assert driver.wait(1000) == [Refuse(900)]
 
 
-def test_clients_with_hardly_a_connection_left_lose_what_has_waited_longest() -> None:
+def test_oldest_queued_request_is_dropped_when_client_connections_run_out() -> None:
     """Requests queued for long occupy the connections that new requests need."""
     config = replace(SETTINGS, limits=replace(SETTINGS.limits, max_open=10))
     driver = Driver(config, [endpoint("s1")])
