--- a/cloverrouter/core/leaving.py
+++ b/cloverrouter/core/leaving.py
@@ -75,7 +75,7 @@
 
 
 class Leaving:
-    """The shutdown of one process. `look` must be called every few hundredths of a second after `told`."""
+    """The shutdown of one process. After `told`, call `look` every few hundredths of a second."""
 
     __slots__ = ("_begun_s", "_halt_s", "_last_connection_s", "_last_open_call_s", "stage")
 
