--- a/cloverrouter/core/states.py
+++ b/cloverrouter/core/states.py
@@ -1,9 +1,9 @@
 """States of a call and of its attempts, the events that change them, and the resulting effects.
 
 The driver of the lifecycle numbers the calls; attempts are numbered from 0 in sending order. Events from
-clients and discovery use the types of `cloverrouter.interface` (`RequestArrived`, `RequestCompleted`,
-`RequestGone`, `TimerFired`, `Cordon`, `PartTaken`); this module defines the events that the decision module
-does not see in this form.
+clients and discovery use the types of `cloverrouter.interface`: `RequestArrived`, `RequestCompleted`,
+`RequestGone`, `TimerFired`, `Cordon` and `PartTaken`. This module defines the events that the
+decision module does not see in this form.
 
 None of these objects is modified after its creation. They are not frozen, because several are created per
 request and a frozen dataclass takes three times as long to create.
@@ -179,11 +179,11 @@
 
 @dataclass(slots=True)
 class Start:
-    """Send a call to an endpoint. `TimeUp` is due after `timeout_ms`; None: no timeout yet, as it is
-    uploading.
+    """Send a call to an endpoint.
 
-    `TooLate` is due after `out_within_ms`; nothing may be sent after that, even if the event is still
-    pending.
+    `TimeUp` is due after `timeout_ms`; None: no timeout yet, as the call is uploading.
+    `TooLate` is due after `out_within_ms`; nothing may be sent after that, even if the
+    event is still pending.
     """
 
     call: int
--- a/cloverrouter/decide/membership.py
+++ b/cloverrouter/decide/membership.py
@@ -89,7 +89,7 @@
         self._unindex(endpoint)
         if endpoint.judged_ms is not None:
             self.all_means.add(endpoint.earned, endpoint.slowness, -1)
-            endpoint.all_means, endpoint.judged_ms = indexes.PairMean(), None  # late outcomes no longer count
+            endpoint.all_means, endpoint.judged_ms = indexes.PairMean(), None  # ignores late outcomes
 
     def _rings(self, endpoint: Endpoint) -> tuple[Ring, Ring, Ring]:
         """Returns the rings that contain the endpoint while it is ready."""
