--- a/cloverrouter/core/leaving.py
+++ b/cloverrouter/core/leaving.py
@@ -4,16 +4,16 @@
 connection may be closed between two requests; a request that was sent before the client saw the close is
 retried on a new connection. So the listener closes last: while connections that may be closed remain, and for
 a moment after the last was closed, the process must accept new ones. It exits only at a check that finds no
-unanswered request, no traffic on the remaining connections and nobody waiting to be accepted.
+unanswered request, no traffic on the remaining connections and no connection waiting to be accepted.
 
-    SERVING -> SENDING_AWAY -> FINISHING -> (CUTTING ->) OVER
-    SENDING_AWAY, FINISHING, CUTTING -> HALTED -> OVER
+    SERVING -> DRAINING -> FINISHING -> (ENDING_INCOMPLETE ->) OVER
+    DRAINING, FINISHING, ENDING_INCOMPLETE -> HALTED -> OVER
 
 | state | what remains | what is done at each check |
 | --- | --- | --- |
-| SENDING_AWAY | new connections may arrive, calls run normally | quiet connections close |
+| DRAINING | new connections may arrive, calls run normally | quiet connections close |
 | FINISHING | calls run normally | quiet connections close, later also those that never sent a byte |
-| CUTTING | incomplete requests, and responses that clients read slowly | the same |
+| ENDING_INCOMPLETE | incomplete requests, and responses that clients read slowly | the same |
 | HALTED | responses that have started; all others failed, since SIGKILL is next | the same |
 | OVER | nothing | |
 
@@ -121,8 +121,8 @@
             self.stage = Stage.HALTED
             return [Do.HALT, Do.END_HALF_SENT, *rest]
         idle_s = now_s - self._last_open_call_s
-        # Requests cut off by the process's own exit are lost, while those that SIGKILL interrupts are not
-        # counted. Responses that the client does not read end by themselves (`ClientConnection.check`).
+        # Requests cut off by the process's own exit count as lost; those that SIGKILL interrupts do not.
+        # Responses that the client does not read end by themselves (`ClientConnection.check`).
         stuck = bool(seen.open) and idle_s >= 2 * LAST_BYTES_S and not seen.data_in_transit
         if not seen.owed and (stuck or not seen.open):
             if seen.others_accept or seen.no_connection_waiting:
--- a/cloverrouter/decide/endpoint.py
+++ b/cloverrouter/decide/endpoint.py
@@ -58,7 +58,7 @@
         drains = self.listed.state is not EndpointState.READY
         return self.cordoned or self.down or drains or paused or self.silent(now_ms)
 
-    def start_over(self) -> None:
+    def reset(self) -> None:
         """Resets the estimates: the server is, or may be, a new process."""
         self._set(*self.all_means.means())
         self.cold_credit, self.cold_credit_ms, self.restored_credit = 0.0, None, None
@@ -118,13 +118,13 @@
     def update_listing(self, listed: ListedEndpoint) -> None:
         """Updates the entry from discovery."""
         if self.listed.started_ms != listed.started_ms:
-            self.start_over()
+            self.reset()
         self.listed, self.weight = listed, max(0.0, listed.weight)
         self.cold_until_ms = self._cold_until_ms()
 
     def end_cordon(self, now_ms: float) -> None:
         """Handles the end of a cordon."""
-        self.start_over()
+        self.reset()
         self.back_ms, self.owed = now_ms, True
         self.failures, self.paused_until_ms = 0, now_ms
         self.limit = max(self.limit, INITIAL_LIMIT)
--- a/cloverrouter/interface.py
+++ b/cloverrouter/interface.py
@@ -96,7 +96,8 @@
     cold_ms: float = 0.0  # and is warm after this at the latest
     push_multiple: float = 3.0  # a cold endpoint that is sent more than this multiple of its capacity
     push_window_ms: float = 1000.0  # for this long is overloaded and fails
-    must_ask_ms: float = 10_000.0  # without a subscription, discovery must be polled at least this often
+    # Without a subscription, discovery must be polled at least this often
+    must_ask_ms: float = 10_000.0
     drain_grace_ms: float = 500.0  # sends are still allowed for this long after the drain notice
 
 
@@ -125,9 +126,9 @@
     classes: tuple[RequestClass, ...]
     zone: str = ""
     proxies: int = 1  # client proxies that send to the same endpoints, including this one
-    # index of this proxy, from 0; None: unknown, its ring position is drawn at random
+    # Index of this proxy, from 0; None: unknown, its ring position is drawn at random
     number: int | None = None
-    # where this proxy's servers begin on the ring, 0 to 1; None: derived from the index
+    # Where this proxy's servers begin on the ring, 0 to 1; None: derived from the index
     place: float | None = None
     subscribe: bool = False  # discovery pushes changes only after a subscription
     report_fields: tuple[str, ...] = ()  # the fields of a load report, in order
--- a/tests/cold_world.py
+++ b/tests/cold_world.py
@@ -109,10 +109,10 @@
 
     def _new(self, number: int) -> Balancer:
         limits = Limits(max_attempts=3)
-        told = Settings(
+        config = Settings(
             (REQUEST_CLASS,), proxies=self.plan.proxies, number=number, limits=limits, safety=SAFETY
         )
-        return Balancer(told, self.random.randrange(1 << 30))
+        return Balancer(config, self.random.randrange(1 << 30))
 
     def _listed(self, kind: ListKind) -> EndpointsListed:
         return EndpointsListed(
@@ -137,11 +137,11 @@
         for server in list(self.servers.values())[: self.plan.cold]:
             server.started_ms, server.busy = self.now_ms, 0
         for number in range(self.plan.proxies):
-            self._at(self.random.random() * self.plan.notice_spread_ms, "told", number)
+            self._at(self.random.random() * self.plan.notice_spread_ms, "notified", number)
             if self.random.random() < self.plan.killed:
                 self._at(self.random.random() * SAFETY.cold_ms, "killed", number)
 
-    def _told(self, number: int) -> None:
+    def _notified(self, number: int) -> None:
         self._tell(number, self._listed(ListKind.FULL))
 
     def _killed(self, number: int) -> None:
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -23,14 +23,14 @@
 SOON = 0.01
 
 
-def told(longest_s: float = 3.0) -> Leaving:
+def begun(longest_s: float = 3.0) -> Leaving:
     leaving = Leaving()
     leaving.told(100.0, longest_s)
     return leaving
 
 
 def finishing(longest_s: float = 3.0, seen: Seen = Seen(1, 1)) -> Leaving:  # noqa: B008
-    leaving = told(longest_s)
+    leaving = begun(longest_s)
     leaving.look(100.0 + STILL_COMING_S, seen)
     assert leaving.stage is Stage.FINISHING
     return leaving
@@ -42,14 +42,14 @@
 
 
 def test_does_not_end_while_new_connections_may_arrive() -> None:
-    leaving = told()
+    leaving = begun()
     for at_s in (100.0, 100.0 + STILL_COMING_S - SOON):
         assert leaving.look(at_s, Seen(0, 0, no_connection_waiting=True)) == [Do.CLOSE_QUIET]
     assert leaving.stage is Stage.DRAINING
 
 
 def test_second_begin_changes_nothing() -> None:
-    leaving = told()
+    leaving = begun()
     leaving.told(100.4, 3.0)
     leaving.look(100.0 + STILL_COMING_S, Seen(1, 1))
     assert leaving.stage is Stage.FINISHING
@@ -69,7 +69,7 @@
 
 
 def test_does_not_wait_for_connections_that_another_process_accepts() -> None:
-    leaving = told()
+    leaving = begun()
     assert leaving.look(100.0, Seen(1, 1, others_accept=True)) == EARLY
     assert leaving.look(100.1, Seen(0, 0, others_accept=True)) == []
     assert leaving.over
--- a/tests/test_lifecycle.py
+++ b/tests/test_lifecycle.py
@@ -55,12 +55,12 @@
 
 
 class Script:
-    """Runs a sequence of events on one lifecycle; `told` holds the last events for the decision module."""
+    """Runs a sequence of events on one lifecycle; `notified` holds the last events for the decision module."""
 
     def __init__(self) -> None:
         self.life = Lifecycle(2000.0)
         self.now_ms = 0.0
-        self.told: list[Event] = []
+        self.notified: list[Event] = []
         self.on(LISTED)
 
     def on(self, happening: Happening) -> list[Effect]:
@@ -70,7 +70,7 @@
         return self._split([e for action in actions for e in self.life.act(self.now_ms, action)])
 
     def _split(self, effects: Sequence[Effect]) -> list[Effect]:
-        self.told = [e.event for e in effects if isinstance(e, Tell)]
+        self.notified = [e.event for e in effects if isinstance(e, Tell)]
         return [e for e in effects if not isinstance(e, Tell)]
 
     def sent(self, *endpoints: str, uploading: bool = False) -> Script:
@@ -80,18 +80,18 @@
         return self
 
     def outcomes(self) -> list[Outcome]:
-        return [e.outcome for e in self.told if isinstance(e, AttemptEnded)]
+        return [e.outcome for e in self.notified if isinstance(e, AttemptEnded)]
 
 
 def test_a_call_is_served_and_forgotten() -> None:
     script = Script()
     assert script.on(RequestArrived(1, "x", 1000.0)) == []
-    assert script.told == [RequestArrived(1, "x", 1000.0)]
+    assert script.notified == [RequestArrived(1, "x", 1000.0)]
     assert script.act(Send(1, "a", 500.0)) == [Start(1, 0, "a", 1, 500.0)]
     assert script.on(Written(1, 0)) == []
     script.now_ms = 40.0
     assert script.on(Ended(1, 0, Outcome.OK, "answer", (1.0,))) == [Serve(1, "answer"), Forget(1)]
-    assert script.told == [AttemptEnded(1, 0, Outcome.OK, 40.0, True, (1.0,))]
+    assert script.notified == [AttemptEnded(1, 0, Outcome.OK, 40.0, True, (1.0,))]
     assert script.life.owed == 0 and not script.life.calls
 
 
@@ -102,7 +102,7 @@
         script.on(Written(1, 0))
     assert script.on(TimeUp(1, 0)) == [Abandon(1, 0)]
     assert script.outcomes() == [outcome]
-    assert script.on(TimeUp(1, 0)) == [] and not script.told  # already ended
+    assert script.on(TimeUp(1, 0)) == [] and not script.notified  # already ended
 
 
 def test_an_answer_held_in_time_is_passed_on_and_has_no_more_time_limit() -> None:
@@ -111,7 +111,7 @@
     script.on(AnswerHeld(1, 0))
     assert script.on(TimeUp(1, 0)) == [PassOn(1, 0)]
     assert script.on(AnswerBegun(1, 0)) == [Begin(1, 0)]
-    assert script.told == [StreamStarted(1, 0, 0.0)]
+    assert script.notified == [StreamStarted(1, 0, 0.0)]
     assert script.on(TimeUp(1, 0)) == []
     assert script.act(SetTimeout(1, 0, 5.0), Cancel(1, 0), Fail(1), Refuse(1)) == []
     assert script.on(Ended(1, 0, Outcome.OK)) == [Forget(1)]
@@ -159,7 +159,7 @@
     script.on(Written(1, 1))
     assert script.on(Ended(1, 0, Outcome.OK, "one")) == [Serve(1, "one")]
     assert script.on(Ended(1, 1, Outcome.OK, "two")) == [Forget(1)]
-    assert script.told == [AttemptEnded(1, 1, Outcome.OK, 0.0, True)]
+    assert script.notified == [AttemptEnded(1, 1, Outcome.OK, 0.0, True)]
 
 
 def test_a_disconnected_client_aborts_its_attempts() -> None:
@@ -207,7 +207,7 @@
     script.on(Written(1, 0))
     script.now_ms = 5030.0
     script.on(Ended(1, 0, Outcome.ERROR))
-    assert script.told == [AttemptEnded(1, 0, Outcome.ERROR, 30.0, False, None, True)]
+    assert script.notified == [AttemptEnded(1, 0, Outcome.ERROR, 30.0, False, None, True)]
 
 
 def test_no_attempt_outlasts_the_deadline_or_the_longest_class() -> None:
@@ -224,7 +224,7 @@
 def test_a_send_for_a_call_that_is_over_is_answered() -> None:
     script = Script()
     assert script.act(Send(7, "a", 500.0)) == []
-    assert script.told == [AttemptEnded(7, 0, Outcome.NOT_SENT, 0.0, answered=True)]
+    assert script.notified == [AttemptEnded(7, 0, Outcome.NOT_SENT, 0.0, answered=True)]
 
 
 def test_misuse_by_the_driver_raises_value_error() -> None:
@@ -270,7 +270,7 @@
     assert effects == [GiveFailure(1), Abandon(1, 0), Forget(1), GiveFailure(2), Forget(2)]
     assert script.life.owed == 0
     assert script.on(RequestArrived(3, "x", 1000.0)) == [GiveRefusal(3, 0.0), Forget(3)]
-    assert not script.told and script.life.owed == 0
+    assert not script.notified and script.life.owed == 0
     assert not script.act(Send(2, "b", 500.0))
 
 
