--- a/cloverrouter/decide/balancer.py
+++ b/cloverrouter/decide/balancer.py
@@ -319,7 +319,7 @@
         return allowed
 
     def _group(self, request: Request) -> Ring:
-        """Returns the ring of servers that may deduplicate the request, if any attempt may have run."""
+        """Returns the servers that may get the request: if it may have run, those that deduplicate it."""
         ran = request.first_possible_run() if request.attempts else None
         cls = request.cls
         if ran is None or cls is None or cls.idempotency is not Idempotency.KEYED:
@@ -335,14 +335,14 @@
         other = self._draw(allowed, total - one.share, one)
         return one if one.score() >= other.score() else other
 
-    def _draw(self, allowed: Sequence[Endpoint], total: float, but: Endpoint | None) -> Endpoint:
+    def _draw(self, allowed: Sequence[Endpoint], total: float, excluded: Endpoint | None) -> Endpoint:
         if total <= 1e-12:
-            left = [e for e in allowed if e is not but]
+            left = [e for e in allowed if e is not excluded]
             return left[self.random.randrange(len(left))]
         at = self.random.random() * total
         last = allowed[0]
         for e in allowed:
-            if e is not but:
+            if e is not excluded:
                 last = e
                 at -= e.share
                 if at < 0:
@@ -368,18 +368,18 @@
         return self._draw_two(request, spans) or [e for e in back if self._may_send(request, e)]
 
     def _draw_two(self, request: Request, spans: list[Span]) -> list[Endpoint]:
-        but = [a.endpoint for a in request.attempts]
+        excluded = [a.endpoint for a in request.attempts]
         found: list[Endpoint] = []
         while spans and len(found) < 2:
-            endpoint = self._draw_one(request, spans, but)
+            endpoint = self._draw_one(request, spans, excluded)
             if endpoint is None:
                 break
             endpoint.share = 1.0
             found.append(endpoint)
-            but.append(endpoint)
+            excluded.append(endpoint)
         return found
 
-    def _draw_one(self, request: Request, spans: list[Span], but: list[Endpoint]) -> Endpoint | None:
+    def _draw_one(self, request: Request, spans: list[Span], excluded: list[Endpoint]) -> Endpoint | None:
         ring, start, wanted, _ = self._draw_span(spans)
         for _ in range(MAX_DRAWS):
             size = len(ring.members)
@@ -389,14 +389,14 @@
                 continue
             room = self._has_room(endpoint)
             self.room_share += ROOM_SHARE_GAIN * (room - self.room_share)
-            if room and endpoint not in but and self._is_suitable(request, endpoint):
+            if room and endpoint not in excluded and self._is_suitable(request, endpoint):
                 return endpoint
             ring, start, wanted, _ = self._draw_span(spans)
         size = len(ring.members)
         first = start + (wanted if wanted < size else self.random.randrange(size))
         for i in range(first, first + min(size, MAX_SCANNED)):
             endpoint = ring.members[i % size]
-            if endpoint not in but and self._has_room(endpoint) and self._is_suitable(request, endpoint):
+            if endpoint not in excluded and self._has_room(endpoint) and self._is_suitable(request, endpoint):
                 return endpoint
         return None
 
--- a/tests/test_lifecycle.py
+++ b/tests/test_lifecycle.py
@@ -55,7 +55,7 @@
 
 
 class Script:
-    """Runs a sequence of events on one lifecycle; `notified` holds the last events for the decision module."""
+    """Runs a sequence of events on one lifecycle; `notified` holds the last events for the module."""
 
     def __init__(self) -> None:
         self.life = Lifecycle(2000.0)
