--- a/benchmarks/decision_cost.py
+++ b/benchmarks/decision_cost.py
@@ -46,7 +46,7 @@
 
     random = Random(size)
     cls = RequestClass("join", 600.0, 2000.0, worth=5.0)
-    balancer = Balancer(Settings((cls,), zone="z0", proxies=proxies, number=0), 1)
+    balancer = Balancer(Settings((cls,), zone="z0", proxies=proxies, proxy_index=0), 1)
 
     def entry(i: int, state: EndpointState = EndpointState.READY) -> ListedEndpoint:
         return ListedEndpoint(f"s{i}", f"z{i % 3}", 0, state=state)
--- a/cloverrouter/benchlink.py
+++ b/cloverrouter/benchlink.py
@@ -19,7 +19,8 @@
     Action,
     AttemptEnded,
     Cancel,
-    Cordoned,
+    ClientDisconnected,
+    CordonResult,
     EndpointsListed,
     EndpointState,
     Event,
@@ -32,7 +33,6 @@
     ProbeEnded,
     Refuse,
     RequestArrived,
-    RequestGone,
     Send,
     SetTimeout,
     SetTimer,
@@ -136,7 +136,7 @@
     "resolved": read_outcome,
     "timeout_fired": lambda fields: TimerFired(integer(fields, "cookie")),
     "head_received": read_stream,
-    "left": lambda fields: RequestGone(integer(fields, "handle")),
+    "left": lambda fields: ClientDisconnected(integer(fields, "handle")),
     "health_result": read_probe,
 }
 
@@ -163,7 +163,7 @@
             return {"track": {"active": True}}
         case Log():
             return {"remark": {"message": action.text}}
-        case Cordoned() | SetTimeout():  # the simulator has no operators and no uploads
+        case CordonResult() | SetTimeout():  # the simulator has no operators and no uploads
             return {"remark": {"message": f"not supported by this protocol: {action}"}}
 
 
--- a/cloverrouter/core/connection.py
+++ b/cloverrouter/core/connection.py
@@ -49,72 +49,72 @@
     ASSIGNED = "assigned"  # a request is sent on it
     OPEN_ENDED = "open-ended"  # a good response has started that does not state its length
     LONG = "long"  # a good response has started that is, or turns out to be, too long to hold
-    HELD_ENOUGH = "held enough"  # the time for which a response may be held is over
+    HOLD_EXPIRED = "held enough"  # the time for which a response may be held is over
     UNWANTED = "unwanted"  # nobody accepts the response that was to be streamed
-    WHOLE = "whole"  # the response is complete and the connection is reusable
-    LAST = "last"  # the response is complete and the connection is not reusable
+    COMPLETE = "whole"  # the response is complete and the connection is reusable
+    COMPLETE_LAST = "last"  # the response is complete and the connection is not reusable
     STRAY = "stray"  # bytes that belong to no exchange
     SPOILT = "spoilt"  # the incoming data can no longer become a good response
-    BROKE = "broke"  # closed by the peer, or lost
+    CONNECTION_LOST = "broke"  # closed by the peer, or lost
     GIVEN_UP = "given up"  # nobody waits for its exchange any more
 
 
-class Do(Enum):
+class ConnectionAction(Enum):
     """What the driver must do after an event."""
 
     NOTHING = "nothing"
     WRITE = "write"  # send the request
-    HOLD = "hold"  # start the hold timer, which reports `HELD_ENOUGH`
-    PASS_ON = "pass on"  # stream the response to the client; report `UNWANTED` if nobody accepts it
-    REST = "rest"  # deliver the response and keep the connection for reuse
-    GIVE_AND_CLOSE = "give and close"  # deliver the response and close
+    HOLD = "hold"  # start the hold timer, which reports `HOLD_EXPIRED`
+    STREAM = "pass on"  # stream the response to the client; report `UNWANTED` if nobody accepts it
+    KEEP_OPEN = "rest"  # deliver the response and keep the connection for reuse
+    DELIVER_AND_CLOSE = "give and close"  # deliver the response and close
     FAIL_AND_CLOSE = "fail and close"  # fail the exchange, truncating a response that has started, and close
     CLOSE = "close"
 
 
-S, E, D = State, Event, Do
-_FAILING = {E.STRAY: D.FAIL_AND_CLOSE, E.SPOILT: D.FAIL_AND_CLOSE, E.BROKE: D.FAIL_AND_CLOSE}
+S, E, D = State, Event, ConnectionAction
+_FAILING = {E.STRAY: D.FAIL_AND_CLOSE, E.SPOILT: D.FAIL_AND_CLOSE, E.CONNECTION_LOST: D.FAIL_AND_CLOSE}
 _ENDING = {
     **{event: (S.CLOSED, do) for event, do in _FAILING.items()},
     E.GIVEN_UP: (S.CLOSED, D.CLOSE),
-    E.LAST: (S.CLOSED, D.GIVE_AND_CLOSE),
-    E.WHOLE: (S.IDLE, D.REST),
+    E.COMPLETE_LAST: (S.CLOSED, D.DELIVER_AND_CLOSE),
+    E.COMPLETE: (S.IDLE, D.KEEP_OPEN),
 }
 
-TABLE: dict[State, dict[Event, tuple[State, Do]]] = {
+TABLE: dict[State, dict[Event, tuple[State, ConnectionAction]]] = {
     S.CONNECTING: {
         E.OPENED: (S.IDLE, D.NOTHING),
-        E.BROKE: (S.CLOSED, D.CLOSE),
+        E.CONNECTION_LOST: (S.CLOSED, D.CLOSE),
         E.GIVEN_UP: (S.CLOSED, D.CLOSE),
     },
     S.IDLE: {
         E.ASSIGNED: (S.AWAITING, D.WRITE),
         E.STRAY: (S.CLOSED, D.CLOSE),
-        E.BROKE: (S.CLOSED, D.CLOSE),
+        E.CONNECTION_LOST: (S.CLOSED, D.CLOSE),
         E.GIVEN_UP: (S.CLOSED, D.CLOSE),
     },
     S.AWAITING: {
         **_ENDING,
         E.OPEN_ENDED: (S.HOLDING, D.HOLD),
-        E.LONG: (S.PASSING, D.PASS_ON),
+        E.LONG: (S.PASSING, D.STREAM),
     },
     S.HOLDING: {
         **_ENDING,
-        E.LONG: (S.PASSING, D.PASS_ON),
-        E.HELD_ENOUGH: (S.PASSING, D.PASS_ON),
+        E.LONG: (S.PASSING, D.STREAM),
+        E.HOLD_EXPIRED: (S.PASSING, D.STREAM),
     },
     S.PASSING: {
         **_ENDING,
         E.UNWANTED: (S.CLOSED, D.FAIL_AND_CLOSE),
         E.LONG: (S.PASSING, D.NOTHING),
-        E.HELD_ENOUGH: (S.PASSING, D.NOTHING),
+        E.HOLD_EXPIRED: (S.PASSING, D.NOTHING),
     },
     # Events that arrive after the close are ignored.
     S.CLOSED: {event: (S.CLOSED, D.NOTHING) for event in E if event is not E.ASSIGNED},
 }
 
 
-class Machine:
+class ConnectionMachine:
     """The state of one connection."""
 
     __slots__ = ("state",)
@@ -122,7 +122,7 @@
     def __init__(self) -> None:
         self.state = State.CONNECTING
 
-    def on(self, event: Event) -> Do:
+    def on(self, event: Event) -> ConnectionAction:
         """Applies an event and returns what to do. Raises ValueError for an event that is not possible in
         this state, which is a fault of the caller."""
         entry = TABLE[self.state].get(event)
--- a/cloverrouter/core/engine.py
+++ b/cloverrouter/core/engine.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable, Sequence
 
 from cloverrouter.core.lifecycle import Lifecycle
-from cloverrouter.core.states import Effect, Happening, Tell
+from cloverrouter.core.states import Effect, LifecycleEvent, NotifyBalancer
 from cloverrouter.interface import Action, Event
 
 Decide = Callable[[float, Sequence[Event]], Sequence[Action]]
@@ -27,7 +27,7 @@
         carry_out: Callable[[Effect], None],
     ) -> None:
         """`clock` returns milliseconds and never runs backwards. `carry_out` performs any effect except
-        `Tell`. Exceptions of `carry_out` and `decide` end the loop and propagate."""
+        `NotifyBalancer`. Exceptions of `carry_out` and `decide` end the loop and propagate."""
         self.lifecycle = lifecycle
         self._decide = decide
         self._clock = clock
@@ -35,9 +35,9 @@
         self._events: list[Event] = []
         self._deciding = False
 
-    def take(self, happening: Happening) -> None:
+    def take(self, event: LifecycleEvent) -> None:
         """Handles an event and everything that follows from it."""
-        effects = self.lifecycle.on(self._clock(), happening)
+        effects = self.lifecycle.on(self._clock(), event)
         if effects:
             self._run(effects)
         if self._events and not self._deciding:
@@ -56,7 +56,7 @@
 
     def _run(self, effects: list[Effect]) -> None:
         for effect in effects:
-            if type(effect) is Tell:
+            if type(effect) is NotifyBalancer:
                 self._events.append(effect.event)
             else:
                 self._carry_out(effect)
--- a/cloverrouter/core/lifecycle.py
+++ b/cloverrouter/core/lifecycle.py
@@ -39,52 +39,52 @@
 from cloverrouter.core.states import (
     FINAL,
     UNSENT,
-    Abandon,
-    AnswerBegun,
-    AnswerHeld,
-    AskDiscovery,
+    AbortAttempt,
+    AttemptFinished,
     AttemptState,
-    Begin,
-    BodyTaken,
+    AttemptTimedOut,
+    BodyConsumed,
     CallState,
+    DeliverFailure,
+    DeliverRefusal,
+    DeliverResponse,
     Effect,
-    Ended,
-    Forget,
-    GiveFailure,
-    GiveRefusal,
-    Halted,
-    Happening,
-    Listed,
-    Note,
-    PassOn,
-    Serve,
-    SetDue,
-    Start,
+    LifecycleEvent,
+    NotifyBalancer,
+    ProcessHalted,
+    QueryDiscovery,
+    ReleaseCall,
+    RequestWritten,
+    ResponseHeld,
+    ResponseStarted,
+    SendWindowExpired,
+    SetAttemptTimeout,
+    StartAttempt,
+    StartStreaming,
+    StreamHeldResponse,
     Target,
-    Tell,
-    TimeUp,
-    TooLate,
-    Written,
+    TargetsListed,
+    WriteLog,
 )
 from cloverrouter.interface import (
     Action,
     AttemptEnded,
     Cancel,
+    ClientDisconnected,
     Cordon,
-    Cordoned,
+    CordonResult,
     Fail,
     Log,
     Outcome,
-    PartTaken,
     Probe,
     ProbeEnded,
     Refuse,
     RequestArrived,
     RequestCompleted,
-    RequestGone,
     Send,
     SetTimeout,
     SetTimer,
+    ShareAssigned,
     StreamStarted,
     Subscribe,
     TimerFired,
@@ -108,15 +108,15 @@
 class Call:
     """One call, until it is final and has no attempt in flight."""
 
-    __slots__ = ("deadline_ms", "id", "out", "spent", "state", "tries", "uploaded")
+    __slots__ = ("attempt_count", "body_consumed", "deadline_ms", "id", "out", "state", "uploaded")
 
     def __init__(self, call_id: int, deadline_ms: float | None, uploading: bool) -> None:
         self.id = call_id
         self.deadline_ms = deadline_ms
         self.state = CallState.UPLOADING if uploading else CallState.OPEN
         self.uploaded = uploading  # its time starts with its last byte
-        self.spent = False
-        self.tries = 0
+        self.body_consumed = False
+        self.attempt_count = 0
         self.out: dict[int, Attempt] = {}
 
 
@@ -132,52 +132,52 @@
         self._longest_ms = longest_ms
         self._targets: dict[str, Target] = {}
         self.calls: dict[int, Call] = {}
-        self.owed = 0  # calls that are not final
+        self.open_calls = 0  # calls that are not final
         self.halted = False
         # attempts that started up to then cannot be timed, because the clock stood still
-        self.untimed_ms = float("-inf")
+        self.untimed_until_ms = float("-inf")
 
     # Events
 
-    def on(self, now_ms: float, happening: Happening) -> list[Effect]:
+    def on(self, now_ms: float, event: LifecycleEvent) -> list[Effect]:
         """Returns the effects of an event, in order.
 
         Raises ValueError for the number of a call in use, and for an object that is no event.
         """
         # The three events of every request come first and use the cheapest checks.
-        if type(happening) is Written:
-            self._written(now_ms, happening.call, happening.attempt)
+        if type(event) is RequestWritten:
+            self._written(now_ms, event.call, event.attempt)
             return []
-        if type(happening) is Ended:
-            return self._ended(now_ms, happening)
-        if type(happening) is RequestArrived:
-            return self._arrived(happening)
-        match happening:
-            case TimerFired() | PartTaken() | Cordon() | ProbeEnded():
-                return [Tell(happening)]
-            case TimeUp(call_id, number):
+        if type(event) is AttemptFinished:
+            return self._ended(now_ms, event)
+        if type(event) is RequestArrived:
+            return self._arrived(event)
+        match event:
+            case TimerFired() | ShareAssigned() | Cordon() | ProbeEnded():
+                return [NotifyBalancer(event)]
+            case AttemptTimedOut(call_id, number):
                 return self._time_up(now_ms, call_id, number)
-            case TooLate(call_id, number):
+            case SendWindowExpired(call_id, number):
                 return self._too_late(now_ms, call_id, number)
-            case RequestGone(call_id):
-                return self._left(now_ms, call_id)
-            case AnswerBegun(call_id, number):
-                return self._begun(now_ms, call_id, number)
-            case AnswerHeld(call_id, number):
+            case ClientDisconnected(call_id):
+                return self._client_disconnected(now_ms, call_id)
+            case ResponseStarted(call_id, number):
+                return self._response_started(now_ms, call_id, number)
+            case ResponseHeld(call_id, number):
                 attempt = self._find(call_id, number)
                 if attempt is not None and attempt.state is AttemptState.WRITTEN:
                     attempt.state = AttemptState.HELD
                 return []
             case RequestCompleted(call_id):
-                return self._completed(happening)
-            case BodyTaken(call_id):
+                return self._completed(event)
+            case BodyConsumed(call_id):
                 return self._body_taken(call_id)
-            case Listed():
-                return self._listed(now_ms, happening)
-            case Halted():
+            case TargetsListed():
+                return self._listed(now_ms, event)
+            case ProcessHalted():
                 return self._halted(now_ms)
             case _:
-                raise ValueError(f"not an event: {happening!r}")
+                raise ValueError(f"not an event: {event!r}")
 
     def _find(self, call_id: int, number: int) -> Attempt | None:
         call = self.calls.get(call_id)
@@ -187,10 +187,10 @@
         if event.request_id in self.calls:
             raise ValueError(f"call {event.request_id} arrived twice")
         if self.halted:
-            return [GiveRefusal(event.request_id, 0.0), Forget(event.request_id)]
+            return [DeliverRefusal(event.request_id, 0.0), ReleaseCall(event.request_id)]
         self.calls[event.request_id] = Call(event.request_id, event.deadline_ms, event.uploading)
-        self.owed += 1
-        return [Tell(event)]
+        self.open_calls += 1
+        return [NotifyBalancer(event)]
 
     def _halted(self, now_ms: float) -> list[Effect]:
         """Fails pending calls, which is a valid answer in every state of their attempts. Responses that are
@@ -199,7 +199,7 @@
         effects: list[Effect] = []
         for call in list(self.calls.values()):
             if not call.state.final and call.state is not CallState.STREAMING:
-                effects += self._finish_call(now_ms, call, CallState.ANSWERED, GiveFailure(call.id))
+                effects += self._finish_call(now_ms, call, CallState.ANSWERED, DeliverFailure(call.id))
         return effects
 
     def _completed(self, event: RequestCompleted) -> list[Effect]:
@@ -209,12 +209,12 @@
         call.deadline_ms = event.deadline_ms
         if call.state is CallState.UPLOADING:
             call.state = CallState.OPEN
-        return [Tell(event)]
+        return [NotifyBalancer(event)]
 
     def _body_taken(self, call_id: int) -> list[Effect]:
         call = self.calls.get(call_id)
         if call is not None:
-            call.spent = True
+            call.body_consumed = True
             for attempt in call.out.values():
                 if attempt.state is AttemptState.CONNECTING:
                     attempt.state = AttemptState.WRITING
@@ -226,33 +226,33 @@
         if attempt is not None and attempt.state in UNSENT:
             attempt.state, attempt.written_ms = AttemptState.WRITTEN, now_ms
 
-    def _left(self, now_ms: float, call_id: int) -> list[Effect]:
+    def _client_disconnected(self, now_ms: float, call_id: int) -> list[Effect]:
         """Handles a disconnected client: its attempts are no longer needed."""
         call = self.calls.get(call_id)
         if call is None or call.state.final:
             return []
         return self._finish_call(now_ms, call, CallState.LEFT)
 
-    def _begun(self, now_ms: float, call_id: int, number: int) -> list[Effect]:
+    def _response_started(self, now_ms: float, call_id: int, number: int) -> list[Effect]:
         call, attempt = self.calls.get(call_id), self._find(call_id, number)
         if call is None or attempt is None or call.state.final or attempt.state is AttemptState.STREAMING:
             return []
         if attempt.state.unsent or call.state is CallState.STREAMING:
             return []
         attempt.state, call.state = AttemptState.STREAMING, CallState.STREAMING
-        effects: list[Effect] = [Begin(call_id, number)]
+        effects: list[Effect] = [StartStreaming(call_id, number)]
         for other in list(call.out.values()):
             if other is not attempt:
-                effects += self._abandon(now_ms, call, other, Outcome.CANCELLED)
+                effects += self._abort(now_ms, call, other, Outcome.CANCELLED)
         latency_ms = self._latency_ms(now_ms, call, attempt)
-        return [*effects, Tell(StreamStarted(call_id, number, latency_ms))]
+        return [*effects, NotifyBalancer(StreamStarted(call_id, number, latency_ms))]
 
     def _time_up(self, now_ms: float, call_id: int, number: int) -> list[Effect]:
         call, attempt = self.calls.get(call_id), self._find(call_id, number)
         if call is None or attempt is None or attempt.state is AttemptState.STREAMING:
             return []
         if attempt.state is AttemptState.HELD and not call.state.final:
-            return [PassOn(call_id, number)]  # its first bytes arrived in time
+            return [StreamHeldResponse(call_id, number)]  # its first bytes arrived in time
         return self._abort_and_release(now_ms, call, attempt, Outcome.TIMEOUT)
 
     def _too_late(self, now_ms: float, call_id: int, number: int) -> list[Effect]:
@@ -261,30 +261,30 @@
             return []
         return self._abort_and_release(now_ms, call, attempt, Outcome.NOT_SENT)
 
-    def _ended(self, now_ms: float, event: Ended) -> list[Effect]:
+    def _ended(self, now_ms: float, event: AttemptFinished) -> list[Effect]:
         call = self.calls.get(event.call)
         attempt = call.out.get(event.attempt) if call is not None else None
         if call is None or attempt is None:
             return []
         latency_ms = self._latency_ms(now_ms, call, attempt)
         streamed = attempt.state is AttemptState.STREAMING
-        self._take_out(call, attempt)
+        self._end_attempt(call, attempt)
         effects: list[Effect] = []
         served = event.outcome is Outcome.OK
         if streamed:  # the part that arrived has been streamed
-            effects = self._settle(now_ms, call, CallState.ANSWERED if served else CallState.CUT)
+            effects = self._make_final(now_ms, call, CallState.ANSWERED if served else CallState.CUT)
         elif served and event.answer is not None and call.state not in FINAL:
-            effects = self._settle(now_ms, call, CallState.ANSWERED)
-            effects.append(Serve(call.id, event.answer))
+            effects = self._make_final(now_ms, call, CallState.ANSWERED)
+            effects.append(DeliverResponse(call.id, event.answer))
         if not call.out:
-            effects += self._forget_if_over(call)
+            effects += self._release_if_done(call)
         effects.append(self._attempt_ended(call, attempt, event.outcome, latency_ms, event.report))
         return effects
 
-    def _listed(self, now_ms: float, event: Listed) -> list[Effect]:
+    def _listed(self, now_ms: float, event: TargetsListed) -> list[Effect]:
         self._targets = dict(event.targets)
-        effects: list[Effect] = [Tell(event.event)]
-        return effects + self._call_back(now_ms, lambda a: self._targets.get(a.endpoint) != a.target)
+        effects: list[Effect] = [NotifyBalancer(event.event)]
+        return effects + self._abort_unsent(now_ms, lambda a: self._targets.get(a.endpoint) != a.target)
 
     # Actions of the decision module
 
@@ -299,26 +299,26 @@
                 attempt = self._find(call_id, number)
                 if attempt is None or attempt.state is AttemptState.STREAMING:
                     return []
-                return [SetDue(call_id, number, timeout_ms)]
+                return [SetAttemptTimeout(call_id, number, timeout_ms)]
             case Refuse(call_id, retry_after_ms):
-                return self._answer(now_ms, call_id, GiveRefusal(call_id, retry_after_ms))
+                return self._answer(now_ms, call_id, DeliverRefusal(call_id, retry_after_ms))
             case Fail(call_id):
-                return self._answer(now_ms, call_id, GiveFailure(call_id))
+                return self._answer(now_ms, call_id, DeliverFailure(call_id))
             case Cancel(call_id, number):
                 call, attempt = self.calls.get(call_id), self._find(call_id, number)
                 if call is None or attempt is None or attempt.state is AttemptState.STREAMING:
                     return []
                 return self._abort_and_release(now_ms, call, attempt, Outcome.CANCELLED)
             case Probe(endpoint):  # no driver sends probes
-                return [Tell(ProbeEnded(endpoint, Outcome.NOT_SENT, 0.0))]
+                return [NotifyBalancer(ProbeEnded(endpoint, Outcome.NOT_SENT, 0.0))]
             case Subscribe():
-                return [AskDiscovery()]
+                return [QueryDiscovery()]
             case Log(text):
-                return [Note(text)]
-            case Cordoned(endpoint, on, known):
+                return [WriteLog(text)]
+            case CordonResult(endpoint, on, known):
                 effects: list[Effect] = [action]
                 if on and known:
-                    effects += self._call_back(now_ms, lambda a: a.endpoint == endpoint)
+                    effects += self._abort_unsent(now_ms, lambda a: a.endpoint == endpoint)
                 return effects
             case _:
                 raise ValueError(f"not an action: {action!r}")
@@ -326,69 +326,75 @@
     def _send(self, now_ms: float, action: Send) -> list[Effect]:
         call, target = self.calls.get(action.request_id), self._targets.get(action.endpoint)
         if call is None:
-            return [Tell(AttemptEnded(action.request_id, 0, Outcome.NOT_SENT, 0.0, answered=True))]
-        number, call.tries = call.tries, call.tries + 1
+            return [NotifyBalancer(AttemptEnded(action.request_id, 0, Outcome.NOT_SENT, 0.0, answered=True))]
+        number, call.attempt_count = call.attempt_count, call.attempt_count + 1
         timeout_ms = action.timeout_ms or float("inf")
         if call.deadline_ms is not None:
             timeout_ms = min(timeout_ms, call.deadline_ms - now_ms)
         # A body that is not kept can be read by one attempt only; another one would send a part of it.
-        body_in_use = call.spent or (call.uploaded and call.out)
-        if call.state.final or body_in_use or target is None or min(timeout_ms, action.out_within_ms) <= 0:
-            return [Tell(AttemptEnded(call.id, number, Outcome.NOT_SENT, 0.0, call.state.final))]
+        body_in_use = call.body_consumed or (call.uploaded and call.out)
+        if call.state.final or body_in_use or target is None or min(timeout_ms, action.send_within_ms) <= 0:
+            return [NotifyBalancer(AttemptEnded(call.id, number, Outcome.NOT_SENT, 0.0, call.state.final))]
         call.out[number] = Attempt(number, action.endpoint, target, now_ms)
         uploading = call.state is CallState.UPLOADING
         due_ms = None if uploading else min(timeout_ms, self._longest_ms)
         # If the timeout comes first, it aborts the unsent attempt anyway.
-        within_ms = action.out_within_ms if due_ms is None or action.out_within_ms < due_ms else float("inf")
-        return [Start(call.id, number, action.endpoint, target, due_ms, within_ms)]
+        within_ms = (
+            action.send_within_ms if due_ms is None or action.send_within_ms < due_ms else float("inf")
+        )
+        return [StartAttempt(call.id, number, action.endpoint, target, due_ms, within_ms)]
 
-    def _answer(self, now_ms: float, call_id: int, answer: GiveRefusal | GiveFailure) -> list[Effect]:
+    def _answer(self, now_ms: float, call_id: int, answer: DeliverRefusal | DeliverFailure) -> list[Effect]:
         call = self.calls.get(call_id)
         if call is None or call.state.final or call.state is CallState.STREAMING:
             return []
-        effects = self._settle(now_ms, call, CallState.ANSWERED)
-        return [*effects, answer, *self._forget_if_over(call)]
+        effects = self._make_final(now_ms, call, CallState.ANSWERED)
+        return [*effects, answer, *self._release_if_done(call)]
 
     # Shared steps
 
-    def _settle(self, now_ms: float, call: Call, state: CallState) -> list[Effect]:
+    def _make_final(self, now_ms: float, call: Call, state: CallState) -> list[Effect]:
         """Makes the call final and aborts its unsent attempts, which must not be sent after that."""
         assert state in FINAL
         effects: list[Effect] = []
         if call.state in FINAL:
             return effects
         call.state = state
-        self.owed -= 1
+        self.open_calls -= 1
         for attempt in list(call.out.values()):
             if attempt.state.unsent:
-                effects += self._abandon(now_ms, call, attempt, Outcome.NOT_SENT)
+                effects += self._abort(now_ms, call, attempt, Outcome.NOT_SENT)
         return effects
 
     def _finish_call(self, now_ms: float, call: Call, state: CallState, *answer: Effect) -> list[Effect]:
         """Makes the call final, with this answer if one is needed, and aborts all its attempts."""
-        effects = [*self._settle(now_ms, call, state), *answer, Tell(RequestGone(call.id))]
+        effects = [
+            *self._make_final(now_ms, call, state),
+            *answer,
+            NotifyBalancer(ClientDisconnected(call.id)),
+        ]
         for attempt in list(call.out.values()):
-            effects += self._abandon(now_ms, call, attempt, Outcome.CANCELLED)
-        return effects + self._forget_if_over(call)
+            effects += self._abort(now_ms, call, attempt, Outcome.CANCELLED)
+        return effects + self._release_if_done(call)
 
     def _abort_and_release(
         self, now_ms: float, call: Call, attempt: Attempt, outcome: Outcome
     ) -> list[Effect]:
         """Aborts an attempt, which may be the last one of its call."""
-        effects = self._abandon(now_ms, call, attempt, outcome)
-        return effects + self._forget_if_over(call)
+        effects = self._abort(now_ms, call, attempt, outcome)
+        return effects + self._release_if_done(call)
 
-    def _abandon(self, now_ms: float, call: Call, attempt: Attempt, outcome: Outcome) -> list[Effect]:
+    def _abort(self, now_ms: float, call: Call, attempt: Attempt, outcome: Outcome) -> list[Effect]:
         """Aborts an attempt. One whose last byte was not sent has never run."""
         if attempt.state.unsent:
             outcome = Outcome.CONNECT_FAILED if outcome is Outcome.TIMEOUT else Outcome.NOT_SENT
         latency_ms = self._latency_ms(now_ms, call, attempt)
-        self._take_out(call, attempt)
+        self._end_attempt(call, attempt)
         notification = self._attempt_ended(call, attempt, outcome, latency_ms, None)
-        return [Abandon(call.id, attempt.number), notification]
+        return [AbortAttempt(call.id, attempt.number), notification]
 
     @staticmethod
-    def _take_out(call: Call, attempt: Attempt) -> None:
+    def _end_attempt(call: Call, attempt: Attempt) -> None:
         attempt.state = AttemptState.ENDED
         del call.out[attempt.number]
 
@@ -396,9 +402,9 @@
     def _attempt_ended(
         call: Call, attempt: Attempt, outcome: Outcome, latency_ms: float, report: tuple[float, ...] | None
     ) -> Effect:
-        return Tell(
+        return NotifyBalancer(
             AttemptEnded(
-                call.id, attempt.number, outcome, latency_ms, call.state in FINAL, report, call.spent
+                call.id, attempt.number, outcome, latency_ms, call.state in FINAL, report, call.body_consumed
             )
         )
 
@@ -407,22 +413,22 @@
         since_ms = attempt.sent_ms
         if call.uploaded and attempt.written_ms is not None:
             since_ms = attempt.written_ms
-        return max(0.0, now_ms - since_ms) if since_ms > self.untimed_ms else 0.0
+        return max(0.0, now_ms - since_ms) if since_ms > self.untimed_until_ms else 0.0
 
-    def _forget_if_over(self, call: Call) -> list[Effect]:
+    def _release_if_done(self, call: Call) -> list[Effect]:
         if call.state in FINAL and not call.out and self.calls.pop(call.id, None) is not None:
-            return [Forget(call.id)]
+            return [ReleaseCall(call.id)]
         return []
 
-    def _call_back(self, now_ms: float, unwanted: Callable[[Attempt], bool]) -> list[Effect]:
+    def _abort_unsent(self, now_ms: float, unwanted: Callable[[Attempt], bool]) -> list[Effect]:
         """Aborts unsent attempts; one that is still connecting to a draining endpoint could be sent after the
         grace period."""
         effects: list[Effect] = []
         for call in list(self.calls.values()):
             for attempt in list(call.out.values()):
                 if attempt.state.unsent and unwanted(attempt):
-                    effects += self._abandon(now_ms, call, attempt, Outcome.NOT_SENT)
-            effects += self._forget_if_over(call)
+                    effects += self._abort(now_ms, call, attempt, Outcome.NOT_SENT)
+            effects += self._release_if_done(call)
         return effects
 
     @property
--- a/cloverrouter/core/leaving.py
+++ b/cloverrouter/core/shutdown.py
@@ -26,10 +26,10 @@
 from enum import Enum
 
 # New connections keep arriving for a while after SIGTERM.
-STILL_COMING_S = 0.5
+NEW_CONNECTIONS_S = 0.5
 # Time for incomplete requests and responses still being read once no answer is pending; and the same again
 # for the error responses that incomplete requests get then.
-LAST_BYTES_S = 0.5
+INCOMPLETE_REQUEST_S = 0.5
 # A request that crossed the close of its connection is retried within this time, and is still accepted.
 RECONNECT_S = 0.15
 # SIGKILL comes no sooner than the longest deadline, of which at most this much counts, plus a margin.
@@ -52,30 +52,30 @@
     OVER = "over"
 
 
-class Do(Enum):
+class ShutdownAction(Enum):
     """What the driver must do at a check."""
 
     CLOSE_QUIET = "close quiet"  # connections without a pending call, if they have been quiet for a moment
     CLOSE_SILENT = "close silent"  # likewise, connections that have never sent a byte
-    END_HALF_SENT = "end half-sent"  # answer incomplete requests with an error
+    FAIL_INCOMPLETE = "end half-sent"  # answer incomplete requests with an error
     HALT = "halt"  # answer all pending calls at once
-    TAKE_IN = "take in"  # accept a waiting connection; if there is none, report it at the next check
+    ACCEPT_WAITING = "take in"  # accept a waiting connection; if there is none, report it at the next check
 
 
 @dataclass(slots=True)
-class Seen:
+class Observation:
     """What the driver observes at one check."""
 
-    owed: int  # calls without a final answer
+    open_calls: int  # calls without a final answer
     open: int  # client connections
     others_accept: bool = False  # another process accepts new connections
-    no_connection_waiting: bool = False  # `TAKE_IN` has just found no connection
-    connection_accepted: bool = False  # `TAKE_IN` has just accepted a connection
+    no_connection_waiting: bool = False  # `ACCEPT_WAITING` has just found no connection
+    connection_accepted: bool = False  # `ACCEPT_WAITING` has just accepted a connection
     data_in_transit: bool = False  # data is still being sent on one of these, or has arrived unread
 
 
-class Leaving:
-    """The shutdown of one process. After `told`, call `look` every few hundredths of a second."""
+class Shutdown:
+    """The shutdown of one process. After `begin`, call `next_actions` every few hundredths of a second."""
 
     __slots__ = ("_begun_s", "_halt_s", "_last_connection_s", "_last_open_call_s", "stage")
 
@@ -88,48 +88,54 @@
         """Whether the process can exit."""
         return self.stage is Stage.OVER
 
-    def told(self, now_s: float, longest_deadline_s: float) -> None:
+    def begin(self, now_s: float, longest_deadline_s: float) -> None:
         """Starts the shutdown. A second call changes nothing."""
         if self.stage is Stage.SERVING:
             self.stage = Stage.DRAINING
             self._begun_s = self._last_open_call_s = now_s
             killed_s = now_s + min(longest_deadline_s, MAX_COUNTED_DEADLINE_S) + KILL_MARGIN_S
-            self._halt_s = max(now_s + STILL_COMING_S, killed_s - HALT_MARGIN_S)
+            self._halt_s = max(now_s + NEW_CONNECTIONS_S, killed_s - HALT_MARGIN_S)
 
-    def look(self, now_s: float, seen: Seen) -> list[Do]:
-        """Returns what to do now, in this order. Raises ValueError before `told` was called."""
+    def next_actions(self, now_s: float, seen: Observation) -> list[ShutdownAction]:
+        """Returns what to do now, in this order. Raises ValueError before `begin` was called."""
         if self.stage is Stage.SERVING:
             raise ValueError("the shutdown has not started")
         if self.stage is Stage.OVER:
             return []
-        if seen.owed:
+        if seen.open_calls:
             self._last_open_call_s = now_s
         if seen.open:
             self._last_connection_s = now_s
-        still_coming = not seen.others_accept and now_s < self._begun_s + STILL_COMING_S
+        still_coming = not seen.others_accept and now_s < self._begun_s + NEW_CONNECTIONS_S
         if self.stage is Stage.DRAINING and not still_coming:
             self.stage = Stage.FINISHING
             self._last_open_call_s = now_s
         if self.stage is Stage.DRAINING:
-            return [Do.CLOSE_QUIET]
+            return [ShutdownAction.CLOSE_QUIET]
         if seen.connection_accepted:  # its request gets as much time to arrive as one that crossed a close
-            self._last_open_call_s = max(self._last_open_call_s, now_s + RECONNECT_S - 2 * LAST_BYTES_S)
-        rest = [Do.CLOSE_QUIET]
+            self._last_open_call_s = max(
+                self._last_open_call_s, now_s + RECONNECT_S - 2 * INCOMPLETE_REQUEST_S
+            )
+        rest = [ShutdownAction.CLOSE_QUIET]
         if now_s >= self._begun_s + SILENT_CONNECTION_S:
-            rest.append(Do.CLOSE_SILENT)
-        if seen.owed and now_s >= self._halt_s and self.stage is not Stage.HALTED:
+            rest.append(ShutdownAction.CLOSE_SILENT)
+        if seen.open_calls and now_s >= self._halt_s and self.stage is not Stage.HALTED:
             self.stage = Stage.HALTED
-            return [Do.HALT, Do.END_HALF_SENT, *rest]
+            return [ShutdownAction.HALT, ShutdownAction.FAIL_INCOMPLETE, *rest]
         idle_s = now_s - self._last_open_call_s
         # Requests cut off by the process's own exit count as lost; those that SIGKILL interrupts do not.
         # Responses that the client does not read end by themselves (`ClientConnection.check`).
-        stuck = bool(seen.open) and idle_s >= 2 * LAST_BYTES_S and not seen.data_in_transit
-        if not seen.owed and (stuck or not seen.open):
+        stuck = bool(seen.open) and idle_s >= 2 * INCOMPLETE_REQUEST_S and not seen.data_in_transit
+        if not seen.open_calls and (stuck or not seen.open):
             if seen.others_accept or seen.no_connection_waiting:
                 self.stage = Stage.OVER
                 return []
-            return [Do.TAKE_IN] if stuck or now_s >= self._last_connection_s + RECONNECT_S else []
-        if not seen.owed and idle_s >= LAST_BYTES_S and self.stage is Stage.FINISHING:
+            return (
+                [ShutdownAction.ACCEPT_WAITING]
+                if stuck or now_s >= self._last_connection_s + RECONNECT_S
+                else []
+            )
+        if not seen.open_calls and idle_s >= INCOMPLETE_REQUEST_S and self.stage is Stage.FINISHING:
             self.stage = Stage.ENDING_INCOMPLETE
-            return [Do.END_HALF_SENT, *rest]
+            return [ShutdownAction.FAIL_INCOMPLETE, *rest]
         return rest
--- a/cloverrouter/core/states.py
+++ b/cloverrouter/core/states.py
@@ -2,7 +2,7 @@
 
 The driver of the lifecycle numbers the calls; attempts are numbered from 0 in sending order. Events from
 clients and discovery use the types of `cloverrouter.interface`: `RequestArrived`, `RequestCompleted`,
-`RequestGone`, `TimerFired`, `Cordon` and `PartTaken`. This module defines the events that the
+`ClientDisconnected`, `TimerFired`, `Cordon` and `ShareAssigned`. This module defines the events that the
 decision module does not see in this form.
 
 None of these objects is modified after its creation. They are not frozen, because several are created per
@@ -16,17 +16,17 @@
 from enum import Enum
 
 from cloverrouter.interface import (
+    ClientDisconnected,
     Cordon,
-    Cordoned,
+    CordonResult,
     EndpointsListed,
     Event,
     Outcome,
-    PartTaken,
     ProbeEnded,
     RequestArrived,
     RequestCompleted,
-    RequestGone,
     SetTimer,
+    ShareAssigned,
     TimerFired,
 )
 
@@ -76,7 +76,7 @@
 
 
 @dataclass(slots=True)
-class Listed:
+class TargetsListed:
     """A list arrived; `targets` maps each endpoint that may get requests from now on to its target."""
 
     event: EndpointsListed
@@ -84,14 +84,14 @@
 
 
 @dataclass(slots=True)
-class BodyTaken:
+class BodyConsumed:
     """Part of a call's body was sent and not kept: the call cannot be sent to another server."""
 
     call: int
 
 
 @dataclass(slots=True)
-class Written:
+class RequestWritten:
     """The last byte of an attempt was sent: from here on it may have run."""
 
     call: int
@@ -99,7 +99,7 @@
 
 
 @dataclass(slots=True)
-class AnswerHeld:
+class ResponseHeld:
     """A good response of unknown length has started and is held for a moment."""
 
     call: int
@@ -107,15 +107,15 @@
 
 
 @dataclass(slots=True)
-class AnswerBegun:
-    """A response is ready to be streamed. It is accepted only if `Begin` follows."""
+class ResponseStarted:
+    """A response is ready to be streamed. It is accepted only if `StartStreaming` follows."""
 
     call: int
     attempt: int
 
 
 @dataclass(slots=True)
-class Ended:
+class AttemptFinished:
     """An attempt has ended by itself. `answer` is delivered to the client unchanged, if it is still
     needed."""
 
@@ -127,7 +127,7 @@
 
 
 @dataclass(slots=True)
-class TimeUp:
+class AttemptTimedOut:
     """The timeout of an attempt has expired."""
 
     call: int
@@ -135,7 +135,7 @@
 
 
 @dataclass(slots=True)
-class TooLate:
+class SendWindowExpired:
     """The time within which an attempt had to be sent has expired."""
 
     call: int
@@ -143,26 +143,26 @@
 
 
 @dataclass(slots=True)
-class Halted:
+class ProcessHalted:
     """The process exits: pending calls are answered as failed, and new ones are refused."""
 
 
-Happening = (
+LifecycleEvent = (
     RequestArrived
     | RequestCompleted
-    | RequestGone
-    | Listed
-    | BodyTaken
-    | Written
-    | AnswerHeld
-    | AnswerBegun
-    | Ended
-    | TimeUp
-    | TooLate
-    | Halted
+    | ClientDisconnected
+    | TargetsListed
+    | BodyConsumed
+    | RequestWritten
+    | ResponseHeld
+    | ResponseStarted
+    | AttemptFinished
+    | AttemptTimedOut
+    | SendWindowExpired
+    | ProcessHalted
     | TimerFired
     | Cordon
-    | PartTaken
+    | ShareAssigned
     | ProbeEnded
 )
 
@@ -171,18 +171,18 @@
 
 
 @dataclass(slots=True)
-class Tell:
+class NotifyBalancer:
     """Pass this event to the decision module."""
 
     event: Event
 
 
 @dataclass(slots=True)
-class Start:
+class StartAttempt:
     """Send a call to an endpoint.
 
-    `TimeUp` is due after `timeout_ms`; None: no timeout yet, as the call is uploading.
-    `TooLate` is due after `out_within_ms`; nothing may be sent after that, even if the
+    `AttemptTimedOut` is due after `timeout_ms`; None: no timeout yet, as the call is uploading.
+    `SendWindowExpired` is due after `send_within_ms`; nothing may be sent after that, even if the
     event is still pending.
     """
 
@@ -191,12 +191,12 @@
     endpoint: str
     target: Target
     timeout_ms: float | None
-    out_within_ms: float = float("inf")
+    send_within_ms: float = float("inf")
 
 
 @dataclass(slots=True)
-class SetDue:
-    """Replace the timeout of an attempt: `TimeUp` is due this long from now."""
+class SetAttemptTimeout:
+    """Replace the timeout of an attempt: `AttemptTimedOut` is due this long from now."""
 
     call: int
     attempt: int
@@ -204,23 +204,23 @@
 
 
 @dataclass(slots=True)
-class PassOn:
-    """Stream the held response of this attempt from now on; answered by `AnswerBegun`."""
+class StreamHeldResponse:
+    """Stream the held response of this attempt from now on; answered by `ResponseStarted`."""
 
     call: int
     attempt: int
 
 
 @dataclass(slots=True)
-class Abandon:
-    """Abort this attempt: unsent bytes are never sent, and no `Ended` follows."""
+class AbortAttempt:
+    """Abort this attempt: unsent bytes are never sent, and no `AttemptFinished` follows."""
 
     call: int
     attempt: int
 
 
 @dataclass(slots=True)
-class Begin:
+class StartStreaming:
     """Stream the response of this attempt to the client; its timeout no longer applies."""
 
     call: int
@@ -228,7 +228,7 @@
 
 
 @dataclass(slots=True)
-class Serve:
+class DeliverResponse:
     """Final answer: this complete response."""
 
     call: int
@@ -236,7 +236,7 @@
 
 
 @dataclass(slots=True)
-class GiveRefusal:
+class DeliverRefusal:
     """Final answer: refused. A retry is safe, preferably after this delay."""
 
     call: int
@@ -244,44 +244,44 @@
 
 
 @dataclass(slots=True)
-class GiveFailure:
+class DeliverFailure:
     """Final answer: failed."""
 
     call: int
 
 
 @dataclass(slots=True)
-class Forget:
+class ReleaseCall:
     """The call needs no answer and has no attempt in flight: its number is no longer valid."""
 
     call: int
 
 
 @dataclass(slots=True)
-class AskDiscovery:
+class QueryDiscovery:
     """Request the list and all later changes from discovery."""
 
 
 @dataclass(slots=True)
-class Note:
+class WriteLog:
     """Write a line to the log."""
 
     text: str
 
 
 Effect = (
-    Tell
-    | Start
-    | SetDue
-    | PassOn
-    | Abandon
-    | Begin
-    | Serve
-    | GiveRefusal
-    | GiveFailure
-    | Forget
-    | AskDiscovery
-    | Note
+    NotifyBalancer
+    | StartAttempt
+    | SetAttemptTimeout
+    | StreamHeldResponse
+    | AbortAttempt
+    | StartStreaming
+    | DeliverResponse
+    | DeliverRefusal
+    | DeliverFailure
+    | ReleaseCall
+    | QueryDiscovery
+    | WriteLog
     | SetTimer
-    | Cordoned
+    | CordonResult
 )
--- a/cloverrouter/decide/balancer.py
+++ b/cloverrouter/decide/balancer.py
@@ -14,12 +14,13 @@
 from cloverrouter.decide.latency import MIN_SLOWNESS, ClassLatency
 from cloverrouter.decide.membership import HIGH_PRICE, MAX_SCANNED, Membership, Ring, Span
 from cloverrouter.decide.request import Attempt, Request, deduplicates
-from cloverrouter.indexes import Entry, Held, Rate
+from cloverrouter.indexes import Entry, Rate, RequestQueue
 from cloverrouter.interface import (
     Action,
     AttemptEnded,
+    ClientDisconnected,
     Cordon,
-    Cordoned,
+    CordonResult,
     EndpointsListed,
     EndpointState,
     Event,
@@ -28,17 +29,16 @@
     ListKind,
     Log,
     Outcome,
-    PartTaken,
     ProbeEnded,
     Refuse,
     RequestArrived,
     RequestClass,
     RequestCompleted,
-    RequestGone,
     Send,
     SetTimeout,
     SetTimer,
     Settings,
+    ShareAssigned,
     StreamStarted,
     Subscribe,
     TimerFired,
@@ -86,7 +86,7 @@
         self.membership = Membership(settings)
         self.latencies = {cls.name: ClassLatency(cls) for cls in settings.classes}
         self.requests: dict[int, Request] = {}
-        self.held = Held[Request]()
+        self.queue = RequestQueue[Request]()
         self.timers: dict[int, Callable[[], None]] = {}  # no lambdas: a balancer can be pickled
         self.last_token = self.failed_calls = 0
         self.window_count = self.window_warm = 0.0  # servers in the window looked at last; warm ones
@@ -95,14 +95,14 @@
         self.blocked = False  # an untried request could not be sent, and nothing has freed room since
         self.next_check_ms = 0.0  # when the timer checks the queued requests next
         self.check_token = 0  # token of that timer
-        self.handed_peak = 0.0  # the peak rate handed over by the previous balancer
+        self.restored_peak_rate = 0.0  # the peak rate handed over by the previous balancer
         self.peak_rate = self.peak_ms = 0.0  # highest work rate of a warm server, decaying since then
         self.peak_window = inf  # size of the window at that time
-        self.work_rate = Rate(RATE_WINDOWS * settings.safety.push_window_ms)
+        self.work_rate = Rate(RATE_WINDOWS * settings.safety.overload_window_ms)
         self.longest_deadline_ms = max((c.deadline_ms for c in settings.classes), default=DEFAULT_DEADLINE_MS)
         self.arrivals = Rate(ARRIVAL_DEADLINES * self.longest_deadline_ms)
-        place = settings.ring_start
-        self.place = self.random.random() if place is None else place
+        ring_position = settings.ring_start
+        self.ring_position = self.random.random() if ring_position is None else ring_position
         self.flow = Flow(settings)
         self.decayed_ms: float | None = None
         self.decaying: list[Endpoint] = []  # endpoints whose estimates are still to decay in this round
@@ -110,8 +110,8 @@
         self.now_ms = float("-inf")
         self.actions: list[Action] = []
         self.started = False
-        self.part = 1.0  # fraction of the proxy's budgets that this balancer has; another has the rest
-        self.others_open = 0  # requests open at that other balancer
+        self.share = 1.0  # fraction of the proxy's budgets that this balancer has; another has the rest
+        self.other_open_requests = 0  # requests open at that other balancer
 
     def handle(self, now_ms: float, events: Sequence[Event]) -> list[Action]:
         """Processes events; returns the actions, in order. Raises ValueError for impossible events."""
@@ -134,7 +134,7 @@
                     self._on_timer(event)
                 case EndpointsListed():
                     self._on_list(event)
-                case RequestGone():
+                case ClientDisconnected():
                     if event.request_id in self.requests:
                         self._finish(self.requests[event.request_id])
                 case StreamStarted():
@@ -143,7 +143,7 @@
                     self._on_cordon(event)
                 case RequestCompleted():
                     self._on_completed(event)
-                case PartTaken():
+                case ShareAssigned():
                     self._on_share(event)
                 case ProbeEnded():
                     if event.endpoint in self.membership.endpoints:
@@ -151,7 +151,7 @@
                 case _:
                     raise ValueError(f"not an event: {event!r}")
         self._decay_estimates()
-        self._send_held()
+        self._send_queued()
         return self.actions
 
     # Discovery
@@ -165,7 +165,7 @@
             self.failed_calls += 1
             # An unsubscribed proxy counts as informed of drains and starts that it has not heard of. It polls
             # well within the allowed interval, with jitter so that the proxies do not poll at the same time.
-            longest = self.settings.safety.must_ask_ms / 4
+            longest = self.settings.safety.max_poll_interval_ms / 4
             wait = min(longest, BACKOFF_BASE_MS * 2.0 ** min(self.failed_calls, 16))
             self._set_timer(wait * (0.5 + self.random.random() / 2), self._subscribe)
         elif self.failed_calls:
@@ -183,16 +183,16 @@
     def _on_cordon(self, event: Cordon) -> None:
         known = self.membership.cordon(self.now_ms, event.endpoint, event.on)
         self.flow.resize(self.membership.weight)
-        self.actions.append(Cordoned(event.endpoint, event.on, known))
+        self.actions.append(CordonResult(event.endpoint, event.on, known))
 
-    def _on_share(self, event: PartTaken) -> None:
+    def _on_share(self, event: ShareAssigned) -> None:
         """Scales the budgets: two balancers with a whole one each could overload a cold server."""
-        if event.part < self.part:
-            kept = event.part / self.part
+        if event.share < self.share:
+            kept = event.share / self.share
             self.budget.tokens *= kept
             for endpoint in self.membership.endpoints.values():
                 endpoint.cold_credit *= kept
-        self.part, self.others_open = event.part, event.others_open
+        self.share, self.other_open_requests = event.share, event.other_open_requests
         # The other balancer sees the same excess and drops its half.
         for _ in range(ceil(self._excess_requests() / 2)):
             self._drop_oldest()
@@ -229,7 +229,7 @@
             if attempt.outcome is None:
                 attempt.sent_ms = self.now_ms
                 self._count_in_flight(attempt)
-                wait_ms = max(1.0, self._useless_ms(request) - self.now_ms)
+                wait_ms = max(1.0, self._worthless_from_ms(request) - self.now_ms)
                 self.actions.append(SetTimeout(request.id, number, wait_ms))
 
     def _count_in_flight(self, attempt: Attempt) -> None:
@@ -241,10 +241,10 @@
 
     def _dispatch(self, request: Request) -> None:
         """Sends the request's next attempt now, or queues it until a server has room."""
-        if self._useless_ms(request) <= self.now_ms:
+        if self._worthless_from_ms(request) <= self.now_ms:
             self._give_up(request)
         elif self._try_send(request) is None:
-            self._hold(request)
+            self._enqueue(request)
 
     def _window_size(self) -> float:
         cover = PROXIES_PER_SERVER * len(self.membership.ready) / self.settings.proxies
@@ -255,10 +255,10 @@
         """Sends to a server with room that the request may use; returns the server, or None."""
         if not self.flow.has_room(self.now_ms):
             return None
-        spans = self.membership.spans(self._window_size(), self.place)
+        spans = self.membership.spans(self._window_size(), self.ring_position)
         # After a cordon a cold server would lose every draw against warm ones, and operators would see it get
         # no traffic. It is sent one request early, regardless of the window.
-        found = [e for e in islice(self.membership.owed.values(), MAX_SCANNED) if self._has_room(e)]
+        found = [e for e in islice(self.membership.unused.values(), MAX_SCANNED) if self._has_room(e)]
         allowed = [e for e in found if self._may_send(request, e)]
         if not allowed:
             small = sum([span[2] for span in spans]) <= MAX_SCANNED
@@ -324,7 +324,7 @@
         cls = request.cls
         if ran is None or cls is None or cls.idempotency is not Idempotency.KEYED:
             return self.membership.all
-        return self.membership.group(cls.repeat_scope, ran.endpoint.listed)
+        return self.membership.group(cls.dedup_scope, ran.endpoint.listed)
 
     def _pick(self, allowed: Sequence[Endpoint]) -> Endpoint | None:
         """Returns the better of two servers drawn by their shares, or the only one."""
@@ -410,43 +410,43 @@
                 return span
         return spans[-1]
 
-    def _hold(self, request: Request) -> None:
+    def _enqueue(self, request: Request) -> None:
         """Queues the request, the highest value first, until it can no longer be served in time. At full
         servers it would wait until it is late, and slow them down."""
         usual_ms = self.latencies[request.cls.name].mean_ms if request.cls else DEFAULT_DEADLINE_MS / 4
-        wait_ms = self._useless_ms(request) - usual_ms - self.now_ms
+        wait_ms = self._worthless_from_ms(request) - usual_ms - self.now_ms
         if wait_ms <= 0:
             self._give_up(request)
             return
         # A request retried by its client has most likely missed its aim already.
         aim_ms = self._aim_ms(request.cls, request) if request.cls and not request.repeat else 0.0
-        request.in_aim_until_ms = request.arrived_ms + aim_ms - usual_ms
-        if self.crowded and request.in_aim_until_ms > self.now_ms:
-            wait_ms = min(wait_ms, request.in_aim_until_ms - self.now_ms)
+        request.on_time_until_ms = request.arrived_ms + aim_ms - usual_ms
+        if self.crowded and request.on_time_until_ms > self.now_ms:
+            wait_ms = min(wait_ms, request.on_time_until_ms - self.now_ms)
         request.timer = self._set_timer(wait_ms, partial(self._wake, request, self._give_up))
-        self.held.add(request)
-        self.held.compact(2 * len(self.requests) + MAX_SCANNED)
+        self.queue.add(request)
+        self.queue.compact(2 * len(self.requests) + MAX_SCANNED)
         if self._excess_requests() > 0:
             self._drop_oldest()
 
     def _excess_requests(self) -> float:
         """Returns how many requests exceed the allowed share of client connections."""
         most = self.settings.limits.max_open
-        share = MAX_OPEN_SHARE if self.part >= 1 else MAX_OPEN_SHARE_OF_TWO
-        return len(self.requests) + self.others_open - share * most if most else 0.0
+        share = MAX_OPEN_SHARE if self.share >= 1 else MAX_OPEN_SHARE_OF_TWO
+        return len(self.requests) + self.other_open_requests - share * most if most else 0.0
 
     def _drop_oldest(self) -> None:
         """Drops the oldest queued request, which is the least likely to be served in time. Each one occupies
         a client connection; when none is left, new requests are lost unseen."""
-        oldest = self.held.oldest()
+        oldest = self.queue.oldest()
         if oldest is not None:
             self._give_up(oldest)
 
-    def _send_held(self) -> None:
+    def _send_queued(self) -> None:
         """Sends as many queued requests as there is room for. An untried one that cannot be sent shows that
         no other untried one can; those that were tried may use only some servers, so each is checked."""
-        held = self.held
-        if held.oldest() is None:
+        queue = self.queue
+        if queue.oldest() is None:
             self.timers.pop(self.check_token, None)
             self.next_check_ms = 0.0
             return
@@ -455,12 +455,12 @@
             if not self.flow.has_room(self.now_ms):
                 self.room_ms = min(self.room_ms, self.flow.closed_until_ms)
                 break
-            top = held.pop(self.now_ms, fresh=not self.blocked)
+            top = queue.pop(self.now_ms, untried=not self.blocked)
             if top is None:
                 break
             if self._try_send(top[2]) is None:
                 aside.append(top)
-        held.put_back(aside)
+        queue.put_back(aside)
         # Without other traffic, no event would show that a pause is over.
         waiting = self.now_ms < self.next_check_ms <= self.room_ms + MIN_CHECK_DELAY_MS
         if self.now_ms < self.room_ms < inf and not waiting:
@@ -468,7 +468,7 @@
             self.timers.pop(self.check_token, None)
             self.check_token = self._set_timer(self.next_check_ms - self.now_ms, self._check_queue)
 
-    def _useless_ms(self, request: Request) -> float:
+    def _worthless_from_ms(self, request: Request) -> float:
         """Returns when an answer becomes worthless; later work would load full servers for nothing."""
         cls = request.cls
         if cls is None or cls.late_worth or cls.streamed:
@@ -492,7 +492,7 @@
         # The effect of a request must not happen twice.
         ran = request.first_possible_run() if request.attempts else None
         if ran is not None:
-            if not request.repeatable() or self.now_ms >= request.dedup_until_ms():
+            if not request.retryable() or self.now_ms >= request.dedup_until_ms():
                 return False
             if not deduplicates(request.cls, ran.endpoint.listed, endpoint.listed):
                 return False
@@ -507,14 +507,14 @@
         # themselves in the same way. Credit is capped at half a window, to prevent bursts. It starts at a
         # random part of one request: from full, the proxies' first requests would add up to an overload; from
         # zero, a server that few proxies use would get nothing until it is warm.
-        rate = COLD_LOAD_SHARE * safety.push_multiple * warmth * self.warm_rate() * self.part
+        rate = COLD_LOAD_SHARE * safety.overload_multiple * warmth * self.warm_rate() * self.share
         # That rate may be from a smaller window. In a larger one more proxies share each server.
         rate *= min(1.0, self.peak_window / self._window_size())
         if endpoint.cold_credit_ms is None:
-            first = self.random.random() * request.work * self.part
-            first = first if endpoint.restored_credit is None else endpoint.restored_credit * self.part
+            first = self.random.random() * request.work * self.share
+            first = first if endpoint.restored_credit is None else endpoint.restored_credit * self.share
             endpoint.cold_credit, endpoint.cold_credit_ms = first, self.now_ms
-        most = max(rate * safety.push_window_ms / 2, request.work)
+        most = max(rate * safety.overload_window_ms / 2, request.work)
         earned = rate * (self.now_ms - endpoint.cold_credit_ms)
         endpoint.cold_credit = min(most, endpoint.cold_credit + earned)
         endpoint.cold_credit_ms = self.now_ms
@@ -532,8 +532,8 @@
         was warm, all arriving work is taken as what the servers are built for.
         """
         rate = self.work_rate.per_ms(self.now_ms)
-        if self.handed_peak:
-            self.peak_rate, self.peak_ms, self.handed_peak = self.handed_peak, self.now_ms, 0.0
+        if self.restored_peak_rate:
+            self.peak_rate, self.peak_ms, self.restored_peak_rate = self.restored_peak_rate, self.now_ms, 0.0
             self.peak_window = self._window_size()
         if not rate and not self.peak_rate:
             mean = sum(usual.mean_ms for usual in self.latencies.values()) / max(1, len(self.latencies))
@@ -552,9 +552,9 @@
             # proxies would overload the cold servers together.
             least = MIN_WINDOW if self.crowded else 1.0
             self.work_rate.add(self.now_ms, request.work / max(least, self.window_warm))
-        if endpoint.owed:
-            endpoint.owed = False
-            self.membership.owed.pop(endpoint.listed.name, None)
+        if endpoint.unused:
+            endpoint.unused = False
+            self.membership.unused.pop(endpoint.listed.name, None)
         request.queue_number = 0
         self._drop_timer(request)
         attempt = Attempt(endpoint, self.now_ms)
@@ -565,7 +565,7 @@
         timeout_ms = 0.0
         if not request.uploading:
             self._count_in_flight(attempt)
-            timeout_ms = self._useless_ms(request) - self.now_ms
+            timeout_ms = self._worthless_from_ms(request) - self.now_ms
         self.actions.append(Send(request.id, endpoint.listed.name, timeout_ms, within_ms))
 
     def _on_attempt_ended(self, event: AttemptEnded) -> None:
@@ -584,7 +584,7 @@
             self._finish(request)
         elif request.done:
             self._drop_if_over(request)
-        elif event.spent:
+        elif event.body_consumed:
             self._give_up(request)
         elif not request.out and not request.streaming:
             self._retry(request)
@@ -600,8 +600,8 @@
         fields = self.settings.report_fields
         if report is None or "inflight" not in fields or "queue" not in fields:
             return 1.0
-        held, waiting = report[fields.index("inflight")], report[fields.index("queue")]
-        return held / max(1.0, held - waiting) if waiting > 0 else 1.0
+        queue, waiting = report[fields.index("inflight")], report[fields.index("queue")]
+        return queue / max(1.0, queue - waiting) if waiting > 0 else 1.0
 
     def _learn(
         self, request: Request, attempt: Attempt, outcome: Outcome, latency_ms: float, reported: float
@@ -656,18 +656,18 @@
 
     def _retry(self, request: Request) -> None:
         more = len(request.attempts) < self.settings.limits.max_attempts
-        if not (more and request.repeatable() and self._sleep(request)):
+        if not (more and request.retryable() and self._schedule_retry(request)):
             self._give_up(request)
 
-    def _sleep(self, request: Request) -> bool:
+    def _schedule_retry(self, request: Request) -> bool:
         """Pays for a retry and schedules it after the backoff; False if time or tokens do not suffice."""
-        wait = backoff_ms(request.prev_wait_ms, self.random)
-        sleep = min(wait, self._useless_ms(request) - self.now_ms - DEADLINE_MARGIN_MS)
+        wait = backoff_ms(request.previous_wait_ms, self.random)
+        sleep = min(wait, self._worthless_from_ms(request) - self.now_ms - DEADLINE_MARGIN_MS)
         if self.now_ms + sleep >= request.dedup_until_ms():
             return False
         if sleep <= 0 or not self.budget.spend():
             return False
-        request.prev_wait_ms = wait
+        request.previous_wait_ms = wait
         request.timer = self._set_timer(sleep, partial(self._wake, request, self._dispatch))
         return True
 
--- a/cloverrouter/decide/endpoint.py
+++ b/cloverrouter/decide/endpoint.py
@@ -29,7 +29,7 @@
         self.waiting_since_ms = 0.0  # start of the current wait for a response
         self.failures = 0  # in a row; a burst counts once
         self.paused_until_ms = 0.0
-        self.judged_ms: float | None = None  # time of the last outcome that affected the estimates
+        self.learned_ms: float | None = None  # time of the last outcome that affected the estimates
         self.cold_credit = 0.0  # work that it may be sent while cold
         self.cold_credit_ms: float | None = None  # when the credit was last computed
         self.restored_credit: float | None = None  # initial credit, if the previous balancer has spent some
@@ -37,7 +37,7 @@
         self.cordoned = False  # excluded by an operator
         self.down = False  # the last probe failed
         self.back_ms: float | None = None  # when the last cordon ended; it may have restarted until then
-        self.owed = False  # it has been sent nothing since then
+        self.unused = False  # it has been sent nothing since then
         self.cold_until_ms = self._cold_until_ms()
 
     def has_room(self, now_ms: float) -> bool:
@@ -65,7 +65,7 @@
         self.down = False
 
     def _set(self, earned: float, slowness: float) -> None:
-        if self.judged_ms is not None:
+        if self.learned_ms is not None:
             self.all_means.change(earned - self.earned, slowness - self.slowness)
         self.earned, self.slowness = earned, slowness
 
@@ -87,9 +87,9 @@
             self.limit = max(min(1.0, self.limit), self.limit / 2)
 
     def learn(self, now_ms: float, earned: float, slowness: float) -> None:
-        if self.judged_ms is None:
+        if self.learned_ms is None:
             self.all_means.add(self.earned, self.slowness)
-        self.judged_ms = now_ms
+        self.learned_ms = now_ms
         self.decay_towards(SMOOTHING_GAIN, earned, slowness)
 
     def adapt_limit(self, now_ms: float, latency_ms: float, strain: float, least: float) -> None:
@@ -125,7 +125,7 @@
     def end_cordon(self, now_ms: float) -> None:
         """Handles the end of a cordon."""
         self.reset()
-        self.back_ms, self.owed = now_ms, True
+        self.back_ms, self.unused = now_ms, True
         self.failures, self.paused_until_ms = 0, now_ms
         self.limit = max(self.limit, INITIAL_LIMIT)
         self.cold_until_ms = self._cold_until_ms()
--- a/cloverrouter/decide/membership.py
+++ b/cloverrouter/decide/membership.py
@@ -10,12 +10,12 @@
 from cloverrouter.decide.endpoint import Endpoint
 from cloverrouter.decide.flow import crowded
 from cloverrouter.interface import (
-    EndpointMemory,
+    DedupScope,
+    EndpointEstimates,
     EndpointsListed,
     EndpointState,
     ListedEndpoint,
     ListKind,
-    RepeatScope,
     Settings,
 )
 
@@ -43,7 +43,7 @@
         self.ready = self.all.members  # updated in place
         self.rings: dict[str, Ring] = defaultdict(indexes.Ring)  # the ready servers by zone; none is empty
         self.cells: dict[tuple[str, int], Ring] = defaultdict(indexes.Ring)  # and by cell
-        self.owed: dict[str, Endpoint] = {}  # sent nothing since the end of a cordon
+        self.unused: dict[str, Endpoint] = {}  # sent nothing since the end of a cordon
         self.cold: dict[str, Endpoint] = {}
         self._warming: list[tuple[float, str]] = []  # a heap of (time when warm, name)
         self.shares: dict[str, float] = {}  # share of this proxy's requests by zone
@@ -53,7 +53,7 @@
         self.cordons: dict[str, None] = {}  # outlive lists: a server that leaves and returns stays cordoned
         self.names: dict[str, None] = {}  # ever listed, the latest last
         self.back_ms: dict[str, float] = {}  # when cordons ended
-        self.memories: dict[str, EndpointMemory] = {}  # of endpoints not listed yet
+        self.restored_estimates: dict[str, EndpointEstimates] = {}  # of endpoints not listed yet
 
     def update(self, event: EndpointsListed) -> None:
         if event.kind is ListKind.FAILED:
@@ -87,9 +87,9 @@
         if endpoint is None:
             return
         self._unindex(endpoint)
-        if endpoint.judged_ms is not None:
+        if endpoint.learned_ms is not None:
             self.all_means.add(endpoint.earned, endpoint.slowness, -1)
-            endpoint.all_means, endpoint.judged_ms = indexes.PairMean(), None  # ignores late outcomes
+            endpoint.all_means, endpoint.learned_ms = indexes.PairMean(), None  # ignores late outcomes
 
     def _rings(self, endpoint: Endpoint) -> tuple[Ring, Ring, Ring]:
         """Returns the rings that contain the endpoint while it is ready."""
@@ -100,8 +100,8 @@
         if endpoint.listed.state is EndpointState.READY and not endpoint.cordoned:
             for ring in self._rings(endpoint):
                 ring.add(endpoint.listed.name, endpoint.weight, endpoint)
-            if endpoint.owed:
-                self.owed[endpoint.listed.name] = endpoint
+            if endpoint.unused:
+                self.unused[endpoint.listed.name] = endpoint
             if endpoint.cold_until_ms > float("-inf"):
                 self.cold[endpoint.listed.name] = endpoint
                 heappush(self._warming, (endpoint.cold_until_ms, endpoint.listed.name))
@@ -109,7 +109,7 @@
     def _unindex(self, endpoint: Endpoint) -> None:
         for ring in self._rings(endpoint):
             ring.discard(endpoint.listed.name)
-        self.owed.pop(endpoint.listed.name, None)
+        self.unused.pop(endpoint.listed.name, None)
         self.cold.pop(endpoint.listed.name, None)
         listed = endpoint.listed
         if not self.rings[listed.zone].members:
@@ -128,7 +128,7 @@
 
     def _restore(self, endpoint: Endpoint) -> None:
         """Restores what the previous balancer learned, if the server is still the same process."""
-        memory = self.memories.pop(endpoint.listed.name, None)
+        memory = self.restored_estimates.pop(endpoint.listed.name, None)
         if memory is None or not memory.is_same_process(endpoint.listed.started_ms):
             return
         endpoint.earned, endpoint.slowness = memory.earned, memory.slowness
@@ -210,10 +210,10 @@
             found += mine
         return found
 
-    def group(self, scope: RepeatScope, home: ListedEndpoint) -> Ring:
+    def group(self, scope: DedupScope, home: ListedEndpoint) -> Ring:
         """Returns the ready servers that deduplicate with `home`."""
-        if scope is RepeatScope.ALL:
+        if scope is DedupScope.ALL:
             return self.all
-        if scope is RepeatScope.ZONE:
+        if scope is DedupScope.ZONE:
             return self.rings.get(home.zone, Ring())
         return self.cells.get((home.zone, home.cell), Ring())
--- a/cloverrouter/decide/request.py
+++ b/cloverrouter/decide/request.py
@@ -6,7 +6,7 @@
 
 from cloverrouter.decide.budget import BACKOFF_BASE_MS
 from cloverrouter.decide.endpoint import Endpoint
-from cloverrouter.interface import Idempotency, ListedEndpoint, Outcome, RepeatScope, RequestClass
+from cloverrouter.interface import DedupScope, Idempotency, ListedEndpoint, Outcome, RequestClass
 
 NEVER_RAN = (Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.NOT_SENT)
 
@@ -32,16 +32,16 @@
     value: float  # worth per expected work
     attempts: list[Attempt] = field(default_factory=list)
     out: int = 0  # attempts in flight
-    prev_wait_ms: float = BACKOFF_BASE_MS
+    previous_wait_ms: float = BACKOFF_BASE_MS
     repeat: bool = False  # marked as a retry by its client
-    in_aim_until_ms: float = 0.0  # sent by then, it is likely to be answered within its aim
+    on_time_until_ms: float = 0.0  # sent by then, it is likely to be answered within its aim
     timer: int | None = None  # token of its only pending timer
     queue_number: int = 0  # its number in the queue; 0: not queued
     done: bool = False
     streaming: bool = False
     uploading: bool = False
 
-    def repeatable(self) -> bool:
+    def retryable(self) -> bool:
         return self.cls is not None and self.cls.idempotency is not Idempotency.UNSAFE
 
     def first_possible_run(self) -> Attempt | None:
@@ -52,12 +52,12 @@
         ran = self.first_possible_run()
         if ran is None or self.cls is None or self.cls.idempotency is not Idempotency.KEYED:
             return float("inf")
-        return ran.sent_ms + self.cls.repeat_window_ms
+        return ran.sent_ms + self.cls.dedup_window_ms
 
 
 def deduplicates(cls: RequestClass | None, home: ListedEndpoint, there: ListedEndpoint) -> bool:
     """Returns whether `there` deduplicates requests that may have run at `home`."""
-    if cls is None or cls.idempotency is not Idempotency.KEYED or cls.repeat_scope is RepeatScope.ALL:
+    if cls is None or cls.idempotency is not Idempotency.KEYED or cls.dedup_scope is DedupScope.ALL:
         return True
-    same_cell = cls.repeat_scope is RepeatScope.ZONE or home.cell == there.cell
+    same_cell = cls.dedup_scope is DedupScope.ZONE or home.cell == there.cell
     return home.zone == there.zone and same_cell
--- a/cloverrouter/explore/connections.py
+++ b/cloverrouter/explore/connections.py
@@ -14,7 +14,7 @@
 from collections.abc import Iterator
 from dataclasses import dataclass, replace
 
-from cloverrouter.core.connection import TABLE, Do, Event, Machine, State
+from cloverrouter.core.connection import TABLE, ConnectionAction, ConnectionMachine, Event, State
 
 EXCHANGES = 3
 NOISE = -1
@@ -130,9 +130,9 @@
         case "read":
             return _read(wire, current)
         case "held enough":
-            return _on(wire, Event.HELD_ENOUGH)
+            return _on(wire, Event.HOLD_EXPIRED)
         case "peer closes":
-            return _on(wire, Event.BROKE)
+            return _on(wire, Event.CONNECTION_LOST)
         case _:
             return _on(wire, Event.GIVEN_UP)
 
@@ -146,7 +146,7 @@
     if not wire.state.busy:
         return _on(wire, Event.STRAY)
     event = {
-        "whole": Event.WHOLE,
+        "whole": Event.COMPLETE,
         "open-ended": Event.OPEN_ENDED,
         "long": Event.LONG,
         "noise": Event.SPOILT,
@@ -158,19 +158,23 @@
 
 
 def _on(wire: Wire, event: Event) -> tuple[Wire, str]:
-    machine = Machine()
+    machine = ConnectionMachine()
     machine.state = wire.state
     do = machine.on(event)
     current, breach = wire.asked - 1, ""
     after = replace(wire, state=machine.state)
-    if wire.state is State.CLOSED and do is not Do.NOTHING:
+    if wire.state is State.CLOSED and do is not ConnectionAction.NOTHING:
         breach = f"closed: {do.value} on {event.value}"
-    ends = do in (Do.REST, Do.GIVE_AND_CLOSE, Do.FAIL_AND_CLOSE) or (do is Do.CLOSE and wire.state.busy)
+    ends = do in (
+        ConnectionAction.KEEP_OPEN,
+        ConnectionAction.DELIVER_AND_CLOSE,
+        ConnectionAction.FAIL_AND_CLOSE,
+    ) or (do is ConnectionAction.CLOSE and wire.state.busy)
     if ends:
         if current in wire.ended:
             breach = f"once: exchange {current} ends a second time"
         after = replace(after, ended=(*wire.ended, current))
-    if do in (Do.REST, Do.GIVE_AND_CLOSE) and not wire.whole_so_far:
+    if do in (ConnectionAction.KEEP_OPEN, ConnectionAction.DELIVER_AND_CLOSE) and not wire.whole_so_far:
         breach = f"mixed: exchange {current} is given what was not sent for it"
     return after, breach
 
--- a/cloverrouter/explore/faults.py
+++ b/cloverrouter/explore/faults.py
@@ -11,30 +11,30 @@
 
 from cloverrouter.core.lifecycle import Attempt, Call, Lifecycle
 from cloverrouter.core.states import (
-    Abandon,
+    AbortAttempt,
+    AttemptFinished,
     AttemptState,
-    BodyTaken,
+    AttemptTimedOut,
+    BodyConsumed,
     CallState,
+    DeliverFailure,
+    DeliverResponse,
     Effect,
-    Ended,
-    Forget,
-    GiveFailure,
-    Halted,
-    Happening,
-    PassOn,
-    Serve,
-    Tell,
-    TimeUp,
+    LifecycleEvent,
+    NotifyBalancer,
+    ProcessHalted,
+    ReleaseCall,
+    StreamHeldResponse,
 )
 from cloverrouter.decide import Attempt as Sent
 from cloverrouter.decide import Endpoint, Request
 from cloverrouter.explore.world import HedgingBalancer, World
 from cloverrouter.interface import (
     AttemptEnded,
+    ClientDisconnected,
     EndpointsListed,
     EndpointState,
     Outcome,
-    RequestGone,
     Send,
 )
 
@@ -55,7 +55,7 @@
                 attempt.outcome = Outcome.RESET
 
     def _retry(self, request: Request) -> None:
-        if not self._sleep(request):
+        if not self._schedule_retry(request):
             self._give_up(request)
 
 
@@ -63,7 +63,7 @@
     """While requests are held, servers that are told to drain stay in use."""
 
     def _on_list(self, event: EndpointsListed) -> None:
-        if self.held:
+        if self.queue:
             entries = tuple(
                 replace(e, state=EndpointState.READY) if e.state is EndpointState.DRAINING else e
                 for e in event.endpoints
@@ -86,7 +86,7 @@
 
     def _may_send(self, request: Request, endpoint: Endpoint) -> bool:
         attempts = request.attempts
-        request.attempts = [] if request.repeatable() and len(attempts) < 3 and not request.out else attempts
+        request.attempts = [] if request.retryable() and len(attempts) < 3 and not request.out else attempts
         try:
             return super()._may_send(request, endpoint)
         finally:
@@ -105,7 +105,7 @@
             request.attempts = attempts
 
     def _retry(self, request: Request) -> None:
-        if not (request.repeatable() and self._sleep(request)):
+        if not (request.retryable() and self._schedule_retry(request)):
             self._give_up(request)
 
 
@@ -122,9 +122,9 @@
 class RetriesForFree(HedgingBalancer):
     """Does not pay for the second retry of a request."""
 
-    def _sleep(self, request: Request) -> bool:
+    def _schedule_retry(self, request: Request) -> bool:
         tokens = self.budget.tokens
-        slept = super()._sleep(request)
+        slept = super()._schedule_retry(request)
         if slept:
             self.budget.tokens = tokens
         return slept
@@ -133,15 +133,15 @@
 class HoldsTooLong(HedgingBalancer):
     """Gives held requests their answer some time after they could use it."""
 
-    def _useless_ms(self, request: Request) -> float:
-        return super()._useless_ms(request) + (200.0 if not request.attempts else 0.0)
+    def _worthless_from_ms(self, request: Request) -> float:
+        return super()._worthless_from_ms(request) + (200.0 if not request.attempts else 0.0)
 
 
 class HoldsForEver(HedgingBalancer):
     """Sets no timer for a request that it holds."""
 
-    def _hold(self, request: Request) -> None:
-        super()._hold(request)
+    def _enqueue(self, request: Request) -> None:
+        super()._enqueue(request)
         self.actions = [a for a in self.actions if getattr(a, "token", None) != request.timer]
 
 
@@ -151,29 +151,32 @@
 class AnswersLeft(Lifecycle):
     """A success that crosses the client's leaving is given all the same."""
 
-    def _ended(self, now_ms: float, event: Ended) -> list[Effect]:
+    def _ended(self, now_ms: float, event: AttemptFinished) -> list[Effect]:
         call = self.calls.get(event.call)
         effects = super()._ended(now_ms, event)
         late = call is not None and call.state is CallState.LEFT and event.outcome is Outcome.OK
-        return [Serve(event.call, event.answer), *effects] if late else effects
+        return [DeliverResponse(event.call, event.answer), *effects] if late else effects
 
-    def _left(self, now_ms: float, call_id: int) -> list[Effect]:
+    def _client_disconnected(self, now_ms: float, call_id: int) -> list[Effect]:
         call = self.calls.get(call_id)
         if call is None or call.state.final:
             return []
-        effects = [*self._settle(now_ms, call, CallState.LEFT), Tell(RequestGone(call_id))]
-        return effects + self._forget_if_over(call)
+        effects = [
+            *self._make_final(now_ms, call, CallState.LEFT),
+            NotifyBalancer(ClientDisconnected(call_id)),
+        ]
+        return effects + self._release_if_done(call)
 
 
 class AnswersCopies(Lifecycle):
     """The answer of a second copy is given as well."""
 
-    def _ended(self, now_ms: float, event: Ended) -> list[Effect]:
+    def _ended(self, now_ms: float, event: AttemptFinished) -> list[Effect]:
         call = self.calls.get(event.call)
         was_final = call is not None and call.state is CallState.ANSWERED and event.attempt in call.out
         effects = super()._ended(now_ms, event)
         again = was_final and event.outcome is Outcome.OK and event.answer is not None
-        return [Serve(event.call, event.answer), *effects] if again else effects
+        return [DeliverResponse(event.call, event.answer), *effects] if again else effects
 
 
 class StaleTimers(Lifecycle):
@@ -182,8 +185,8 @@
     def _time_up(self, now_ms: float, call_id: int, number: int) -> list[Effect]:
         call = self.calls.get(call_id)
         if call is not None and number not in call.out and not call.state.final:
-            effects = self._settle(now_ms, call, CallState.ANSWERED)
-            return [*effects, GiveFailure(call_id), *self._forget_if_over(call)]
+            effects = self._make_final(now_ms, call, CallState.ANSWERED)
+            return [*effects, DeliverFailure(call_id), *self._release_if_done(call)]
         return super()._time_up(now_ms, call_id, number)
 
 
@@ -200,75 +203,75 @@
 class CallsNothingBack(Lifecycle):
     """What is still connecting when its server drains goes out."""
 
-    def _call_back(self, now_ms: float, unwanted: Callable[[Attempt], bool]) -> list[Effect]:
+    def _abort_unsent(self, now_ms: float, unwanted: Callable[[Attempt], bool]) -> list[Effect]:
         return []
 
 
 class SendsAfterAnswers(Lifecycle):
     """What is still connecting when its call is over goes out."""
 
-    def _settle(self, now_ms: float, call: Call, state: CallState) -> list[Effect]:
+    def _make_final(self, now_ms: float, call: Call, state: CallState) -> list[Effect]:
         if not call.state.final:
             call.state = state
-            self.owed -= 1
+            self.open_calls -= 1
         return []
 
-    def _left(self, now_ms: float, call_id: int) -> list[Effect]:
+    def _client_disconnected(self, now_ms: float, call_id: int) -> list[Effect]:
         call = self.calls.get(call_id)
         if call is None or call.state.final:
             return []
-        return [*self._settle(now_ms, call, CallState.LEFT), Tell(RequestGone(call_id))]
+        return [*self._make_final(now_ms, call, CallState.LEFT), NotifyBalancer(ClientDisconnected(call_id))]
 
 
 class ForgetsSpentBodies(Lifecycle):
     """Does not tell that a part of the body is gone."""
 
-    def on(self, now_ms: float, happening: Happening) -> list[Effect]:
-        return [] if isinstance(happening, BodyTaken) else super().on(now_ms, happening)
+    def on(self, now_ms: float, happening: LifecycleEvent) -> list[Effect]:
+        return [] if isinstance(happening, BodyConsumed) else super().on(now_ms, happening)
 
 
 class TakesWrittenForUnsent(Lifecycle):
     """Says of every attempt it abandons that it never ran."""
 
-    def _abandon(self, now_ms: float, call: Call, attempt: Attempt, outcome: Outcome) -> list[Effect]:
-        self._take_out(call, attempt)
+    def _abort(self, now_ms: float, call: Call, attempt: Attempt, outcome: Outcome) -> list[Effect]:
+        self._end_attempt(call, attempt)
         ended = AttemptEnded(call.id, attempt.number, Outcome.CONNECT_FAILED, 0.0, call.state.final)
-        return [Abandon(call.id, attempt.number), Tell(ended)]
+        return [AbortAttempt(call.id, attempt.number), NotifyBalancer(ended)]
 
 
 class ForgetsEarly(Lifecycle):
     """A call is forgotten with its answer, whatever is still out of it."""
 
-    def _forget_if_over(self, call: Call) -> list[Effect]:
+    def _release_if_done(self, call: Call) -> list[Effect]:
         if call.state.final and self.calls.pop(call.id, None) is not None:
-            return [Forget(call.id)]
+            return [ReleaseCall(call.id)]
         return []
 
 
 class PassesOnAnything(Lifecycle):
     """Passes answers on at the end of an attempt's time, whether or not any has begun."""
 
-    def on(self, now_ms: float, happening: Happening) -> list[Effect]:
-        if isinstance(happening, TimeUp):
+    def on(self, now_ms: float, happening: LifecycleEvent) -> list[Effect]:
+        if isinstance(happening, AttemptTimedOut):
             attempt = self._find(happening.call, happening.attempt)
             if attempt is not None and attempt.state is AttemptState.WRITTEN:
-                return [PassOn(happening.call, happening.attempt)]
+                return [StreamHeldResponse(happening.call, happening.attempt)]
         return super().on(now_ms, happening)
 
 
 class BeginsTwice(Lifecycle):
     """A second copy's answer begins although the first one's is being passed on."""
 
-    def _begun(self, now_ms: float, call_id: int, number: int) -> list[Effect]:
+    def _response_started(self, now_ms: float, call_id: int, number: int) -> list[Effect]:
         call = self.calls.get(call_id)
         kept = dict(call.out) if call is not None else {}
-        effects = super()._begun(now_ms, call_id, number)
+        effects = super()._response_started(now_ms, call_id, number)
         if call is not None and effects:
             call.out.update({n: a for n, a in kept.items() if n != number})
             for attempt in call.out.values():
                 if attempt.state is AttemptState.ENDED:
                     attempt.state = AttemptState.WRITTEN
-            return [e for e in effects if not isinstance(e, Abandon) and not _cancelled(e)]
+            return [e for e in effects if not isinstance(e, AbortAttempt) and not _cancelled(e)]
         return effects
 
 
@@ -277,15 +280,15 @@
 
     def _send(self, request: Request, endpoint: Endpoint) -> None:
         super()._send(request, endpoint)
-        self.actions[-1] = replace(cast(Send, self.actions[-1]), out_within_ms=float("inf"))
+        self.actions[-1] = replace(cast(Send, self.actions[-1]), send_within_ms=float("inf"))
 
 
 class MissesLeaversThatWait(Lifecycle):
     """A client that leaves while nothing of its request is out is not noticed."""
 
-    def _left(self, now_ms: float, call_id: int) -> list[Effect]:
+    def _client_disconnected(self, now_ms: float, call_id: int) -> list[Effect]:
         call = self.calls.get(call_id)
-        return super()._left(now_ms, call_id) if call is not None and call.out else []
+        return super()._client_disconnected(now_ms, call_id) if call is not None and call.out else []
 
 
 class HaltsOnlyWhatIsOut(Lifecycle):
@@ -303,15 +306,15 @@
 class TakesMoreAtTheEnd(Lifecycle):
     """What comes after the end of all is taken as ever."""
 
-    def on(self, now_ms: float, happening: Happening) -> list[Effect]:
+    def on(self, now_ms: float, happening: LifecycleEvent) -> list[Effect]:
         effects = super().on(now_ms, happening)
-        if isinstance(happening, Halted):
+        if isinstance(happening, ProcessHalted):
             self.halted = False
         return effects
 
 
 def _cancelled(effect: Effect) -> bool:
-    return isinstance(effect, Tell) and isinstance(effect.event, AttemptEnded)
+    return isinstance(effect, NotifyBalancer) and isinstance(effect.event, AttemptEnded)
 
 
 @dataclass(frozen=True, slots=True)
--- a/cloverrouter/explore/properties.py
+++ b/cloverrouter/explore/properties.py
@@ -53,8 +53,8 @@
     if out != len(world.wires):
         yield f"rest: the lifecycle has {out} attempts out, the network {len(world.wires)}"
     owed = sum(client.owed for client in world.clients.values())
-    if world.lifecycle.owed != owed:
-        yield f"rest: the lifecycle owes {world.lifecycle.owed} answers, the clients wait for {owed}"
+    if world.lifecycle.open_calls != owed:
+        yield f"rest: the lifecycle owes {world.lifecycle.open_calls} answers, the clients wait for {owed}"
     if world.budget.held < 0:
         yield f"rest: the budget of streams stands at {world.budget.held} bytes"
     flying = sum(e.in_flight for e in world.balancer.membership.endpoints.values())
@@ -86,7 +86,7 @@
     flying = {name: e.in_flight for name, e in balancer.membership.endpoints.items() if e.in_flight}
     if flying or balancer.flow.out:
         yield f"rest: still counted as in flight: {flying}, {balancer.flow.out} in all"
-    if list(balancer.held):
+    if list(balancer.queue):
         yield "rest: the module still holds a request"
     if timers:
         yield f"rest: {len(timers)} timers are left"
--- a/cloverrouter/explore/scope.py
+++ b/cloverrouter/explore/scope.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass, field
 
-from cloverrouter.interface import Idempotency, Limits, RepeatScope, RequestClass, Safety, Settings
+from cloverrouter.interface import DedupScope, Idempotency, Limits, RequestClass, Safety, Settings
 
 DEADLINE_MS = 400.0
 AIM_MS = 300.0
@@ -21,14 +21,14 @@
         worth=5.0,
         late_worth=0.1,
         idempotency=Idempotency.KEYED,
-        repeat_scope=RepeatScope.CELL,
-        repeat_window_ms=window_ms,
+        dedup_scope=DedupScope.CELL,
+        dedup_window_ms=window_ms,
     )
     dial_out = RequestClass("dial-out", aim_ms, deadline_ms, worth=8.0, idempotency=Idempotency.UNSAFE)
     return Settings(
         classes=(join, dial_out),
         proxies=1,
-        number=0,
+        proxy_index=0,
         limits=Limits(max_attempts=3, parallel_attempts=True, cancel=True),
         safety=Safety(cold_share=0.5, cold_ms=0.0),
     )
--- a/cloverrouter/explore/world.py
+++ b/cloverrouter/explore/world.py
@@ -19,31 +19,32 @@
 from cloverrouter.core.engine import Engine
 from cloverrouter.core.lifecycle import Lifecycle
 from cloverrouter.core.states import (
-    Abandon,
-    AnswerBegun,
-    AnswerHeld,
-    Begin,
-    BodyTaken,
+    AbortAttempt,
+    AttemptFinished,
+    AttemptTimedOut,
+    BodyConsumed,
+    DeliverFailure,
+    DeliverRefusal,
+    DeliverResponse,
     Effect,
-    Ended,
-    Forget,
-    GiveFailure,
-    GiveRefusal,
-    Halted,
-    Listed,
-    PassOn,
-    Serve,
-    SetDue,
-    Start,
-    TimeUp,
-    TooLate,
-    Written,
+    ProcessHalted,
+    ReleaseCall,
+    RequestWritten,
+    ResponseHeld,
+    ResponseStarted,
+    SendWindowExpired,
+    SetAttemptTimeout,
+    StartAttempt,
+    StartStreaming,
+    StreamHeldResponse,
+    TargetsListed,
 )
 from cloverrouter.decide import Balancer
 from cloverrouter.explore.choices import Choices
 from cloverrouter.explore.scope import Scope
 from cloverrouter.interface import (
     Action,
+    ClientDisconnected,
     Cordon,
     EndpointsListed,
     EndpointState,
@@ -51,14 +52,13 @@
     ListedEndpoint,
     ListKind,
     Outcome,
-    PartTaken,
     RequestArrived,
     RequestClass,
     RequestCompleted,
-    RequestGone,
     Send,
     SetTimer,
     Settings,
+    ShareAssigned,
     TimerFired,
 )
 from cloverrouter.proxy.streams import Budget, Upload
@@ -158,7 +158,7 @@
         request = self.requests.get(HEDGE - event.token) if event.token <= HEDGE else None
         if request is None:
             super()._on_timer(event)
-        elif not request.done and request.repeatable() and request.out == 1:
+        elif not request.done and request.retryable() and request.out == 1:
             self._try_send(request)
 
 
@@ -217,35 +217,35 @@
 
     def _carry_out(self, effect: Effect) -> None:
         match effect:
-            case Start():
+            case StartAttempt():
                 self._start(effect)
             case SetTimer(delay_ms, token):
                 self._add(self.now_ms + max(0.0, delay_ms), token)
-            case SetDue(call, attempt, timeout_ms):
+            case SetAttemptTimeout(call, attempt, timeout_ms):
                 self._drop_due((call, attempt))
                 self._add(self.now_ms + timeout_ms, None, (call, attempt))
-            case Abandon(call, attempt):
+            case AbortAttempt(call, attempt):
                 self._abandoned((call, attempt))
-            case PassOn(call, attempt):
+            case StreamHeldResponse(call, attempt):
                 wire = self.wires.get((call, attempt))
                 if wire is None or wire.phase is not Phase.HELD:
                     self.breach("held", f"asked to pass on {call}/{attempt}, of which nothing is held")
                 else:
                     self._begin((call, attempt))
-            case Begin(call, attempt):
+            case StartStreaming(call, attempt):
                 self._drop_due((call, attempt))
                 self.clients[call].streaming = attempt
-            case Serve(call, answer):
+            case DeliverResponse(call, answer):
                 self._give(call, "served")
                 if answer != f"answer {call}":
                     self.breach("answer", f"call {call} was served {answer!r}")
-            case GiveRefusal(call, _):
+            case DeliverRefusal(call, _):
                 self._give(call, "refused")
                 if any(not run.never_ran for run in self.clients[call].runs):
                     self.breach("refusal", f"call {call} is refused, and may have run")
-            case GiveFailure(call):
+            case DeliverFailure(call):
                 self._give(call, "failed")
-            case Forget(call):
+            case ReleaseCall(call):
                 if any(key[0] == call for key in self.wires):
                     self.breach("rest", f"call {call} is forgotten with an attempt still out")
                 if self.clients[call].owed:
@@ -256,7 +256,7 @@
     def breach(self, name: str, text: str) -> None:
         self.breaches.append(f"{name}: {text}")
 
-    def _start(self, start: Start) -> None:
+    def _start(self, start: StartAttempt) -> None:
         key, client = (start.call, start.attempt), self.clients[start.call]
         client.starts += 1
         if client.starts > 1 and not self.hedging:
@@ -274,8 +274,8 @@
             self.breach("body", f"call {key[0]} is sent again without a part of its body")
         if start.timeout_ms is not None:
             self._add(self.now_ms + start.timeout_ms, None, key)
-        if start.out_within_ms < float("inf"):
-            self._add(self.now_ms + start.out_within_ms, None, key, to_go_out=True)
+        if start.send_within_ms < float("inf"):
+            self._add(self.now_ms + start.send_within_ms, None, key, to_go_out=True)
 
     def _abandoned(self, key: Key) -> None:
         wire, client = self.wires.pop(key), self.clients[key[0]]
@@ -356,7 +356,7 @@
                 names.append(f"{'uncordon' if server.cordoned else 'cordon'} {name}")
         if not self.halted:
             names.append("halt")
-        names.append("part" if self.balancer.part == 1.0 else "whole")
+        names.append("part" if self.balancer.share == 1.0 else "whole")
         timers = self.live()
         due = [t for t in timers if t.due_ms == timers[0].due_ms] if timers else []
         names += [f"tick {i}" for i in range(len(due))]
@@ -403,9 +403,9 @@
             self._by_operator(kind, what)
         elif kind == "halt":
             self.halted = True
-            self.engine.take(Halted())
+            self.engine.take(ProcessHalted())
         elif kind in ("part", "whole"):
-            self.engine.take(PartTaken(0.5 if kind == "part" else 1.0))
+            self.engine.take(ShareAssigned(0.5 if kind == "part" else 1.0))
         elif kind == "tick":
             self._tick(int(what))
         elif kind == "wait":
@@ -424,12 +424,12 @@
 
     def _at_wire(self, kind: str, key: Key) -> None:
         if kind == "late":  # what the network still brings of an attempt that is over
-            self.engine.take(Written(*key))
-            self.engine.take(AnswerBegun(*key))
-            self.engine.take(Ended(*key, Outcome.OK, f"answer {key[0]}"))
+            self.engine.take(RequestWritten(*key))
+            self.engine.take(ResponseStarted(*key))
+            self.engine.take(AttemptFinished(*key, Outcome.OK, f"answer {key[0]}"))
             return
         if kind == "stale":  # a timer that was about to fire when it was called off
-            self.engine.take(TimeUp(*key))
+            self.engine.take(AttemptTimedOut(*key))
             return
         wire, client = self.wires.get(key), self.clients.get(key[0])
         if wire is None or client is None:
@@ -445,7 +445,7 @@
                 self._end(key, Outcome.CONNECT_FAILED)
             case "held":
                 wire.phase = Phase.HELD
-                self.engine.take(AnswerHeld(*key))
+                self.engine.take(ResponseHeld(*key))
             case "begun":
                 self._begin(key)
             case _:
@@ -473,15 +473,15 @@
             first = before[0]
             if self.servers[first.endpoint].cell != server.cell:
                 self.breach("repeat", f"call {key[0]} is repeated outside of its bay")
-            if self.now_ms > first.at_ms + cls.repeat_window_ms + SLACK_MS:
+            if self.now_ms > first.at_ms + cls.dedup_window_ms + SLACK_MS:
                 self.breach("repeat", f"call {key[0]} is repeated after its window")
         client.runs.append(Run(key[1], wire.endpoint, wire.started_ms))
-        self.engine.take(Written(*key))
+        self.engine.take(RequestWritten(*key))
 
     def _begin(self, key: Key) -> None:
         wire, client = self.wires[key], self.clients[key[0]]
         wire.phase = Phase.STREAMING
-        self.engine.take(AnswerBegun(*key))
+        self.engine.take(ResponseStarted(*key))
         if client.streaming != key[1] and key in self.wires:
             self._end(key, Outcome.SPOILT)  # not wanted: the connection ends
 
@@ -499,7 +499,7 @@
             Phase.WRITING,
         )
         answer = f"answer {key[0]}" if wire.phase is not Phase.STREAMING else None
-        self.engine.take(Ended(*key, Outcome.CONNECT_FAILED if early else outcome, answer))
+        self.engine.take(AttemptFinished(*key, Outcome.CONNECT_FAILED if early else outcome, answer))
 
     def _by_client(self, kind: str, call: int) -> None:
         if kind == "arrive":
@@ -518,7 +518,7 @@
         client = self.clients[call]
         if kind == "leave":
             client.left = True
-            self.engine.take(RequestGone(call))
+            self.engine.take(ClientDisconnected(call))
             self._drop_body(client)
         elif kind == "hedge":
             self.hedging = True
@@ -533,7 +533,7 @@
             self.engine.take(RequestCompleted(call, client.deadline_ms))
 
     def _body_taken(self, call: int) -> None:
-        self.engine.take(BodyTaken(call))
+        self.engine.take(BodyConsumed(call))
 
     def _read_on(self) -> None:
         """The client's connection may be read again; here it always is."""
@@ -563,7 +563,9 @@
             for name in names
         )
         ready = {name for name, server in self.servers.items() if server.state is EndpointState.READY}
-        self.engine.take(Listed(EndpointsListed(kind, entries), {name: name for name in sorted(ready)}))
+        self.engine.take(
+            TargetsListed(EndpointsListed(kind, entries), {name: name for name in sorted(ready)})
+        )
 
     def _tick(self, which: int) -> None:
         timers = self.live()
@@ -574,9 +576,9 @@
         if timer.token is not None:
             self.engine.take(TimerFired(timer.token))
         elif timer.to_go_out:
-            self.engine.take(TooLate(*timer.key))
+            self.engine.take(SendWindowExpired(*timer.key))
         else:
-            self.engine.take(TimeUp(*timer.key))
+            self.engine.take(AttemptTimedOut(*timer.key))
         self._check_time()
 
     def _check_time(self) -> None:
--- a/cloverrouter/handed.py
+++ b/cloverrouter/handed.py
@@ -4,19 +4,25 @@
 
 from cloverrouter.decide import Balancer
 from cloverrouter.decide.budget import BUDGET_CAPACITY
-from cloverrouter.interface import Census, ClassMemory, EndpointMemory, Memory, Settings
+from cloverrouter.interface import (
+    BalancerState,
+    EndpointCounts,
+    EndpointEstimates,
+    LatencyEstimates,
+    Settings,
+)
 
 
-def census(balancer: Balancer, now_ms: float) -> Census:
+def census(balancer: Balancer, now_ms: float) -> EndpointCounts:
     """How many servers are listed, and how many of them are left out now for what they are."""
     endpoints = balancer.membership.endpoints.values()
-    return Census(len(endpoints), sum(e.avoided(now_ms) for e in endpoints))
+    return EndpointCounts(len(endpoints), sum(e.avoided(now_ms) for e in endpoints))
 
 
-def memory_of(balancer: Balancer) -> Memory:
+def memory_of(balancer: Balancer) -> BalancerState:
     """For a balancer that takes over, before either is told its part."""
     members = balancer.membership
-    return Memory(
+    return BalancerState(
         cordons=tuple(members.cordons),
         listed=tuple(members.names),
         back_ms=tuple(members.back_ms.items()),
@@ -24,7 +30,7 @@
         peak_rate=balancer.warm_rate(),
         flow_limit=balancer.flow.limit,
         endpoints=tuple(
-            EndpointMemory(
+            EndpointEstimates(
                 name,
                 e.listed.started_ms,
                 e.earned,
@@ -36,13 +42,13 @@
             for name, e in members.endpoints.items()
         ),
         classes=tuple(
-            ClassMemory(name, usual.mean_ms, usual.base_ms, usual.slow_ratio, usual.seen)
+            LatencyEstimates(name, usual.mean_ms, usual.base_ms, usual.slow_ratio, usual.seen)
             for name, usual in balancer.latencies.items()
         ),
     )
 
 
-def restored(settings: Settings, seed: int, memory: Memory | None) -> Balancer:
+def restored(settings: Settings, seed: int, memory: BalancerState | None) -> Balancer:
     """A new balancer that goes on with what the one before knew; figures that can't be are mended."""
     balancer = Balancer(settings, seed)
     if memory is None:
@@ -51,9 +57,9 @@
     members.cordons = dict.fromkeys(memory.cordons)
     members.names = dict.fromkeys(memory.listed)
     members.back_ms = dict(memory.back_ms)
-    members.memories = {e.name: e for e in memory.endpoints}
+    members.restored_estimates = {e.name: e for e in memory.endpoints}
     balancer.budget.tokens = min(BUDGET_CAPACITY, memory.tokens)
-    balancer.handed_peak, balancer.flow.limit = memory.peak_rate, memory.flow_limit
+    balancer.restored_peak_rate, balancer.flow.limit = memory.peak_rate, memory.flow_limit
     for then in memory.classes:
         usual = balancer.latencies.get(then.name)
         if usual is not None:
--- a/cloverrouter/indexes.py
+++ b/cloverrouter/indexes.py
@@ -103,7 +103,7 @@
     @property
     def arrived_ms(self) -> float: ...
     @property
-    def in_aim_until_ms(self) -> float: ...
+    def on_time_until_ms(self) -> float: ...
 
     queue_number: int
 
@@ -131,7 +131,7 @@
         queued."""
         while self.on_time:
             entry = self.on_time[-1]
-            if is_queued(entry) and now_ms <= entry[2].in_aim_until_ms:
+            if is_queued(entry) and now_ms <= entry[2].on_time_until_ms:
                 return True, entry
             self.on_time.pop()
             if is_queued(entry):
@@ -153,7 +153,7 @@
         self.late = [entry for entry in self.late if is_queued(entry)]
 
 
-class Held(Generic[W]):
+class RequestQueue(Generic[W]):
     """Requests that wait for a server: the highest value first, the newest among equals.
 
     Requests that were already tried are kept apart from untried ones, which may go to any server: if one
@@ -161,7 +161,7 @@
     """
 
     def __init__(self) -> None:
-        self.fresh, self.tried = PriorityList[W](), PriorityList[W]()
+        self.untried, self.tried = PriorityList[W](), PriorityList[W]()
         self._ages: list[Entry[W]] = []  # a heap by arrival time
         self._number = 0
 
@@ -183,13 +183,13 @@
                 heappush(self._ages, (entry[2].arrived_ms, entry[1], entry[2]))
         return None
 
-    def pop(self, now_ms: float, fresh: bool) -> Entry[W] | None:
-        """Removes and returns the next entry; considers untried requests only if `fresh`."""
+    def pop(self, now_ms: float, untried: bool) -> Entry[W] | None:
+        """Removes and returns the next entry; considers untried requests only if `untried`."""
         best, line = self.tried.top(now_ms), self.tried
-        if fresh:
-            other = self.fresh.top(now_ms)
+        if untried:
+            other = self.untried.top(now_ms)
             if other is not None and (best is None or other > best):
-                best, line = other, self.fresh
+                best, line = other, self.untried
         if best is None:
             return None
         line.pop(best[0])
@@ -198,18 +198,18 @@
     def put_back(self, entries: list[Entry[W]]) -> None:
         """Inserts entries of requests that wait again or continue to wait."""
         for entry in entries:
-            insort((self.tried if entry[2].attempts else self.fresh).on_time, entry)
+            insort((self.tried if entry[2].attempts else self.untried).on_time, entry)
 
     def compact(self, most: int) -> None:
         """Removes entries that are no longer queued once there are more than `most`."""
         if len(self._ages) > most:
             self._ages = [entry for entry in self._ages if is_queued(entry)]
             heapify(self._ages)
-            for line in (self.fresh, self.tried):
+            for line in (self.untried, self.tried):
                 line.compact()
 
     def __iter__(self) -> Iterator[W]:
-        return (entry[2] for entry in (*self.fresh.entries(), *self.tried.entries()))
+        return (entry[2] for entry in (*self.untried.entries(), *self.tried.entries()))
 
     def __bool__(self) -> bool:
         return bool(self._ages)
--- a/cloverrouter/interface.py
+++ b/cloverrouter/interface.py
@@ -18,7 +18,7 @@
     UNSAFE = "unsafe"  # never
 
 
-class RepeatScope(Enum):
+class DedupScope(Enum):
     """Which endpoints share the deduplication of a keyed request."""
 
     ALL = "all"
@@ -68,8 +68,8 @@
     late_worth: float = 0.0  # fraction of the worth earned by an answer between aim and deadline
     aim_stretch: float = 0.0  # extends the aim by this multiple of the request's work
     idempotency: Idempotency = Idempotency.UNSAFE
-    repeat_scope: RepeatScope = RepeatScope.ALL
-    repeat_window_ms: float = 0.0
+    dedup_scope: DedupScope = DedupScope.ALL
+    dedup_window_ms: float = 0.0
     streamed: bool = False
 
 
@@ -94,10 +94,10 @@
 
     cold_share: float = 1.0  # an endpoint starts with at least this fraction of its capacity
     cold_ms: float = 0.0  # and is warm after this at the latest
-    push_multiple: float = 3.0  # a cold endpoint that is sent more than this multiple of its capacity
-    push_window_ms: float = 1000.0  # for this long is overloaded and fails
+    overload_multiple: float = 3.0  # a cold endpoint that is sent more than this multiple of its capacity
+    overload_window_ms: float = 1000.0  # for this long is overloaded and fails
     # Without a subscription, discovery must be polled at least this often
-    must_ask_ms: float = 10_000.0
+    max_poll_interval_ms: float = 10_000.0
     drain_grace_ms: float = 500.0  # sends are still allowed for this long after the drain notice
 
 
@@ -127,9 +127,9 @@
     zone: str = ""
     proxies: int = 1  # client proxies that send to the same endpoints, including this one
     # Index of this proxy, from 0; None: unknown, its ring position is drawn at random
-    number: int | None = None
+    proxy_index: int | None = None
     # Where this proxy's servers begin on the ring, 0 to 1; None: derived from the index
-    place: float | None = None
+    ring_position: float | None = None
     subscribe: bool = False  # discovery pushes changes only after a subscription
     report_fields: tuple[str, ...] = ()  # the fields of a load report, in order
     worth_by_work: bool = False  # worth counts per unit of work instead of per request
@@ -147,15 +147,15 @@
             raise ValueError("two classes share a name")
         if self.proxies < 1:
             raise ValueError("proxies must be at least 1, including this one")
-        if self.number is not None and not 0 <= self.number < self.proxies:
+        if self.proxy_index is not None and not 0 <= self.proxy_index < self.proxies:
             raise ValueError("proxy_index must be from 0 to proxies - 1")
-        if self.place is not None and not 0 <= self.place < 1:
+        if self.ring_position is not None and not 0 <= self.ring_position < 1:
             raise ValueError("ring_position must be at least 0 and below 1")
         if self.limits.max_attempts < 1:
             raise ValueError("limits.max_attempts must be at least 1")
         if not 0 < self.safety.cold_share <= 1:
             raise ValueError("safety.cold_share must be above 0 and at most 1")
-        if min(self.safety.push_multiple, self.safety.push_window_ms) <= 0:
+        if min(self.safety.overload_multiple, self.safety.overload_window_ms) <= 0:
             raise ValueError("safety.overload_multiple and safety.overload_window_ms must be positive")
         if self.safety.drain_grace_ms < 0:
             raise ValueError("safety.drain_grace_ms must not be negative")
@@ -163,9 +163,9 @@
     @property
     def ring_start(self) -> float | None:
         """Position on the ring where this proxy's servers begin, or None if it is not configured."""
-        if self.place is not None or self.number is None:
-            return self.place
-        return self.number / self.proxies
+        if self.ring_position is not None or self.proxy_index is None:
+            return self.ring_position
+        return self.proxy_index / self.proxies
 
 
 @dataclass(frozen=True, slots=True)
@@ -184,7 +184,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class EndpointMemory:
+class EndpointEstimates:
     """What a balancer learned about one endpoint, handed over to its successor."""
 
     name: str
@@ -206,7 +206,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ClassMemory:
+class LatencyEstimates:
     """What a balancer learned about one request class, handed over to its successor."""
 
     name: str
@@ -217,7 +217,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Memory:
+class BalancerState:
     """State handed over to the balancer that takes over on the same clock: operators' cordons, the counters
     that the rules apply to both balancers together, and learned estimates."""
 
@@ -227,12 +227,12 @@
     tokens: float = 0.0
     peak_rate: float = 0.0
     flow_limit: float = 0.0
-    endpoints: tuple[EndpointMemory, ...] = ()
-    classes: tuple[ClassMemory, ...] = ()
+    endpoints: tuple[EndpointEstimates, ...] = ()
+    classes: tuple[LatencyEstimates, ...] = ()
 
 
 @dataclass(frozen=True, slots=True)
-class Census:
+class EndpointCounts:
     """Number of listed endpoints and how many of them are excluded."""
 
     listed: int
@@ -291,11 +291,11 @@
     latency_ms: float
     answered: bool = False  # the client needs no further answer
     report: tuple[float, ...] | None = None
-    spent: bool = False  # part of the body was consumed, so the request cannot be sent again
+    body_consumed: bool = False  # part of the body was consumed, so the request cannot be sent again
 
 
 @dataclass(frozen=True, slots=True)
-class RequestGone:
+class ClientDisconnected:
     """The client disconnected and needs no answer."""
 
     request_id: int
@@ -321,19 +321,19 @@
 @dataclass(frozen=True, slots=True)
 class Cordon:
     """An operator excludes an endpoint regardless of the discovery lists, or ends that. Answered by
-    `Cordoned`."""
+    `CordonResult`."""
 
     endpoint: str
     on: bool
 
 
 @dataclass(frozen=True, slots=True)
-class PartTaken:
+class ShareAssigned:
     """Sets the fraction of the proxy's budgets that belongs to this balancer, while another balancer takes
     over or hands over and has the rest. A balancer alone has all of it."""
 
-    part: float
-    others_open: int = 0  # requests open at the other balancer
+    share: float
+    other_open_requests: int = 0  # requests open at the other balancer
 
 
 Event = (
@@ -342,11 +342,11 @@
     | RequestCompleted
     | StreamStarted
     | AttemptEnded
-    | RequestGone
+    | ClientDisconnected
     | TimerFired
     | ProbeEnded
     | Cordon
-    | PartTaken
+    | ShareAssigned
 )
 
 
@@ -361,7 +361,7 @@
     endpoint: str
     timeout_ms: float  # 0: no timeout while the request is uploading
     # the attempt is dropped unless its last byte is sent within this time
-    out_within_ms: float = float("inf")
+    send_within_ms: float = float("inf")
 
 
 @dataclass(frozen=True, slots=True)
@@ -424,7 +424,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Cordoned:
+class CordonResult:
     """The answer to `Cordon`."""
 
     endpoint: str
@@ -432,4 +432,4 @@
     known: bool  # False: the endpoint was never listed and nothing changed
 
 
-Action = Send | SetTimeout | Refuse | Fail | Cancel | SetTimer | Probe | Subscribe | Log | Cordoned
+Action = Send | SetTimeout | Refuse | Fail | Cancel | SetTimer | Probe | Subscribe | Log | CordonResult
--- a/cloverrouter/lab/policies.py
+++ b/cloverrouter/lab/policies.py
@@ -11,6 +11,7 @@
 from cloverrouter.interface import (
     Action,
     AttemptEnded,
+    ClientDisconnected,
     EndpointsListed,
     EndpointState,
     Event,
@@ -21,7 +22,6 @@
     Refuse,
     RequestArrived,
     RequestClass,
-    RequestGone,
     Send,
     Settings,
 )
@@ -68,7 +68,7 @@
                     actions.append(self._next(now_ms, event.request_id))
                 case AttemptEnded():
                     self._ended(now_ms, event, actions)
-                case RequestGone():
+                case ClientDisconnected():
                     self._open.pop(event.request_id, None)
                 case _:
                     pass
@@ -115,7 +115,7 @@
         if request.first_run is None or request.cls.idempotency is Idempotency.SAFE:
             return ready
         there, sent_ms = request.first_run
-        if request.cls.idempotency is Idempotency.UNSAFE or now_ms >= sent_ms + request.cls.repeat_window_ms:
+        if request.cls.idempotency is Idempotency.UNSAFE or now_ms >= sent_ms + request.cls.dedup_window_ms:
             return []
         return [e for e in ready if (e.zone, e.cell) == (there.zone, there.cell)]
 
--- a/cloverrouter/lab/scenario.py
+++ b/cloverrouter/lab/scenario.py
@@ -12,7 +12,7 @@
 import msgspec
 
 from cloverrouter.fleet.limits import Budget, Share, place
-from cloverrouter.interface import Idempotency, Limits, RepeatScope, RequestClass, Safety, Settings, Tenant
+from cloverrouter.interface import DedupScope, Idempotency, Limits, RequestClass, Safety, Settings, Tenant
 from cloverrouter.lab.bridge import Shape
 
 
@@ -312,7 +312,7 @@
     classes = tuple(
         RequestClass(
             c.name, c.aim_ms, c.deadline_ms, worth=c.worth, idempotency=REPEATS[c.repeats],
-            repeat_scope=RepeatScope.CELL, repeat_window_ms=s.fleet.bay_window_ms,
+            dedup_scope=DedupScope.CELL, dedup_window_ms=s.fleet.bay_window_ms,
         )
         for c in s.load.classes
     )  # fmt: skip
@@ -320,15 +320,15 @@
         classes=classes,
         zone=zone,
         proxies=s.proxies,
-        number=number,
-        place=place(share_of(s, number)) if s.budget is not None else None,
+        proxy_index=number,
+        ring_position=place(share_of(s, number)) if s.budget is not None else None,
         report_fields=s.fleet.reports,
         limits=Limits(max_attempts=s.max_attempts),
         safety=Safety(
             cold_share=s.fleet.cold_share,
             cold_ms=s.fleet.cold_ms,
-            push_multiple=s.fleet.fall_multiple,
-            push_window_ms=s.fleet.fall_ms,
+            overload_multiple=s.fleet.fall_multiple,
+            overload_window_ms=s.fleet.fall_ms,
         ),
         tenants=tuple(Tenant(m.name, m.quota) for m in s.load.members if m.quota is not None),
         over_quota_worth=s.load.over_quota_worth,
--- a/cloverrouter/lab/simulate.py
+++ b/cloverrouter/lab/simulate.py
@@ -16,31 +16,31 @@
 from cloverrouter.core.engine import Engine
 from cloverrouter.core.lifecycle import Lifecycle
 from cloverrouter.core.states import (
-    Abandon,
-    AnswerBegun,
-    Begin,
+    AbortAttempt,
+    AttemptFinished,
+    AttemptTimedOut,
+    DeliverFailure,
+    DeliverRefusal,
+    DeliverResponse,
     Effect,
-    Ended,
-    GiveFailure,
-    GiveRefusal,
-    Listed,
-    Serve,
-    SetDue,
-    Start,
-    TimeUp,
-    TooLate,
-    Written,
+    RequestWritten,
+    ResponseStarted,
+    SendWindowExpired,
+    SetAttemptTimeout,
+    StartAttempt,
+    StartStreaming,
+    TargetsListed,
 )
 from cloverrouter.fleet import limits
 from cloverrouter.fleet.limits import Limits
 from cloverrouter.interface import (
+    ClientDisconnected,
     EndpointsListed,
     EndpointState,
     ListedEndpoint,
     ListKind,
     Outcome,
     RequestArrived,
-    RequestGone,
     SetTimer,
     Settings,
     TimerFired,
@@ -145,7 +145,7 @@
             else:
                 self.targets.pop(entry.name, None)
                 self.drop_idle(entry.name)
-        self.engine.take(Listed(EndpointsListed(kind, entries), dict(self.targets)))
+        self.engine.take(TargetsListed(EndpointsListed(kind, entries), dict(self.targets)))
 
     # Its connections, and what the budget of the fleet allows it
 
@@ -202,19 +202,19 @@
     def _carry_out(self, effect: Effect) -> None:
         world = self.world
         match effect:
-            case Start():
+            case StartAttempt():
                 self._start(effect)
-            case Serve() | Begin():
+            case DeliverResponse() | StartStreaming():
                 world.answered(effect.call, "served")
             case SetTimer():
                 world.clock.after(max(0.0, effect.delay_ms), self._fire, effect.token)
-            case GiveRefusal():
+            case DeliverRefusal():
                 world.answered(effect.call, "refused")
-            case GiveFailure():
+            case DeliverFailure():
                 world.answered(effect.call, "failed")
-            case Abandon():
+            case AbortAttempt():
                 world.abandon(self.sent.pop((effect.call, effect.attempt)))
-            case SetDue():
+            case SetAttemptTimeout():
                 self._watch(self.sent[effect.call, effect.attempt], effect.timeout_ms)
             case _:
                 pass  # the lists come by themselves here
@@ -228,9 +228,9 @@
 
     def _time_up(self, sent: Sent, number: int) -> None:
         if sent.key in self.sent and sent.watch == number:
-            self.engine.take(TimeUp(*sent.key))
+            self.engine.take(AttemptTimedOut(*sent.key))
 
-    def _start(self, start: Start) -> None:
+    def _start(self, start: StartAttempt) -> None:
         key, world = (start.call, start.attempt), self.world
         ask = world.ask_of[start.call]
         job = Job(world.next_job(), ask.work, ask.key)
@@ -238,8 +238,8 @@
         sent = self.sent[key] = Sent(key, self, world.servers[start.endpoint], job, address)
         if start.timeout_ms is not None:
             self._watch(sent, start.timeout_ms)
-        if start.out_within_ms < float("inf"):
-            world.clock.after(start.out_within_ms, self.engine.take, TooLate(*key))
+        if start.send_within_ms < float("inf"):
+            world.clock.after(start.send_within_ms, self.engine.take, SendWindowExpired(*key))
         if self.idle.get(start.endpoint):
             self.idle[start.endpoint].pop()
             self.idle_count -= 1
@@ -251,7 +251,7 @@
         """Tell the core, if it still waits for it."""
         if self.sent.pop(sent.key, None) is not None:
             answer = "answer" if outcome is Outcome.OK else None
-            self.engine.take(Ended(*sent.key, outcome, answer, report))
+            self.engine.take(AttemptFinished(*sent.key, outcome, answer, report))
 
 
 class Simulation(World):
@@ -356,7 +356,7 @@
         if self.clock.now_ms < one.until_ms - 1e-6:  # before its time: its client has gone for good
             self.retries_left[one.ask] = 0
             self.judge.left(request, self.clock.now_ms)
-        self.proxies[self.proxy_of[request]].engine.take(RequestGone(request))
+        self.proxies[self.proxy_of[request]].engine.take(ClientDisconnected(request))
         self._retry(self.ask_of[request])
 
     def _retry(self, ask: load.Ask) -> None:
@@ -402,7 +402,7 @@
     def write(self, sent: Sent) -> None:
         """The request goes out whole."""
         sent.written = True
-        sent.proxy.engine.take(Written(*sent.key))
+        sent.proxy.engine.take(RequestWritten(*sent.key))
         self.clock.after(self._way_ms(sent.proxy, sent.server), self._reach, sent)
 
     def close(self, server: str, count: int) -> None:
@@ -474,7 +474,7 @@
         slowly_kb = ask.answer_bytes / 1024 - KEPT_KB
         if outcome is Outcome.OK and ask.reads_kb_s is not None and slowly_kb > 0:
             # Its connection is taken up until the client has read all but what is kept on the way.
-            sent.proxy.engine.take(AnswerBegun(*sent.key))
+            sent.proxy.engine.take(ResponseStarted(*sent.key))
             self.clock.after(slowly_kb / ask.reads_kb_s * 1000, self._passed_on, sent, report)
             return
         self._done(sent, outcome, report)
@@ -524,4 +524,4 @@
     def _silence_lists(self, spoilt: bool) -> None:
         """A list that can't be read is a call that failed, as one that does not come."""
         for proxy in self.proxies:
-            proxy.engine.take(Listed(EndpointsListed(ListKind.FAILED), dict(proxy.targets)))
+            proxy.engine.take(TargetsListed(EndpointsListed(ListKind.FAILED), dict(proxy.targets)))
--- a/cloverrouter/proxy/config.py
+++ b/cloverrouter/proxy/config.py
@@ -16,12 +16,12 @@
 from typing import Any, TypeVar
 
 from cloverrouter.interface import (
+    DedupScope,
     EndpointState,
     Idempotency,
     Limits,
     ListedEndpoint,
     Prices,
-    RepeatScope,
     RequestClass,
     Safety,
     Settings,
@@ -57,8 +57,8 @@
         late_worth=facts.get("late_worth", 0.0),
         aim_stretch=facts.get("aim_stretch", 0.0),
         idempotency=IDEMPOTENCY[facts["effect"]],
-        repeat_scope=RepeatScope(facts.get("group", "all")),
-        repeat_window_ms=facts.get("window_ms", 0.0),
+        dedup_scope=DedupScope(facts.get("group", "all")),
+        dedup_window_ms=facts.get("window_ms", 0.0),
         streamed=facts.get("stream", False),
     )
 
@@ -70,7 +70,7 @@
         classes=tuple(read_class(c) for c in facts["categories"]),
         zone=facts.get("zone", ""),
         proxies=facts["balancers"],
-        number=facts.get("ordinal"),
+        proxy_index=facts.get("ordinal"),
         subscribe=facts.get("discovery") == "subscribe",
         report_fields=tuple(facts.get("reporting", {}).get("fields", ())),
         worth_by_work=facts.get("counted_by") == "work",
@@ -88,9 +88,9 @@
         safety=Safety(
             cold_share=safety["cold_share"],
             cold_ms=safety["cold_ms"],
-            push_multiple=safety["fall_multiple"],
-            push_window_ms=safety["fall_ms"],
-            must_ask_ms=safety["must_ask_in_ms"],
+            overload_multiple=safety["fall_multiple"],
+            overload_window_ms=safety["fall_ms"],
+            max_poll_interval_ms=safety["must_ask_in_ms"],
             drain_grace_ms=safety.get("drain_grace_ms", 500.0),
         ),
         prices=Prices(
--- a/cloverrouter/proxy/handover.py
+++ b/cloverrouter/proxy/handover.py
@@ -23,7 +23,7 @@
 from pathlib import Path
 from typing import Any
 
-from cloverrouter.interface import ClassMemory, EndpointMemory, Memory
+from cloverrouter.interface import BalancerState, EndpointEstimates, LatencyEstimates
 from cloverrouter.proxy.config import Address, Json
 
 VERSION = 1  # of the state; the listening socket is of use whatever the state's version
@@ -41,11 +41,11 @@
     return Path(os.environ.get("TMPDIR") or tempfile.gettempdir(), f"cypresswinch-{host}-{listen[1]}.sock")
 
 
-def write_memory(memory: Memory) -> Json:
+def write_memory(memory: BalancerState) -> Json:
     return asdict(memory)
 
 
-def read_memory(found: Any, now_ms: float) -> Memory:
+def read_memory(found: Any, now_ms: float) -> BalancerState:
     """Raises ValueError for anything but a memory: the module believes what it is handed."""
 
     def number(value: Any) -> float:
@@ -64,7 +64,7 @@
         return tuple(map(text, value))
 
     try:
-        return Memory(
+        return BalancerState(
             cordons=names(found["cordons"]),
             listed=names(found["listed"]),
             back_ms=tuple((text(name), min(now_ms, number(at_ms))) for name, at_ms in found["back_ms"]),
@@ -72,7 +72,7 @@
             peak_rate=number(found["peak_rate"]),
             flow_limit=number(found["flow_limit"]),
             endpoints=tuple(
-                EndpointMemory(
+                EndpointEstimates(
                     name=text(e["name"]),
                     started_ms=None if e["started_ms"] is None else float(e["started_ms"]),
                     earned=number(e["earned"]),
@@ -85,7 +85,7 @@
                 for e in found["endpoints"]
             ),
             classes=tuple(
-                ClassMemory(
+                LatencyEstimates(
                     name=text(c["name"]),
                     mean_ms=number(c["mean_ms"]),
                     base_ms=number(c["base_ms"]),
--- a/cloverrouter/proxy/node.py
+++ b/cloverrouter/proxy/node.py
@@ -16,48 +16,48 @@
 from cloverrouter.core.engine import Engine
 from cloverrouter.core.lifecycle import Lifecycle
 from cloverrouter.core.states import (
-    Abandon,
-    AnswerBegun,
-    AnswerHeld,
-    AskDiscovery,
-    Begin,
-    BodyTaken,
+    AbortAttempt,
+    AttemptFinished,
+    AttemptTimedOut,
+    BodyConsumed,
+    DeliverFailure,
+    DeliverRefusal,
+    DeliverResponse,
     Effect,
-    Ended,
-    Forget,
-    GiveFailure,
-    GiveRefusal,
-    Halted,
-    Happening,
-    Listed,
-    Note,
-    PassOn,
-    Serve,
-    SetDue,
-    Start,
-    TimeUp,
-    TooLate,
-    Written,
+    LifecycleEvent,
+    ProcessHalted,
+    QueryDiscovery,
+    ReleaseCall,
+    RequestWritten,
+    ResponseHeld,
+    ResponseStarted,
+    SendWindowExpired,
+    SetAttemptTimeout,
+    StartAttempt,
+    StartStreaming,
+    StreamHeldResponse,
+    TargetsListed,
+    WriteLog,
 )
 from cloverrouter.fleet import sentinel
 from cloverrouter.fleet.sentinel import Say, Sentinel, Verdict
 from cloverrouter.handed import census, memory_of, restored
 from cloverrouter.interface import (
-    Census,
+    BalancerState,
+    ClientDisconnected,
     Cordon,
-    Cordoned,
+    CordonResult,
+    EndpointCounts,
     EndpointsListed,
     EndpointState,
     ListKind,
-    Memory,
     Outcome,
-    PartTaken,
     ProbeEnded,
     RequestArrived,
     RequestCompleted,
-    RequestGone,
     SetTimer,
     Settings,
+    ShareAssigned,
     TimerFired,
 )
 from cloverrouter.proxy.config import Address, HostEntry, HostList
@@ -170,7 +170,7 @@
             self.exchange.due_s = timer.when()
 
     def time_up(self) -> None:
-        self.node.take(TimeUp(self.call_id, self.attempt))
+        self.node.take(AttemptTimedOut(self.call_id, self.attempt))
         self.node.time_up(self)
 
     def wanted(self) -> bool:
@@ -180,18 +180,18 @@
         return not self.node.left(self)
 
     def too_late(self) -> None:
-        self.node.take(TooLate(self.call_id, self.attempt))
+        self.node.take(SendWindowExpired(self.call_id, self.attempt))
 
     def written(self) -> None:
-        self.node.take(Written(self.call_id, self.attempt))
+        self.node.take(RequestWritten(self.call_id, self.attempt))
 
     def held(self) -> None:
-        self.node.take(AnswerHeld(self.call_id, self.attempt))
+        self.node.take(ResponseHeld(self.call_id, self.attempt))
 
     def begun(self, head: StreamHead, source: Source) -> Sink | None:
         """Where the answer goes; None if nobody wants it."""
         self.head, self.source = head, source
-        self.node.take(AnswerBegun(self.call_id, self.attempt))
+        self.node.take(ResponseStarted(self.call_id, self.attempt))
         return self.sink
 
     def ended(self, outcome: Outcome, answer: Answer | None) -> None:
@@ -206,7 +206,7 @@
         upstream: Upstream,
         subscribe: Callable[[], None],
         crash: Callable[[BaseException], None],
-        memory: Memory | None = None,
+        memory: BalancerState | None = None,
         say: Callable[[bytes], None] | None = None,
     ) -> None:
         """`say` sends a datagram to all other proxies, where there are any to talk to."""
@@ -235,7 +235,7 @@
         # Danger: a server that drains is told of in bytes that lie unread while the process stands still, and
         # the grace runs.
         self._lag = LagMeter(settings.safety.drain_grace_ms / 1000 * STILL_SHARE)
-        self._cordoned: Cordoned | None = None  # the latest answer to an operator
+        self._cordoned: CordonResult | None = None  # the latest answer to an operator
         self._say = say
         self._sentinel: Sentinel | None = None
         if say is not None:
@@ -248,11 +248,11 @@
         # Danger: a process that owes its machine the time of its start may read a clock that stands still
         # while answers come. By what seems to take no time, all that comes later is far too slow.
         if read_ms == self._read_ms:
-            self._lifecycle.untimed_ms = self._now_ms
+            self._lifecycle.untimed_until_ms = self._now_ms
         self._read_ms = read_ms
         return self._now_ms
 
-    def take(self, happening: Happening) -> None:
+    def take(self, happening: LifecycleEvent) -> None:
         """Something has happened: all that follows from it is done before this returns."""
         try:
             self._engine.take(happening)
@@ -262,13 +262,13 @@
 
     def _carry_out(self, effect: Effect) -> None:
         # What every request has comes first, and is looked for in the cheapest way.
-        if type(effect) is Start:
+        if type(effect) is StartAttempt:
             self._start(effect)
             return
-        if type(effect) is Serve:
+        if type(effect) is DeliverResponse:
             self._calls[effect.call].served(cast(Answer, effect.answer))
             return
-        if type(effect) is Forget:
+        if type(effect) is ReleaseCall:
             call = self._calls.pop(effect.call)
             del self._numbers[call]
             self._ids.discard(call.request_id)
@@ -276,27 +276,27 @@
         match effect:
             case SetTimer():
                 self._set_timer(effect)
-            case Abandon(call_id, number):
+            case AbortAttempt(call_id, number):
                 self._abandon(self._out.pop((call_id, number)))
-            case GiveRefusal(call_id, retry_after_ms):
+            case DeliverRefusal(call_id, retry_after_ms):
                 self._calls[call_id].refused(retry_after_ms)
-            case GiveFailure(call_id):
+            case DeliverFailure(call_id):
                 self._calls[call_id].failed()
-            case Begin(call_id, number):
+            case StartStreaming(call_id, number):
                 out = self._out[call_id, number]
                 out.watch(None)
                 assert out.head is not None and out.source is not None
                 out.sink = self._calls[call_id].begun(out.head, out.source)
-            case SetDue(call_id, number, timeout_ms):
+            case SetAttemptTimeout(call_id, number, timeout_ms):
                 out = self._out[call_id, number]
                 out.watch(self._loop.call_later(timeout_ms / 1000, out.time_up))
-            case PassOn(call_id, number):
+            case StreamHeldResponse(call_id, number):
                 self._pass_on(self._out[call_id, number])
-            case AskDiscovery():
+            case QueryDiscovery():
                 self._subscribe()
-            case Note(text):
+            case WriteLog(text):
                 log.info("%s", text)
-            case Cordoned():
+            case CordonResult():
                 self._cordoned = effect
 
     def _set_timer(self, action: SetTimer) -> None:
@@ -317,7 +317,7 @@
     @property
     def owed(self) -> int:
         """Calls whose final answer has not been given."""
-        return self._lifecycle.owed
+        return self._lifecycle.open_calls
 
     def is_open(self, request_id: bytes) -> bool:
         """Is an answer owed under this id, or an attempt still out?"""
@@ -330,7 +330,7 @@
         self._calls[call_id], self._numbers[call] = call, call_id
         self._ids.add(call.request_id)
         if upload is not None:
-            upload.on_spent = lambda: self.take(BodyTaken(call_id))
+            upload.on_spent = lambda: self.take(BodyConsumed(call_id))
         self.take(
             RequestArrived(
                 request_id=call_id,
@@ -361,11 +361,11 @@
         """The client has left: nobody wants what its attempts would bring."""
         call_id = self._numbers.get(call)
         if call_id is not None:
-            self.take(RequestGone(call_id))
+            self.take(ClientDisconnected(call_id))
 
     def halt(self) -> None:
         """The process is killed next: all that is owed is answered now."""
-        self.take(Halted())
+        self.take(ProcessHalted())
 
     @property
     def longest_ms(self) -> float:
@@ -374,7 +374,7 @@
 
     # Attempts
 
-    def _start(self, start: Start) -> None:
+    def _start(self, start: StartAttempt) -> None:
         call, key = self._calls[start.call], (start.call, start.attempt)
         out = self._out[key] = Out(self, start.call, start.attempt, start.endpoint, self._now_ms)
         timeout_ms = start.timeout_ms
@@ -382,8 +382,8 @@
             timeout_ms = call.timeout_ms or self._longest_ms
         else:
             out.watch(self._loop.call_later(timeout_ms / 1000, out.time_up))
-        if start.out_within_ms < float("inf"):
-            out.out_by_s = self.clock_s() + start.out_within_ms / 1000
+        if start.send_within_ms < float("inf"):
+            out.out_by_s = self.clock_s() + start.send_within_ms / 1000
             self._loop.call_at(out.out_by_s, out.too_late)
         if self.left(out):
             return
@@ -424,7 +424,7 @@
         out.watch(None)
         self._heard_of(out, outcome)
         report = read_report(answer.report, self._settings.report_fields) if answer is not None else None
-        self.take(Ended(out.call_id, out.attempt, outcome, answer, report))
+        self.take(AttemptFinished(out.call_id, out.attempt, outcome, answer, report))
 
     # Whether servers are of any use
 
@@ -481,7 +481,7 @@
             self._sentinel.listed(self._addresses)
         event = EndpointsListed(kind, tuple(entry.listed for entry in found.entries))
         targets: dict[str, Hashable] = {**self._addresses}
-        self.take(Listed(event, targets))
+        self.take(TargetsListed(event, targets))
 
     # Operators, and a process beside this one
 
@@ -489,25 +489,25 @@
         """The module's yes or no."""
         self._cordoned = None
         self.take(Cordon(endpoint, on))
-        answer: Cordoned | None = self._cordoned
+        answer: CordonResult | None = self._cordoned
         if answer is None or not answer.known:
             return False
         if on:
             self._upstream.drop_idle(endpoint)
         return True
 
-    def census(self) -> Census:
+    def census(self) -> EndpointCounts:
         return census(self._balancer, self.now_ms())
 
-    def memory(self) -> Memory:
+    def memory(self) -> BalancerState:
         return memory_of(self._balancer)
 
     def take_part(self, part: float, others_open: int = 0) -> None:
-        self.take(PartTaken(part, others_open))
+        self.take(ShareAssigned(part, others_open))
 
     def known(self, version: int | None) -> HostList | None:
         """The list as it stands, for a process that comes after; None before there is one."""
         return HostList(version or 0, True, tuple(self._entries.values())) if self._entries else None
 
     def discovery_failed(self) -> None:
-        self.take(Listed(EndpointsListed(ListKind.FAILED), self._lifecycle.targets))
+        self.take(TargetsListed(EndpointsListed(ListKind.FAILED), self._lifecycle.targets))
--- a/cloverrouter/proxy/program.py
+++ b/cloverrouter/proxy/program.py
@@ -9,8 +9,8 @@
 import socket
 from random import Random
 
-from cloverrouter.core.leaving import Do, Leaving, Seen
-from cloverrouter.interface import ListKind, Memory
+from cloverrouter.core.shutdown import Observation, Shutdown, ShutdownAction
+from cloverrouter.interface import BalancerState, ListKind
 from cloverrouter.proxy import config, handover
 from cloverrouter.proxy.admin import Admin
 from cloverrouter.proxy.config import Address, Config, HostList, Json
@@ -236,7 +236,7 @@
             log.warning("the list of the process before is of no use: %s", error)
             return None
 
-    def _memory(self) -> Memory | None:
+    def _memory(self) -> BalancerState | None:
         state = self._state_before
         try:
             return handover.read_memory(state["memory"], self._loop.time() * 1000) if state else None
@@ -320,32 +320,34 @@
     # Leaving
 
     async def _drain(self) -> None:
-        """Leave without losing what was taken: carries out what `core.leaving` says. It ends by itself."""
+        """Leave without losing what was taken: carries out what `core.shutdown` says. It ends by itself."""
         self._draining = True
         loop, frontend, node = self._loop, self._frontend, self._node
         # The front asks this address whether to come; where another process serves it already, it may.
         frontend.unavailable = frontend.unavailable or not self._links
         frontend.send_away()
-        leaving = Leaving()
-        leaving.told(loop.time(), node.longest_ms / 1000)
+        leaving = Shutdown()
+        leaving.begin(loop.time(), node.longest_ms / 1000)
         nobody_waits = taken_in = False
         while not leaving.over:
             moving = not node.owed and frontend.moving
-            seen = Seen(node.owed, frontend.open, self._successor is not None, nobody_waits, taken_in, moving)
+            seen = Observation(
+                node.owed, frontend.open, self._successor is not None, nobody_waits, taken_in, moving
+            )
             nobody_waits = taken_in = False
-            for do in leaving.look(loop.time(), seen):
+            for do in leaving.next_actions(loop.time(), seen):
                 match do:
-                    case Do.CLOSE_QUIET:
+                    case ShutdownAction.CLOSE_QUIET:
                         frontend.close_idle()
-                    case Do.CLOSE_SILENT:
+                    case ShutdownAction.CLOSE_SILENT:
                         frontend.close_silent()
-                    case Do.END_HALF_SENT:
+                    case ShutdownAction.FAIL_INCOMPLETE:
                         frontend.end_half_sent()
-                    case Do.HALT:
+                    case ShutdownAction.HALT:
                         owed = node.owed
                         node.halt()
                         log.warning("%d requests are failed: no time is left", owed - node.owed)
-                    case Do.TAKE_IN:
+                    case ShutdownAction.ACCEPT_WAITING:
                         taken_in = frontend.take_in()
                         nobody_waits = not taken_in
             # Danger: whoever comes between this look and the next would be lost with the listener.
--- a/cloverrouter/proxy/upstream.py
+++ b/cloverrouter/proxy/upstream.py
@@ -15,7 +15,7 @@
 
 import httptools
 
-from cloverrouter.core.connection import Do, Event, Machine, State
+from cloverrouter.core.connection import ConnectionAction, ConnectionMachine, Event, State
 from cloverrouter.http.idle import IdlePool, close_longest_idle
 from cloverrouter.http.sockets import READ_BYTES, open_socket, unread
 from cloverrouter.interface import Outcome
@@ -160,7 +160,7 @@
         self._sock = sock
         self._parser: httptools.HttpResponseParser | None = httptools.HttpResponseParser(self)
         self._transport: asyncio.Transport | None = None
-        self._machine = Machine()
+        self._machine = ConnectionMachine()
         self._exchange: Exchange | None = None
         self._received = 0
         self._moved_s = 0.0  # when something last went or came on it
@@ -301,19 +301,19 @@
             self._complete, self._keep = True, False
             self._finish()
         else:
-            self._lose("", Event.BROKE)
+            self._lose("", Event.CONNECTION_LOST)
 
     def connection_lost(self, exc: Exception | None) -> None:
         self._transport = None
         self._parser = None  # danger: the two hold each other, and would wait for the cycle collector
         self._pool.upstream.connections.discard(self)
-        self._lose("", Event.BROKE)
+        self._lose("", Event.CONNECTION_LOST)
 
     def _lose(self, spoilt: str, event: Event) -> None:
         """The connection is of no further use, nor is what came on it."""
         exchange, do = self._exchange, self._machine.on(event)
         self.abort()
-        if do is not Do.FAIL_AND_CLOSE or exchange is None:
+        if do is not ConnectionAction.FAIL_AND_CLOSE or exchange is None:
             return
         if not exchange.written:
             exchange.end(Outcome.CONNECT_FAILED)
@@ -340,7 +340,7 @@
             self._report,
         )
         last = self._surplus or not self._keep or not exchange.written
-        if self._machine.on(Event.LAST if last else Event.WHOLE) is Do.REST:
+        if self._machine.on(Event.COMPLETE_LAST if last else Event.COMPLETE) is ConnectionAction.KEEP_OPEN:
             self._pool.put(self)
         else:
             self.abort()
@@ -393,7 +393,7 @@
         if self._parser.get_status_code() == 200 and not self._spoilt:
             if self._length is not None and self._length > SMALL:
                 self._stream(Event.LONG)
-            elif self._length is None and self._machine.on(Event.OPEN_ENDED) is Do.HOLD:
+            elif self._length is None and self._machine.on(Event.OPEN_ENDED) is ConnectionAction.HOLD:
                 loop, exchange = self._pool.upstream.loop, self._exchange
                 assert exchange is not None
                 exchange.on_held()
@@ -405,19 +405,19 @@
         """See `Exchange.pass_on`."""
         if exchange is not self._exchange or self._machine.state is not State.HOLDING:
             return False
-        self._stream(Event.HELD_ENOUGH)
+        self._stream(Event.HOLD_EXPIRED)
         return self._sink is not None
 
     def _held_enough(self) -> None:
         if self._machine.state is State.HOLDING:
-            self._stream(Event.HELD_ENOUGH)
+            self._stream(Event.HOLD_EXPIRED)
             if self._sink is None:
                 self._lose(self._spoilt, Event.UNWANTED)
 
     def _stream(self, event: Event) -> None:
         """From here on the answer is passed on while it comes, if somebody takes it."""
         exchange = self._exchange
-        if self._spoilt or self._machine.on(event) is not Do.PASS_ON or exchange is None:
+        if self._spoilt or self._machine.on(event) is not ConnectionAction.STREAM or exchange is None:
             return
         if not exchange.written:
             self._spoilt = "an answer before the request"
--- a/tests/cold_world.py
+++ b/tests/cold_world.py
@@ -39,9 +39,9 @@
 CORES, WORK_MS = 4, 100.0  # per server; mean work of a request
 RATE = CORES / WORK_MS  # requests per millisecond that a warm server can serve
 WARM_UP_MS = 3000.0  # duration of the traffic before the servers start
-SAFETY = Safety(cold_share=0.12, cold_ms=6000.0, push_multiple=3.0, push_window_ms=2000.0)
+SAFETY = Safety(cold_share=0.12, cold_ms=6000.0, overload_multiple=3.0, overload_window_ms=2000.0)
 REQUEST_CLASS = RequestClass(
-    "asked", aim_ms=600, deadline_ms=2000, idempotency=Idempotency.KEYED, repeat_window_ms=9e9
+    "asked", aim_ms=600, deadline_ms=2000, idempotency=Idempotency.KEYED, dedup_window_ms=9e9
 )
 
 
@@ -81,9 +81,11 @@
         warmth = self.warmth(now_ms)
         if warmth < 1:
             self.sent_ms.append(now_ms)
-            while self.sent_ms[0] < now_ms - SAFETY.push_window_ms:
+            while self.sent_ms[0] < now_ms - SAFETY.overload_window_ms:
                 self.sent_ms.popleft()
-            allowed = SAFETY.push_multiple * RATE * self.warmth(self.sent_ms[0]) * SAFETY.push_window_ms
+            allowed = (
+                SAFETY.overload_multiple * RATE * self.warmth(self.sent_ms[0]) * SAFETY.overload_window_ms
+            )
             self.most = max(self.most, len(self.sent_ms) / (allowed + 3 * sqrt(allowed) + 3))
         return WORK_MS / warmth * max(1.0, self.busy / CORES)
 
@@ -110,7 +112,7 @@
     def _new(self, number: int) -> Balancer:
         limits = Limits(max_attempts=3)
         config = Settings(
-            (REQUEST_CLASS,), proxies=self.plan.proxies, number=number, limits=limits, safety=SAFETY
+            (REQUEST_CLASS,), proxies=self.plan.proxies, proxy_index=number, limits=limits, safety=SAFETY
         )
         return Balancer(config, self.random.randrange(1 << 30))
 
--- a/tests/driver.py
+++ b/tests/driver.py
@@ -9,6 +9,7 @@
 from cloverrouter.interface import (
     Action,
     AttemptEnded,
+    DedupScope,
     EndpointsListed,
     EndpointState,
     Event,
@@ -17,7 +18,6 @@
     ListedEndpoint,
     ListKind,
     Outcome,
-    RepeatScope,
     RequestArrived,
     RequestClass,
     Safety,
@@ -33,15 +33,15 @@
     SAFE,
     name="keyed",
     idempotency=Idempotency.KEYED,
-    repeat_scope=RepeatScope.ZONE,
-    repeat_window_ms=800,
+    dedup_scope=DedupScope.ZONE,
+    dedup_window_ms=800,
 )
 SETTINGS = Settings(
     classes=(SAFE, UNSAFE, KEYED),
     zone="a",
     proxies=3,
     limits=Limits(max_attempts=4),
-    safety=Safety(cold_share=0.2, cold_ms=10_000, push_multiple=3, push_window_ms=1500),
+    safety=Safety(cold_share=0.2, cold_ms=10_000, overload_multiple=3, overload_window_ms=1500),
 )
 
 
--- a/tests/test_closing.py
+++ b/tests/test_closing.py
@@ -19,7 +19,13 @@
 
 import pytest
 
-from cloverrouter.core.leaving import LAST_BYTES_S, STILL_COMING_S, Do, Leaving, Seen
+from cloverrouter.core.shutdown import (
+    INCOMPLETE_REQUEST_S,
+    NEW_CONNECTIONS_S,
+    Observation,
+    Shutdown,
+    ShutdownAction,
+)
 from cloverrouter.interface import Outcome
 from cloverrouter.proxy import config
 from cloverrouter.proxy import frontend as frontend_module
@@ -282,7 +288,7 @@
             assert [c.sending for c in it._frontend._connections] == [True]
             it.stop()
             # Nobody reads, for longer than last bytes were waited for before.
-            await asyncio.sleep(STILL_COMING_S + 2 * LAST_BYTES_S + 0.5)
+            await asyncio.sleep(NEW_CONNECTIONS_S + 2 * INCOMPLETE_REQUEST_S + 0.5)
             assert not ended.done()
             rest, orderly = await all_of(sock)
             assert orderly and len(body) < got + len(rest) < len(body) + 1000
@@ -314,17 +320,17 @@
     """A client that never ends its request keeps a connection open up to the end; the end comes without it,
     but not in a look at which somebody else waits in the listener's queue."""
     came: list[socket.socket] = []
-    real = Leaving.look
+    real = Shutdown.next_actions
 
-    def look(self: Leaving, now_s: float, seen: Seen) -> list[Do]:
+    def next_actions(self: Shutdown, now_s: float, seen: Observation) -> list[ShutdownAction]:
         do = real(self, now_s, seen)
-        if not came and (self.over or Do.TAKE_IN in do):
+        if not came and (self.over or ShutdownAction.ACCEPT_WAITING in do):
             came.append(socket.create_connection(made[0]._told.listen))
             came[0].sendall(ask())
         return do
 
     made: list[Program] = []
-    monkeypatch.setattr(Leaving, "look", look)
+    monkeypatch.setattr(Shutdown, "next_actions", next_actions)
 
     async def scene() -> None:
         discovery, host = Discovery(), await Host("h").start()
--- a/tests/test_cordon.py
+++ b/tests/test_cordon.py
@@ -16,15 +16,15 @@
     Action,
     AttemptEnded,
     Cordon,
-    Cordoned,
+    CordonResult,
     EndpointsListed,
     EndpointState,
     ListKind,
     Outcome,
-    PartTaken,
     Refuse,
     RequestArrived,
     Send,
+    ShareAssigned,
 )
 from cloverrouter.proxy.handover import read_memory, write_memory
 from tests.driver import SETTINGS, Driver, delta, endpoint, full
@@ -37,7 +37,7 @@
 
 
 def ask(driver: Driver, name: str, on: bool) -> bool:
-    (answer,) = [a for a in driver.tell(Cordon(name, on)) if isinstance(a, Cordoned)]
+    (answer,) = [a for a in driver.tell(Cordon(name, on)) if isinstance(a, CordonResult)]
     assert (answer.endpoint, answer.on) == (name, on)
     return answer.known
 
@@ -205,8 +205,8 @@
     memory = read_memory(told, driver.now_ms)
     after = restored(SETTINGS, 5, memory)
     listed = (endpoint("s1"), endpoint("s2"), endpoint("s3", started_ms=900.5))
-    after.handle(driver.now_ms, [EndpointsListed(ListKind.RESTORED, listed), PartTaken(0.5)])
-    driver.tell(PartTaken(0.5))
+    after.handle(driver.now_ms, [EndpointsListed(ListKind.RESTORED, listed), ShareAssigned(0.5)])
+    driver.tell(ShareAssigned(0.5))
     assert after.budget.tokens == driver.balancer.budget.tokens == 21.0  # not twice the whole
     sent = sent_to(after.handle(driver.now_ms, [RequestArrived(i, "safe") for i in range(9)]))
     assert sent
@@ -214,7 +214,7 @@
     before = driver.balancer.membership.endpoints["s2"]
     assert after.membership.endpoints["s2"].earned == before.earned
     answers = after.handle(driver.now_ms, [Cordon("s9", True), Cordon("s3", True)])
-    assert [a.known for a in answers if isinstance(a, Cordoned)] == [False, True]
+    assert [a.known for a in answers if isinstance(a, CordonResult)] == [False, True]
 
 
 @pytest.mark.parametrize("spoil", ["tokens", "cordons", "endpoints", "classes"])
@@ -233,8 +233,8 @@
             Driver(endpoints=[endpoint("cold", started_ms=1000.0)], seed=i) for i, _ in enumerate(parts)
         ]
         for driver, part in zip(drivers, parts, strict=True):
-            driver.balancer.handed_peak = 2.0
-            driver.tell(PartTaken(part))
+            driver.balancer.restored_peak_rate = 2.0
+            driver.tell(ShareAssigned(part))
             for _ in range(100):
                 driver.request()
                 driver.wait(20)
@@ -252,10 +252,10 @@
     for _ in range(60):
         driver.request()
     assert not [a for a in driver.log if isinstance(a, Refuse)]
-    let_go = driver.tell(PartTaken(0.5, others_open=40))
+    let_go = driver.tell(ShareAssigned(0.5, other_open_requests=40))
     assert len(let_go) == 15  # half of what is too much; the other lets go of its half
     assert all(isinstance(a, Refuse) for a in let_go)
-    driver.tell(PartTaken(1.0))
+    driver.tell(ShareAssigned(1.0))
     _, actions = driver.request()
     assert actions == []
 
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -22,11 +22,11 @@
 import pytest
 
 from cloverrouter.interface import (
+    DedupScope,
     Idempotency,
     ListedEndpoint,
     ListKind,
     Outcome,
-    RepeatScope,
     RequestClass,
     Settings,
 )
@@ -46,8 +46,8 @@
 
 def settings(window_ms: float = 60_000.0) -> Settings:
     keyed = RequestClass(
-        "keyed", 20_000, 30_000, idempotency=Idempotency.KEYED, repeat_scope=RepeatScope.ALL,
-        repeat_window_ms=window_ms,
+        "keyed", 20_000, 30_000, idempotency=Idempotency.KEYED, dedup_scope=DedupScope.ALL,
+        dedup_window_ms=window_ms,
     )  # fmt: skip
     return Settings((keyed, RequestClass("unsafe", 20_000, 30_000)))
 
--- a/tests/test_explore.py
+++ b/tests/test_explore.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from cloverrouter.core.connection import Event, Machine, State
+from cloverrouter.core.connection import ConnectionMachine, Event, State
 from cloverrouter.explore import connections, trace
 from cloverrouter.explore.canon import digest
 from cloverrouter.explore.choices import next_script
@@ -121,9 +121,9 @@
     assert found is not None and found.breach.startswith("mixed: exchange 1")
     assert connections.unreachable() == []
     with pytest.raises(ValueError, match="idle can't have: whole"):
-        machine = Machine()
+        machine = ConnectionMachine()
         machine.state = State.IDLE
-        machine.on(Event.WHOLE)
+        machine.on(Event.COMPLETE)
 
 
 def run(*args: str) -> tuple[int, str]:
@@ -133,7 +133,7 @@
 def test_command_line(tmp_path: Path) -> None:
     saved = tmp_path / "found.json"
     code, text = run("--fault", "cuts-held", "--save", str(saved))
-    assert code == 1 and "BROKEN  cut:" in text and "PassOn" not in text
+    assert code == 1 and "BROKEN  cut:" in text and "StreamHeldResponse" not in text
     code, again = run("--replay", str(saved))
     assert code == 1 and "BROKEN  cut:" in again
     found = json.loads(saved.read_text())
--- a/tests/test_hosts.py
+++ b/tests/test_hosts.py
@@ -357,7 +357,7 @@
 SETTINGS = Settings(
     (
         RequestClass("unsafe", 1500, 3000, idempotency=Idempotency.UNSAFE),
-        RequestClass("keyed", 1500, 3000, idempotency=Idempotency.KEYED, repeat_window_ms=3000),
+        RequestClass("keyed", 1500, 3000, idempotency=Idempotency.KEYED, dedup_window_ms=3000),
     )
 )
 
@@ -402,7 +402,7 @@
             assert [e.in_flight for e in module.membership.endpoints.values()] == [0, 0]
             assert module.flow.out == 0
             await asyncio.sleep(0.3)  # timers of the last requests
-            assert not list(module.held)
+            assert not list(module.queue)
             gc.collect()
             alive = sum(isinstance(o, Connection) for o in gc.get_objects())
             assert alive == len(upstream.connections)
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -22,7 +22,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from cloverrouter.core.states import Effect, GiveFailure, GiveRefusal, Serve
+from cloverrouter.core.states import DeliverFailure, DeliverRefusal, DeliverResponse, Effect
 from cloverrouter.interface import Action, EndpointState, Event, Fail, ListedEndpoint, ListKind, Refuse
 from cloverrouter.lab import load, real, runner, scenario
 from cloverrouter.lab.bridge import Bay, Bridge, Job, Shape, Verdict
@@ -253,7 +253,7 @@
 
     def _carry_out(self, effect: Effect) -> None:
         super()._carry_out(effect)
-        if isinstance(effect, Serve | GiveRefusal | GiveFailure):
+        if isinstance(effect, DeliverResponse | DeliverRefusal | DeliverFailure):
             self.world.judge.answered(effect.call, "served", self.world.clock.now_ms)
 
 
--- a/tests/test_many_servers.py
+++ b/tests/test_many_servers.py
@@ -11,16 +11,16 @@
 
 from cloverrouter.decide import Endpoint
 from cloverrouter.decide.membership import MAX_SCANNED
-from cloverrouter.indexes import Held, PairMean, Ring
+from cloverrouter.indexes import PairMean, RequestQueue, Ring
 from cloverrouter.interface import (
+    ClientDisconnected,
     Cordon,
+    DedupScope,
     EndpointState,
     ListedEndpoint,
     Outcome,
     Refuse,
-    RepeatScope,
     RequestArrived,
-    RequestGone,
     Send,
 )
 from tests.driver import KEYED, SETTINGS, UNSAFE, Driver, delta, endpoint, full
@@ -105,9 +105,9 @@
     assert ["s3"] in driver.sent.values()
 
 
-@pytest.mark.parametrize("scope", list(RepeatScope))
-def test_repeats_stay_in_their_group_among_many_and_go_elsewhere(scope: RepeatScope) -> None:
-    config = replace(SETTINGS, classes=(replace(KEYED, repeat_scope=scope, repeat_window_ms=5000),))
+@pytest.mark.parametrize("scope", list(DedupScope))
+def test_repeats_stay_in_their_group_among_many_and_go_elsewhere(scope: DedupScope) -> None:
+    config = replace(SETTINGS, classes=(replace(KEYED, dedup_scope=scope, dedup_window_ms=5000),))
     driver = Driver(config, LIST)
     by_name = {e.name: e for e in LIST}
     zones = set()
@@ -117,11 +117,11 @@
         driver.wait(1500)
         home, there = (by_name[name] for name in driver.sent[request])
         assert home.name != there.name
-        assert scope is RepeatScope.ALL or home.zone == there.zone
-        assert scope is not RepeatScope.CELL or home.cell == there.cell
+        assert scope is DedupScope.ALL or home.zone == there.zone
+        assert scope is not DedupScope.CELL or home.cell == there.cell
         zones.add(home.zone == there.zone)
         driver.end(request, Outcome.OK)
-    assert zones == ({True, False} if scope is RepeatScope.ALL else {True})
+    assert zones == ({True, False} if scope is DedupScope.ALL else {True})
     lone = [replace(e, cell=9) if e.name == "s0" else e for e in LIST]
     driver = Driver(config, lone)
     for known in driver.balancer.membership.endpoints.values():
@@ -132,7 +132,7 @@
     driver.end(request, Outcome.ERROR)
     driver.wait(1500)
     # A group of one server: with no alternative, the retry returns to it.
-    assert driver.sent[request] == ["s0"] * (2 if scope is RepeatScope.CELL else len(driver.sent[request]))
+    assert driver.sent[request] == ["s0"] * (2 if scope is DedupScope.CELL else len(driver.sent[request]))
 
 
 def test_expensive_crossings_are_avoided_while_local_servers_have_room() -> None:
@@ -182,9 +182,9 @@
     driver = Driver(endpoints=[])
     for i in range(1000):
         driver.tell(RequestArrived(10_000 + i, "unsafe" if i % 2 else "safe"))
-        driver.tell(RequestGone(10_000 + i))
-    assert len(driver.balancer.held._ages) <= 2 * MAX_SCANNED
-    assert not list(driver.balancer.held) and not driver.balancer.timers
+        driver.tell(ClientDisconnected(10_000 + i))
+    assert len(driver.balancer.queue._ages) <= 2 * MAX_SCANNED
+    assert not list(driver.balancer.queue) and not driver.balancer.timers
 
 
 def test_check_timer_that_is_not_needed_is_dropped() -> None:
@@ -192,7 +192,7 @@
     driver.balancer.membership.endpoints["s1"].failed(driver.now_ms, 200.0, 1000.0)
     request, _ = driver.request("unsafe")
     assert len(driver.balancer.timers) == 2
-    driver.tell(RequestGone(request))
+    driver.tell(ClientDisconnected(request))
     assert not driver.balancer.timers
 
 
@@ -203,7 +203,7 @@
 class Thing:
     value: float
     arrived_ms: float
-    in_aim_until_ms: float
+    on_time_until_ms: float
     attempts: list[int] = field(default_factory=list)
     queue_number: int = 0
 
@@ -214,31 +214,31 @@
     )
 )
 def test_queue_is_as_a_sorted_list(steps: list[tuple[int, int, bool, str]]) -> None:
-    held: Held[Thing] = Held()
+    queue: RequestQueue[Thing] = RequestQueue()
     there: list[Thing] = []
     for now_ms, (value, until_ms, tried, what) in enumerate(steps):
         if what == "a":
             thing = Thing(value, now_ms, now_ms + until_ms, [1] if tried else [])
-            held.add(thing)
+            queue.add(thing)
             there.append(thing)
         elif what == "g" and there:
             there.pop(value % len(there)).queue_number = 0
         elif what == "c":
-            held.compact(0)
+            queue.compact(0)
         else:
             allowed = [t for t in there if tried or t.attempts]
-            entry = held.pop(now_ms, fresh=tried)
+            entry = queue.pop(now_ms, untried=tried)
             best = max(
-                allowed, key=lambda t: (now_ms <= t.in_aim_until_ms, t.value, t.queue_number), default=None
+                allowed, key=lambda t: (now_ms <= t.on_time_until_ms, t.value, t.queue_number), default=None
             )
             assert (entry and entry[2]) is best
             if entry is not None and until_ms % 2:
-                held.put_back([entry])
+                queue.put_back([entry])
             elif best is not None:
                 best.queue_number = 0
                 there.remove(best)
-        assert sorted(map(id, held)) == sorted(map(id, there))
-        assert held.oldest() is min(there, key=lambda t: (t.arrived_ms, t.queue_number), default=None)
+        assert sorted(map(id, queue)) == sorted(map(id, there))
+        assert queue.oldest() is min(there, key=lambda t: (t.arrived_ms, t.queue_number), default=None)
 
 
 @given(st.lists(st.tuples(st.booleans(), st.integers(0, 30), st.integers(0, 4)), max_size=80))
--- a/tests/test_mechanism.py
+++ b/tests/test_mechanism.py
@@ -9,6 +9,7 @@
 from cloverrouter.decide.request import Request
 from cloverrouter.interface import (
     AttemptEnded,
+    ClientDisconnected,
     EndpointsListed,
     EndpointState,
     Fail,
@@ -17,7 +18,6 @@
     Outcome,
     Refuse,
     RequestArrived,
-    RequestGone,
     Send,
     SetTimer,
     Subscribe,
@@ -156,7 +156,7 @@
     assert Subscribe() in balancer.handle(0, [full(endpoint("s1"))])
     failed = balancer.handle(10, [EndpointsListed(ListKind.FAILED)])
     timers = [a for a in failed if isinstance(a, SetTimer)]
-    assert len(timers) == 1 and timers[0].delay_ms <= SETTINGS.safety.must_ask_ms / 4
+    assert len(timers) == 1 and timers[0].delay_ms <= SETTINGS.safety.max_poll_interval_ms / 4
     assert balancer.handle(10 + timers[0].delay_ms, [TimerFired(timers[0].token)]) == [Subscribe()]
 
 
@@ -179,7 +179,7 @@
     request, _ = driver.request()
     driver.end(request, Outcome.OK)
     assert driver.tell(AttemptEnded(request, 0, Outcome.ERROR, 5)) == []
-    assert driver.tell(AttemptEnded(999, 0, Outcome.OK, 5), RequestGone(999), TimerFired(12345)) == []
+    assert driver.tell(AttemptEnded(999, 0, Outcome.OK, 5), ClientDisconnected(999), TimerFired(12345)) == []
     other, _ = driver.request()
     assert driver.tell(AttemptEnded(other, 7, Outcome.OK, -3)) == []
 
@@ -187,7 +187,7 @@
 def test_client_that_left_gets_nothing_more() -> None:
     driver = Driver()
     request, _ = driver.request()
-    driver.tell(RequestGone(request))
+    driver.tell(ClientDisconnected(request))
     assert driver.end(request, Outcome.ERROR) == []
     assert driver.wait(5000) == []
     assert not driver.balancer.requests
@@ -300,9 +300,9 @@
     """A proxy's credit is its share of what the proxies near a server may send it together. If all proxies
     sent to the server, the shares would add up to an overload."""
     servers = [endpoint(f"s{i:02}", started_ms=900.0) for i in range(60)]
-    driver = Driver(replace(SETTINGS, proxies=60, place=0.0), servers)
+    driver = Driver(replace(SETTINGS, proxies=60, ring_position=0.0), servers)
     balancer = driver.balancer
-    spans = balancer.membership.spans(balancer._window_size(), balancer.place)
+    spans = balancer.membership.spans(balancer._window_size(), balancer.ring_position)
     window = {e.listed.name for ring, _, count, _ in spans for e in ring.members[:count]}
     assert 0 < len(window) < 20
     for e in balancer.membership.ready:
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -11,7 +11,7 @@
 import pytest
 
 from cloverrouter.core.lifecycle import Lifecycle
-from cloverrouter.core.states import Ended, Listed, Tell
+from cloverrouter.core.states import AttemptFinished, NotifyBalancer, TargetsListed
 from cloverrouter.fleet import news
 from cloverrouter.fleet.news import News
 from cloverrouter.interface import (
@@ -60,16 +60,16 @@
 
 def test_what_a_stopped_clock_has_timed_is_told_as_no_time() -> None:
     life = Lifecycle(2000.0)
-    life.on(0.0, Listed(EndpointsListed(ListKind.FULL), {"a": 1}))
+    life.on(0.0, TargetsListed(EndpointsListed(ListKind.FULL), {"a": 1}))
     for call_id, sent_ms in ((1, 100.0), (2, 130.0)):
         life.on(sent_ms, RequestArrived(call_id, "safe"))
         life.act(sent_ms, Send(call_id, "a", 1000.0))
-    life.untimed_ms = 100.0  # it stood still there, for nobody knows how long
+    life.untimed_until_ms = 100.0  # it stood still there, for nobody knows how long
     told = [
         effect.event.latency_ms
         for call_id in (1, 2)
-        for effect in life.on(150.0, Ended(call_id, 0, Outcome.ERROR, None, None))
-        if isinstance(effect, Tell) and isinstance(effect.event, AttemptEnded)
+        for effect in life.on(150.0, AttemptFinished(call_id, 0, Outcome.ERROR, None, None))
+        if isinstance(effect, NotifyBalancer) and isinstance(effect.event, AttemptEnded)
     ]
     assert told == [0.0, 20.0]
 
--- a/tests/test_properties.py
+++ b/tests/test_properties.py
@@ -17,6 +17,8 @@
     Action,
     AttemptEnded,
     Cancel,
+    ClientDisconnected,
+    DedupScope,
     EndpointsListed,
     EndpointState,
     Event,
@@ -28,10 +30,8 @@
     Probe,
     ProbeEnded,
     Refuse,
-    RepeatScope,
     RequestArrived,
     RequestClass,
-    RequestGone,
     Send,
     SetTimer,
     Settings,
@@ -47,8 +47,8 @@
     SAFE,
     UNSAFE,
     KEYED,
-    replace(KEYED, name="cell", repeat_scope=RepeatScope.CELL, repeat_window_ms=1500),
-    replace(KEYED, name="everywhere", repeat_scope=RepeatScope.ALL),
+    replace(KEYED, name="cell", dedup_scope=DedupScope.CELL, dedup_window_ms=1500),
+    replace(KEYED, name="everywhere", dedup_scope=DedupScope.ALL),
     replace(SAFE, name="stream", streamed=True, late_worth=0.5),
 )
 
@@ -109,7 +109,7 @@
                     self.tell(event)
             if not book.over and self.random.random() < 0.002:
                 book.over = True
-                self.tell(RequestGone(request_id))
+                self.tell(ClientDisconnected(request_id))
         for timer in [t for t in self.timers if t[0] <= self.now_ms]:
             self.timers.remove(timer)
             self.tell(TimerFired(timer[1]))
@@ -123,7 +123,7 @@
             deadline_ms = self.now_ms + cls.deadline_ms * self.random.uniform(0.2, 1.0)
             self.books[self.ids] = Book(cls, deadline_ms)
             self.came.append(self.now_ms)
-            since = self.now_ms - self.config.safety.push_window_ms
+            since = self.now_ms - self.config.safety.overload_window_ms
             self.most_came = max(self.most_came, sum(at > since for at in self.came[-1000:]))
             self.tell(RequestArrived(self.ids, cls.name, deadline_ms, work_hint_ms=100.0))
         self.check_answers()
@@ -214,11 +214,11 @@
         if possible:
             assert book.cls.idempotency is not Idempotency.UNSAFE, "the effect could happen twice"
         if possible and book.cls.idempotency is Idempotency.KEYED:
-            assert self.now_ms < possible[0].at_ms + book.cls.repeat_window_ms
+            assert self.now_ms < possible[0].at_ms + book.cls.dedup_window_ms
             for earlier in possible:
-                if book.cls.repeat_scope is RepeatScope.ZONE:
+                if book.cls.dedup_scope is DedupScope.ZONE:
                     assert earlier.server.zone == server.zone
-                if book.cls.repeat_scope is RepeatScope.CELL:
+                if book.cls.dedup_scope is DedupScope.CELL:
                     assert earlier.server.cell == server.cell and earlier.server.zone == server.zone
         book.sent.append(Sent(server, self.now_ms, min(self.now_ms + action.timeout_ms, book.deadline_ms)))
         self.pushes[server.name].append(self.now_ms)
@@ -230,12 +230,14 @@
         safety = self.config.safety
         if self.warmth(server) >= 1:
             return
-        span = safety.push_window_ms
+        span = safety.overload_window_ms
         sent = sum(at > self.now_ms - span for at in self.pushes[server.name])
         warm = [self.pushes[s.name] for s in self.servers.values() if self.warmth(s) >= 1]
         busiest = max((sum(at - span < b <= at for b in p) for p in warm for at in p), default=0)
         share = max(busiest, self.most_came / len(self.servers))
-        assert sent <= 2 + safety.push_multiple * self.warmth(server) * share, "a cold server is overloaded"
+        assert sent <= 2 + safety.overload_multiple * self.warmth(server) * share, (
+            "a cold server is overloaded"
+        )
 
     def warmth(self, server: ListedEndpoint) -> float:
         if server.started_ms is None:
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -9,11 +9,11 @@
 from cloverrouter.decide.flow import FLOW_BURST
 from cloverrouter.interface import (
     AttemptEnded,
+    DedupScope,
     EndpointState,
     Fail,
     Outcome,
     Refuse,
-    RepeatScope,
     RequestArrived,
     Send,
     SetTimer,
@@ -21,8 +21,8 @@
 from tests.driver import KEYED, SAFE, SETTINGS, UNSAFE, Driver, delta, endpoint, full
 
 
-def keyed(scope: RepeatScope) -> Driver:
-    cls = replace(KEYED, repeat_scope=scope)
+def keyed(scope: DedupScope) -> Driver:
+    cls = replace(KEYED, dedup_scope=scope)
     servers = [
         endpoint("a0", "a", 0),
         endpoint("a0'", "a", 0),
@@ -33,8 +33,8 @@
     return Driver(replace(SETTINGS, classes=(cls,)), servers)
 
 
-@pytest.mark.parametrize(("scope", "same"), [(RepeatScope.ZONE, 1), (RepeatScope.CELL, 2)])
-def test_keyed_repeat_stays_in_the_group_that_drops_it(scope: RepeatScope, same: int) -> None:
+@pytest.mark.parametrize(("scope", "same"), [(DedupScope.ZONE, 1), (DedupScope.CELL, 2)])
+def test_keyed_repeat_stays_in_the_group_that_drops_it(scope: DedupScope, same: int) -> None:
     groups = {"a0": "a0", "a0'": "a0", "a1": "a1", "b0": "b2", "b1": "b3"}
     repeats = 0
     for seed in range(40):
@@ -50,7 +50,7 @@
 
 
 def test_keyed_repeat_is_skipped_once_the_window_has_passed() -> None:
-    driver = keyed(RepeatScope.ALL)
+    driver = keyed(DedupScope.ALL)
     request, _ = driver.request("keyed")
     driver.wait(750)  # a retry now would be sent after the window of 800 ms
     assert driver.end(request, Outcome.ERROR) == [Fail(request)]
@@ -59,7 +59,7 @@
 def test_keyed_that_never_ran_may_go_anywhere() -> None:
     zones = set()
     for seed in range(40):
-        driver = keyed(RepeatScope.ZONE)
+        driver = keyed(DedupScope.ZONE)
         driver.balancer.random.seed(seed)
         request, _ = driver.request("keyed")
         driver.end(request, Outcome.REJECTED)
@@ -69,7 +69,7 @@
 
 
 def test_keyed_that_may_have_run_is_never_refused() -> None:
-    driver = keyed(RepeatScope.ZONE)
+    driver = keyed(DedupScope.ZONE)
     driver.balancer.budget.tokens = 0
     request, _ = driver.request("keyed")
     assert driver.end(request, Outcome.TIMEOUT) == [Fail(request)]
@@ -110,7 +110,7 @@
     """Without a warm server as a measure, one request from each of hundreds of proxies is an overload."""
     sent = 0
     for number in range(200):
-        config = replace(SETTINGS, proxies=200, number=number)
+        config = replace(SETTINGS, proxies=200, proxy_index=number)
         driver = Driver(config, [endpoint("c1", started_ms=990), endpoint("c2", started_ms=990)], number)
         sent += len(driver.request()[1])
     assert sent < 20  # of 200
@@ -249,7 +249,7 @@
 
 def test_may_send_alone_enforces_the_rules() -> None:
     """The check rejects each violation by itself, whatever its callers check."""
-    cls = replace(KEYED, repeat_scope=RepeatScope.ALL)
+    cls = replace(KEYED, dedup_scope=DedupScope.ALL)
     driver = Driver(replace(SETTINGS, classes=(cls, replace(UNSAFE, name="once"))))
     server = driver.balancer.membership.endpoints["s1"]
     for class_name, past_window in (("once", 0), ("keyed", 900)):
@@ -374,7 +374,7 @@
     servers = [endpoint(f"s{i}") for i in range(12)]
     used: dict[str, int] = {}
     for number in range(240):
-        driver = Driver(replace(SETTINGS, proxies=240, number=number), servers)
+        driver = Driver(replace(SETTINGS, proxies=240, proxy_index=number), servers)
         for _ in range(30):
             driver.wait(1500)
             driver.serve(1)
@@ -383,18 +383,20 @@
         for name in names:
             used[name] = used.get(name, 0) + 1
     assert len(used) == 12 and max(used.values()) < 1.3 * min(used.values())
-    few = Driver(replace(SETTINGS, proxies=3, number=1), servers)
+    few = Driver(replace(SETTINGS, proxies=3, proxy_index=1), servers)
     assert len(window(few)) == 12
 
 
 def window(driver: Driver) -> list[Endpoint]:
     balancer = driver.balancer
-    return balancer._window_with_room(balancer.membership.spans(balancer._window_size(), balancer.place))
+    return balancer._window_with_room(
+        balancer.membership.spans(balancer._window_size(), balancer.ring_position)
+    )
 
 
 def test_a_window_whose_servers_are_paused_reaches_further() -> None:
     servers = [endpoint(f"s{i}") for i in range(12)]
-    driver = Driver(replace(SETTINGS, proxies=240, number=0), servers)
+    driver = Driver(replace(SETTINGS, proxies=240, proxy_index=0), servers)
     before = window(driver)
     before[0].failed(driver.now_ms, 500, 1000)
     after = window(driver)
@@ -433,7 +435,7 @@
     driver = Driver(config, [endpoint("s1")])
     for _ in range(8):
         driver.request("safe")
-    held = list(driver.balancer.held)
+    held = list(driver.balancer.queue)
     assert len(held) > 2 and not [a for a in driver.log if isinstance(a, Refuse)]
     driver.wait(20)
     driver.request("safe")
--- a/tests/test_streams.py
+++ b/tests/test_streams.py
@@ -403,7 +403,7 @@
 def test_spent_request_gets_its_final_answer_at_once(class_name: str, outcome: Outcome) -> None:
     driver = Driver()
     uploading(driver, class_name)
-    (final,) = driver.tell(AttemptEnded(900, 0, outcome, 50.0, spent=True))
+    (final,) = driver.tell(AttemptEnded(900, 0, outcome, 50.0, body_consumed=True))
     assert isinstance(final, Fail if outcome is Outcome.ERROR else Refuse)
     assert driver.wait(5000) == []
 
