--- a/cloverrouter/benchlink.py
+++ b/cloverrouter/benchlink.py
@@ -1,8 +1,8 @@
-"""Adapter: hosts many balancers behind the simulator's wire. It decides nothing.
+"""Adapter that runs many balancers behind the simulator's protocol. It makes no decisions.
 
-Reads one batch a line from standard input, writes one reply a line. An unreadable line ends it with
-one line on standard error and exit code 1; a crash of a balancer is reported there and on the wire, and
-ends it too.
+Reads one batch per line from standard input and writes one reply per line. An invalid line ends the program
+with one line on standard error and exit code 1. An exception in a balancer is reported there and in the
+reply, and ends the program as well.
 """
 
 from __future__ import annotations
@@ -19,7 +19,8 @@
     Action,
     AttemptEnded,
     Cancel,
-    Cordoned,
+    ClientDisconnected,
+    CordonResult,
     EndpointsListed,
     EndpointState,
     Event,
@@ -32,7 +33,6 @@
     ProbeEnded,
     Refuse,
     RequestArrived,
-    RequestGone,
     Send,
     SetTimeout,
     SetTimer,
@@ -63,7 +63,7 @@
 
 
 class WireError(ValueError):
-    """A line that is not what the wire allows."""
+    """A line that violates the protocol."""
 
 
 # Events
@@ -84,7 +84,7 @@
     return tuple(fields["stats"]) if fields.get("stats") else None
 
 
-def whole(fields: Json, name: str) -> int:
+def integer(fields: Json, name: str) -> int:
     value = fields[name]
     if not isinstance(value, int):
         raise WireError(f"{name} is not a whole number: {value!r}")
@@ -101,7 +101,7 @@
 def read_request(fields: Json) -> RequestArrived:
     flags = fields.get("flags", 0)
     return RequestArrived(
-        request_id=whole(fields, "handle"),
+        request_id=integer(fields, "handle"),
         class_name=fields.get("priority", ""),
         deadline_ms=number(fields, "give_up_at_ms"),
         tenant=fields.get("org") or None,
@@ -113,7 +113,7 @@
 
 def read_outcome(fields: Json) -> AttemptEnded:
     return AttemptEnded(
-        request_id=whole(fields, "handle"),
+        request_id=integer(fields, "handle"),
         attempt=fields.get("n", 0),
         outcome=OUTCOMES[fields["verdict"]],
         latency_ms=fields.get("delay_seen_ms", 0.0),
@@ -123,7 +123,7 @@
 
 
 def read_stream(fields: Json) -> StreamStarted:
-    return StreamStarted(whole(fields, "handle"), fields.get("n", 0), fields.get("delay_seen_ms", 0.0))
+    return StreamStarted(integer(fields, "handle"), fields.get("n", 0), fields.get("delay_seen_ms", 0.0))
 
 
 def read_probe(fields: Json) -> ProbeEnded:
@@ -134,9 +134,9 @@
 EVENTS: dict[str, Callable[[Json], Event]] = {
     "new_request": read_request,
     "resolved": read_outcome,
-    "timeout_fired": lambda fields: TimerFired(whole(fields, "cookie")),
+    "timeout_fired": lambda fields: TimerFired(integer(fields, "cookie")),
     "head_received": read_stream,
-    "left": lambda fields: RequestGone(whole(fields, "handle")),
+    "left": lambda fields: ClientDisconnected(integer(fields, "handle")),
     "health_result": read_probe,
 }
 
@@ -163,8 +163,8 @@
             return {"track": {"active": True}}
         case Log():
             return {"remark": {"message": action.text}}
-        case Cordoned() | SetTimeout():  # the simulator has no operators, and no requests that upload
-            return {"remark": {"message": f"not of this wire: {action}"}}
+        case CordonResult() | SetTimeout():  # the simulator has no operators and no uploads
+            return {"remark": {"message": f"not supported by this protocol: {action}"}}
 
 
 # Reading a batch
@@ -172,7 +172,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Begin:
-    """A new life of an instance."""
+    """Starts an instance."""
 
     settings: Settings
     seed: int
@@ -180,7 +180,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Stop:
-    """The end of a life: killed outright."""
+    """Ends an instance without notice."""
 
 
 Step = Begin | Stop | Event
@@ -194,15 +194,15 @@
 
 
 class Reader:
-    """Turns lines into batches. Keeps the lists of servers that the wire sends once for all instances."""
+    """Parses lines into batches. Keeps the server lists that are sent once for all instances."""
 
     def __init__(self, err: TextIO) -> None:
         self._lists: dict[int, tuple[ListedEndpoint, ...]] = {}
-        self._unknown_named: list[str] = []
+        self._reported_unknown: list[str] = []
         self._err = err
 
     def read(self, line: str) -> Batch:
-        """Raises WireError, saying what is wrong, for a line that is no batch."""
+        """Returns the batch. Raises WireError with the reason for an invalid line."""
         try:
             batch = json.loads(line)
             if not isinstance(batch, dict):
@@ -241,8 +241,8 @@
             return EndpointsListed(scope, () if scope is ListKind.FAILED else self._lists[fields["list"]])
         if kind == "register":
             self._lists[fields["list"]] = tuple(read_endpoint(e) for e in fields["members"])
-        elif kind != "peer" and kind not in self._unknown_named:
-            self._unknown_named.append(kind)
+        elif kind != "peer" and kind not in self._reported_unknown:
+            self._reported_unknown.append(kind)
             print(f"benchlink: unknown event {kind!r} ignored", file=self._err)
         return None
 
@@ -251,13 +251,13 @@
 
 
 class Host:
-    """The instances of one process; they share nothing."""
+    """The balancer instances of one process; they share no state."""
 
     def __init__(self) -> None:
         self._balancers: dict[str, Balancer] = {}
 
     def play(self, who: str, now_ms: float, steps: list[Step]) -> list[Json]:
-        """One instance's part of a batch. What a life killed within it would have done is void."""
+        """Plays one instance's part of a batch. Events before a restart within the batch have no effect."""
         events: list[Event] = []
         for step in steps:
             if isinstance(step, Begin | Stop):
@@ -275,14 +275,14 @@
 
 
 def play_batch(host: Host, batch: Batch, err: TextIO) -> tuple[list[Json], bool]:
-    """The reply's groups, and whether an instance's decisions crashed; nothing is played after that."""
+    """Returns the groups of the reply and whether a balancer raised an exception, which ends the batch."""
     groups: list[Json] = []
     for who, steps in batch.groups:
         try:
             cmds = host.play(who, batch.now_ms, steps)
         except WireError:
             raise
-        except Exception as error:  # reported with its text, here and on the wire; then the end
+        except Exception as error:  # reported here and in the reply
             traceback.print_exc(file=err)
             fault = {"give_in": {"message": f"{type(error).__name__}: {error}"}}
             return [*groups, {"who": who, "cmds": [fault]}], True
@@ -292,14 +292,14 @@
 
 
 def serve(lines: Iterable[str], out: TextIO, err: TextIO) -> int:
-    """Answer every line until input ends; the exit code."""
+    """Answers every line until the input ends; returns the exit code."""
     reader, host = Reader(err), Host()
     for line in lines:
         try:
             batch = reader.read(line)
             groups, crashed = play_batch(host, batch, err)
         except WireError as error:
-            print(f"benchlink: unreadable line: {error}", file=err)
+            print(f"benchlink: invalid line: {error}", file=err)
             return 1
         out.write(json.dumps({"n": batch.number, "groups": groups}, separators=(",", ":")) + "\n")
         out.flush()
--- a/cloverrouter/core/engine.py
+++ b/cloverrouter/core/engine.py
@@ -1,8 +1,8 @@
-"""The loop between the lifecycle and the decision module. Whoever drives it carries the effects out.
+"""The event loop between the lifecycle and the decision module. The driver carries out the effects.
 
-What happens changes the lifecycle at once, also while effects of something else are being carried out:
-a byte that has gone out has gone out. The module is told in the order of the happenings, and never while
-it is deciding.
+Events change the lifecycle immediately, even while the effects of another event are being carried out, since
+bytes that were sent cannot be recalled. The decision module receives its events in order, and never while it
+is deciding.
 """
 
 from __future__ import annotations
@@ -10,14 +10,14 @@
 from collections.abc import Callable, Sequence
 
 from cloverrouter.core.lifecycle import Lifecycle
-from cloverrouter.core.states import Effect, Happening, Tell
+from cloverrouter.core.states import Effect, LifecycleEvent, NotifyBalancer
 from cloverrouter.interface import Action, Event
 
 Decide = Callable[[float, Sequence[Event]], Sequence[Action]]
 
 
 class Engine:
-    """Happenings in, effects out, with the module's decisions in between."""
+    """Takes events, asks the decision module, and passes effects to the driver."""
 
     def __init__(
         self,
@@ -26,8 +26,8 @@
         clock: Callable[[], float],
         carry_out: Callable[[Effect], None],
     ) -> None:
-        """`clock` gives milliseconds and never runs backwards. `carry_out` does one effect, any but `Tell`;
-        what it raises ends the loop and is passed on, as is what `decide` raises."""
+        """`clock` returns milliseconds and never runs backwards. `carry_out` performs any effect except
+        `NotifyBalancer`. Exceptions of `carry_out` and `decide` end the loop and propagate."""
         self.lifecycle = lifecycle
         self._decide = decide
         self._clock = clock
@@ -35,9 +35,9 @@
         self._events: list[Event] = []
         self._deciding = False
 
-    def take(self, happening: Happening) -> None:
-        """Something has happened: do all that follows from it."""
-        effects = self.lifecycle.on(self._clock(), happening)
+    def take(self, event: LifecycleEvent) -> None:
+        """Handles an event and everything that follows from it."""
+        effects = self.lifecycle.on(self._clock(), event)
         if effects:
             self._run(effects)
         if self._events and not self._deciding:
@@ -56,7 +56,7 @@
 
     def _run(self, effects: list[Effect]) -> None:
         for effect in effects:
-            if type(effect) is Tell:
+            if type(effect) is NotifyBalancer:
                 self._events.append(effect.event)
             else:
                 self._carry_out(effect)
--- a/cloverrouter/core/states.py
+++ b/cloverrouter/core/states.py
@@ -1,12 +1,12 @@
-"""States of a call and of its attempts; what happens to them; what is to be done about it.
+"""States of a call and of its attempts, the events that change them, and the resulting effects.
 
-Calls are numbered by whoever drives the lifecycle, attempts from 0 in the order of their sends. What
-comes from clients and from sources of servers is told in the vocabulary of `cloverrouter.interface`
-(`RequestArrived`, `RequestCompleted`, `RequestGone`, `TimerFired`, `Cordon`, `PartTaken`); here stand the
-happenings that the decision module never sees in this form.
+The driver of the lifecycle numbers the calls; attempts are numbered from 0 in sending order. Events from
+clients and discovery use the types of `cloverrouter.interface`: `RequestArrived`, `RequestCompleted`,
+`ClientDisconnected`, `TimerFired`, `Cordon` and `ShareAssigned`. This module defines the events that the
+decision module does not see in this form.
 
-None of these is changed once it is made. They are not frozen, since several are made for each request and a
-frozen one takes three times as long to make.
+None of these objects is modified after its creation. They are not frozen, because several are created per
+request and a frozen dataclass takes three times as long to create.
 """
 
 from __future__ import annotations
@@ -16,37 +16,37 @@
 from enum import Enum
 
 from cloverrouter.interface import (
+    ClientDisconnected,
     Cordon,
-    Cordoned,
+    CordonResult,
     EndpointsListed,
     Event,
     Outcome,
-    PartTaken,
     ProbeEnded,
     RequestArrived,
     RequestCompleted,
-    RequestGone,
     SetTimer,
+    ShareAssigned,
     TimerFired,
 )
 
 Target = Hashable
-"""Where an endpoint is reached, such as an address: compared, never read."""
+"""How an endpoint is reached, such as an address: compared, never parsed."""
 
 
 class CallState(Enum):
-    """What is owed to a client."""
+    """State of a call, by what its client still needs."""
 
-    UPLOADING = "uploading"  # its request is still coming; its time has not begun
-    OPEN = "open"  # a final answer is owed
-    STREAMING = "streaming"  # an answer has begun: what is left to do is to end it, or visibly cut it
-    ANSWERED = "answered"  # served, refused or failed
-    CUT = "cut"  # its answer had begun and could not be finished
-    LEFT = "left"  # the client has gone: nobody wants an answer
+    UPLOADING = "uploading"  # the request is still arriving; its time has not started
+    OPEN = "open"  # a final answer is pending
+    STREAMING = "streaming"  # a response has started; it can only be finished or visibly truncated
+    ANSWERED = "answered"  # answered with a response, a refusal or a failure
+    CUT = "cut"  # truncated: the response had started and could not be finished
+    LEFT = "left"  # the client disconnected; no answer is needed
 
     @property
     def final(self) -> bool:
-        """Is nothing owed any more? What is still out ends without an effect on the client."""
+        """Whether the client needs nothing more. Attempts in flight then end without effect on the client."""
         return self in FINAL
 
 
@@ -54,69 +54,70 @@
 
 
 class AttemptState(Enum):
-    """How far an attempt has come. Up to `WRITING` it has surely not run."""
+    """Progress of an attempt. Up to `WRITING` it has certainly not run."""
 
-    CONNECTING = "connecting"  # no byte has gone out
-    WRITING = "writing"  # some have, but not the last
-    WRITTEN = "written"  # all of it is out: it may have run
-    HELD = "held"  # an answer has begun that is held for a moment, to see whether it is short
-    STREAMING = "streaming"  # its answer is passed on while it comes
+    CONNECTING = "connecting"  # no byte was sent
+    WRITING = "writing"  # some bytes were sent, but not the last
+    WRITTEN = "written"  # the whole request was sent: it may have run
+    HELD = "held"  # a response has started and is held for a moment, to see whether it is short
+    STREAMING = "streaming"  # its response is being streamed
     ENDED = "ended"
 
     @property
     def unsent(self) -> bool:
-        """Has it surely not run, since its last byte never went out?"""
+        """Whether it has certainly not run, because its last byte was not sent."""
         return self in UNSENT
 
 
 UNSENT = (AttemptState.CONNECTING, AttemptState.WRITING)
 
 
-# What happens, beside what clients and sources tell in the vocabulary of the interface.
+# Events, in addition to those of the interface.
 
 
 @dataclass(slots=True)
-class Listed:
-    """A list came; `targets` is where requests may go from now on, by endpoint."""
+class TargetsListed:
+    """A list arrived; `targets` maps each endpoint that may get requests from now on to its target."""
 
     event: EndpointsListed
     targets: Mapping[str, Target]
 
 
 @dataclass(slots=True)
-class BodyTaken:
-    """A piece of a call's body has gone out and is not kept: it can't be sent to another server."""
+class BodyConsumed:
+    """Part of a call's body was sent and not kept: the call cannot be sent to another server."""
 
     call: int
 
 
 @dataclass(slots=True)
-class Written:
-    """The last byte of an attempt has been handed over: from here on it may have run."""
+class RequestWritten:
+    """The last byte of an attempt was sent: from here on it may have run."""
 
     call: int
     attempt: int
 
 
 @dataclass(slots=True)
-class AnswerHeld:
-    """A good answer of unknown length has begun, and is held for a moment."""
+class ResponseHeld:
+    """A good response of unknown length has started and is held for a moment."""
 
     call: int
     attempt: int
 
 
 @dataclass(slots=True)
-class AnswerBegun:
-    """An answer is ready to be passed on while it comes. Wanted only if `Begin` follows."""
+class ResponseStarted:
+    """A response is ready to be streamed. It is accepted only if `StartStreaming` follows."""
 
     call: int
     attempt: int
 
 
 @dataclass(slots=True)
-class Ended:
-    """An attempt has ended by itself. `answer` goes to the client as it is, if it is wanted."""
+class AttemptFinished:
+    """An attempt has ended by itself. `answer` is delivered to the client unchanged, if it is still
+    needed."""
 
     call: int
     attempt: int
@@ -126,72 +127,76 @@
 
 
 @dataclass(slots=True)
-class TimeUp:
-    """The time given to an attempt is over."""
+class AttemptTimedOut:
+    """The timeout of an attempt has expired."""
 
     call: int
     attempt: int
 
 
 @dataclass(slots=True)
-class TooLate:
-    """The time is over within which an attempt had to go out."""
+class SendWindowExpired:
+    """The time within which an attempt had to be sent has expired."""
 
     call: int
     attempt: int
 
 
 @dataclass(slots=True)
-class Halted:
-    """The process ends now: what is owed is answered as failed, and what still comes is refused."""
+class ProcessHalted:
+    """The process exits: pending calls are answered as failed, and new ones are refused."""
 
 
-Happening = (
+LifecycleEvent = (
     RequestArrived
     | RequestCompleted
-    | RequestGone
-    | Listed
-    | BodyTaken
-    | Written
-    | AnswerHeld
-    | AnswerBegun
-    | Ended
-    | TimeUp
-    | TooLate
-    | Halted
+    | ClientDisconnected
+    | TargetsListed
+    | BodyConsumed
+    | RequestWritten
+    | ResponseHeld
+    | ResponseStarted
+    | AttemptFinished
+    | AttemptTimedOut
+    | SendWindowExpired
+    | ProcessHalted
     | TimerFired
     | Cordon
-    | PartTaken
+    | ShareAssigned
     | ProbeEnded
 )
 
 
-# What is to be done.
+# Effects.
 
 
 @dataclass(slots=True)
-class Tell:
-    """Hand this to the decision module."""
+class NotifyBalancer:
+    """Pass this event to the decision module."""
 
     event: Event
 
 
 @dataclass(slots=True)
-class Start:
-    """Send a call to an endpoint; `TimeUp` is due after `timeout_ms`, None: not yet, while it uploads.
-    `TooLate` is due after `out_within_ms`, and nothing goes out then, whether it has been told or not."""
+class StartAttempt:
+    """Send a call to an endpoint.
+
+    `AttemptTimedOut` is due after `timeout_ms`; None: no timeout yet, as the call is uploading.
+    `SendWindowExpired` is due after `send_within_ms`; nothing may be sent after that, even if the
+    event is still pending.
+    """
 
     call: int
     attempt: int
     endpoint: str
     target: Target
     timeout_ms: float | None
-    out_within_ms: float = float("inf")
+    send_within_ms: float = float("inf")
 
 
 @dataclass(slots=True)
-class SetDue:
-    """`TimeUp` is due so long from now, in place of what was said before."""
+class SetAttemptTimeout:
+    """Replace the timeout of an attempt: `AttemptTimedOut` is due this long from now."""
 
     call: int
     attempt: int
@@ -199,84 +204,84 @@
 
 
 @dataclass(slots=True)
-class PassOn:
-    """Pass the held answer of this attempt on from now; `AnswerBegun` is the reply."""
+class StreamHeldResponse:
+    """Stream the held response of this attempt from now on; answered by `ResponseStarted`."""
 
     call: int
     attempt: int
 
 
 @dataclass(slots=True)
-class Abandon:
-    """Stop this attempt from our side: what has not gone out never will, and no `Ended` follows."""
+class AbortAttempt:
+    """Abort this attempt: unsent bytes are never sent, and no `AttemptFinished` follows."""
 
     call: int
     attempt: int
 
 
 @dataclass(slots=True)
-class Begin:
-    """The answer of this attempt goes to the client while it comes; its time is no longer watched."""
+class StartStreaming:
+    """Stream the response of this attempt to the client; its timeout no longer applies."""
 
     call: int
     attempt: int
 
 
 @dataclass(slots=True)
-class Serve:
-    """Final: this answer, whole."""
+class DeliverResponse:
+    """Final answer: this complete response."""
 
     call: int
     answer: object
 
 
 @dataclass(slots=True)
-class GiveRefusal:
-    """Final: refused; coming again is harmless, best after this long."""
+class DeliverRefusal:
+    """Final answer: refused. A retry is safe, preferably after this delay."""
 
     call: int
     retry_after_ms: float
 
 
 @dataclass(slots=True)
-class GiveFailure:
-    """Final: failed."""
+class DeliverFailure:
+    """Final answer: failed."""
 
     call: int
 
 
 @dataclass(slots=True)
-class Forget:
-    """Nothing is owed to the call and nothing of it is out: its number means nothing any more."""
+class ReleaseCall:
+    """The call needs no answer and has no attempt in flight: its number is no longer valid."""
 
     call: int
 
 
 @dataclass(slots=True)
-class AskDiscovery:
-    """The list, and what changes from now on, is to be asked for."""
+class QueryDiscovery:
+    """Request the list and all later changes from discovery."""
 
 
 @dataclass(slots=True)
-class Note:
-    """A line for the log."""
+class WriteLog:
+    """Write a line to the log."""
 
     text: str
 
 
 Effect = (
-    Tell
-    | Start
-    | SetDue
-    | PassOn
-    | Abandon
-    | Begin
-    | Serve
-    | GiveRefusal
-    | GiveFailure
-    | Forget
-    | AskDiscovery
-    | Note
+    NotifyBalancer
+    | StartAttempt
+    | SetAttemptTimeout
+    | StreamHeldResponse
+    | AbortAttempt
+    | StartStreaming
+    | DeliverResponse
+    | DeliverRefusal
+    | DeliverFailure
+    | ReleaseCall
+    | QueryDiscovery
+    | WriteLog
     | SetTimer
-    | Cordoned
+    | CordonResult
 )
--- a/cloverrouter/decide/balancer.py
+++ b/cloverrouter/decide/balancer.py
@@ -10,16 +10,17 @@
 
 from cloverrouter.decide.budget import BACKOFF_BASE_MS, DEADLINE_MARGIN_MS, RetryBudget, backoff_ms
 from cloverrouter.decide.endpoint import Endpoint
-from cloverrouter.decide.flow import COVER, Flow, crowded
-from cloverrouter.decide.latency import SLOWNESS_LEAST, ClassLatency
-from cloverrouter.decide.membership import DEAR_CROSSING, REACH, Membership, Ring, Span
-from cloverrouter.decide.request import Attempt, Request, drops_repeats
-from cloverrouter.indexes import Entry, Held, Rate
+from cloverrouter.decide.flow import PROXIES_PER_SERVER, Flow, crowded
+from cloverrouter.decide.latency import MIN_SLOWNESS, ClassLatency
+from cloverrouter.decide.membership import HIGH_PRICE, MAX_SCANNED, Membership, Ring, Span
+from cloverrouter.decide.request import Attempt, Request, deduplicates
+from cloverrouter.indexes import Entry, Rate, RequestQueue
 from cloverrouter.interface import (
     Action,
     AttemptEnded,
+    ClientDisconnected,
     Cordon,
-    Cordoned,
+    CordonResult,
     EndpointsListed,
     EndpointState,
     Event,
@@ -28,49 +29,48 @@
     ListKind,
     Log,
     Outcome,
-    PartTaken,
     ProbeEnded,
     Refuse,
     RequestArrived,
     RequestClass,
     RequestCompleted,
-    RequestGone,
     Send,
     SetTimeout,
     SetTimer,
     Settings,
+    ShareAssigned,
     StreamStarted,
     Subscribe,
     TimerFired,
 )
 
-# A cold server is sent this part of the push it must not exceed, by the estimate of its capacity: with
-# the usual multiple of three a third more than its warm share of what the others get, since those are
-# seldom sent all that they can do. The rest is for machines slower than their fleet's mean (by half, where
-# two kinds are mixed), and for bursts.
-COLD_MARGIN = 0.45
-RATE_WINDOWS = 4  # push windows over which what the others get is smoothed
-LIMIT_LEAST = 0.1  # of the time, then, one attempt is out there
-# A proxy's window: no fewer servers than this, for two draws to mean something; and as many as it meets each
-# at least once in this many longest deadlines.
-WINDOW_LEAST = 3.0
-WINDOW_SPANS = 0.5
-TRIES = 8  # draws from a large window for one server that fits
-OPEN_GAIN = 0.02  # smoothing of how many of those drawn have room
-FADE_AT_ONCE = 64
-TIMED_LEAST_MS = 0.01  # no server answers sooner: the clock has stood still
-SOON_MS = 25.0  # no sooner does a timer look at held requests: with traffic, events do so anyway
-# From this part of the requests that clients can have open on, those held are let go, the oldest first.
-FULL_SHARE = 0.85
-FULL_SHARE_BESIDE = 0.7  # beside another balancer, whose count is a moment old
-DEFAULT_DEADLINE_MS = 1000.0  # of a class nothing is known of, when the request does not say either
-
-# The work is done: how fast tells what the server can take. Danger: a pause for each spoilt answer, which
-# come from all servers alike, would leave out the whole fleet.
-WORKED = (Outcome.OK, Outcome.SPOILT)
-TIMED = (*WORKED, Outcome.TIMEOUT)  # how long it took tells how busy the server is
-BROKEN = (Outcome.RESET, Outcome.CONNECT_FAILED)  # the connection's fate, which may be the network's doing
-NO_EVIDENCE = (Outcome.CANCELLED, Outcome.NOT_SENT)  # our own doing: says nothing about the server
+# The part of the overload threshold of a cold server, as estimated from its capacity, that it is sent. With
+# the usual multiple of three this is a third more than its warm share of what the others get, as those rarely
+# run at capacity. The rest covers bursts and machines slower than the fleet's mean (by half, where two kinds
+# are mixed).
+COLD_LOAD_SHARE = 0.45
+RATE_WINDOWS = 4  # overload windows over which the rate of warm servers is smoothed
+MIN_LIMIT = 0.1  # then one attempt is in flight there for this fraction of the time
+# Size of a proxy's window of servers: at least this many, so that two draws differ, and at least one for
+# each request that arrives within this many longest deadlines.
+MIN_WINDOW = 3.0
+ARRIVAL_DEADLINES = 0.5
+MAX_DRAWS = 8  # draws from a large window to find one suitable server
+ROOM_SHARE_GAIN = 0.02  # smoothing factor of the share of drawn servers that have room
+DECAY_BATCH = 64
+MIN_LATENCY_MS = 0.01  # lower latencies mean that the clock did not advance
+MIN_CHECK_DELAY_MS = 25.0  # minimum delay of the timer that checks queued requests; events do so as well
+# Above this fraction of the requests that clients can have open, queued ones are dropped, the oldest first.
+MAX_OPEN_SHARE = 0.85
+MAX_OPEN_SHARE_OF_TWO = 0.7  # with a second balancer, whose count is slightly outdated
+DEFAULT_DEADLINE_MS = 1000.0  # for unknown classes, if the request has none either
+
+# The server did the work, so the latency shows its load. It is not paused for an unusable response: those
+# come from all servers alike, and pauses would exclude the whole fleet.
+SERVED = (Outcome.OK, Outcome.SPOILT)
+TIMED = (*SERVED, Outcome.TIMEOUT)  # outcomes whose latency shows the server's load
+BROKEN = (Outcome.RESET, Outcome.CONNECT_FAILED)  # connection failures, possibly caused by the network
+NO_EVIDENCE = (Outcome.CANCELLED, Outcome.NOT_SENT)  # caused by this proxy: says nothing about the server
 
 
 class Balancer:
@@ -81,50 +81,50 @@
         self.random = Random(seed)
         self.budget = RetryBudget()
         self.crowded = crowded(settings)
-        # Danger: crossings that buy nothing. Limits that are informed tell when the local are full.
-        self.keeps_home = not self.crowded and settings.prices.cross_zone >= DEAR_CROSSING
+        # Avoids needless crossings: with few proxies, the limits show when the local servers are full.
+        self.prefers_own_zone = not self.crowded and settings.prices.cross_zone >= HIGH_PRICE
         self.membership = Membership(settings)
         self.latencies = {cls.name: ClassLatency(cls) for cls in settings.classes}
         self.requests: dict[int, Request] = {}
-        self.held = Held[Request]()
+        self.queue = RequestQueue[Request]()
         self.timers: dict[int, Callable[[], None]] = {}  # no lambdas: a balancer can be pickled
         self.last_token = self.failed_calls = 0
-        self.window_count = self.window_warm = 0.0  # servers in the window last looked at; warm ones
-        self.open_share = 1.0  # smoothed share of the servers drawn that have room
-        self.room_ms = inf  # when the first of the servers just looked at has room by itself
-        self.stuck = False  # a request that may go anywhere could not be sent, and no room has come since
-        self.look_ms = 0.0  # when held requests are looked at next, whatever else happens
-        self.look_token = 0  # of the timer for that
-        self.handed_peak = 0.0  # the peak rate that a balancer before this one has seen
-        self.peak_rate = self.peak_ms = 0.0  # highest work rate of a warm server, fading since then
-        self.peak_window = inf  # how large the window was when that was seen
-        self.work_rate = Rate(RATE_WINDOWS * settings.safety.push_window_ms)
+        self.window_count = self.window_warm = 0.0  # servers in the window looked at last; warm ones
+        self.room_share = 1.0  # smoothed share of the drawn servers that have room
+        self.room_ms = inf  # earliest time at which one of the servers just checked gets room by itself
+        self.blocked = False  # an untried request could not be sent, and nothing has freed room since
+        self.next_check_ms = 0.0  # when the timer checks the queued requests next
+        self.check_token = 0  # token of that timer
+        self.restored_peak_rate = 0.0  # the peak rate handed over by the previous balancer
+        self.peak_rate = self.peak_ms = 0.0  # highest work rate of a warm server, decaying since then
+        self.peak_window = inf  # size of the window at that time
+        self.work_rate = Rate(RATE_WINDOWS * settings.safety.overload_window_ms)
         self.longest_deadline_ms = max((c.deadline_ms for c in settings.classes), default=DEFAULT_DEADLINE_MS)
-        self.arrivals = Rate(WINDOW_SPANS * self.longest_deadline_ms)
-        place = settings.own_place
-        self.place = self.random.random() if place is None else place
+        self.arrivals = Rate(ARRIVAL_DEADLINES * self.longest_deadline_ms)
+        ring_position = settings.ring_start
+        self.ring_position = self.random.random() if ring_position is None else ring_position
         self.flow = Flow(settings)
-        self.forgot_ms: float | None = None
-        self.fading: list[Endpoint] = []  # those whose judgements are still to fade in this round
-        self.fade = (0.0, 1.0, 1.0)  # by how much, and towards what
+        self.decayed_ms: float | None = None
+        self.decaying: list[Endpoint] = []  # endpoints whose estimates are still to decay in this round
+        self.decay = (0.0, 1.0, 1.0)  # by which fraction, and towards which means
         self.now_ms = float("-inf")
         self.actions: list[Action] = []
         self.started = False
-        self.part = 1.0  # of what the proxy may do; another balancer has the rest
-        self.others_open = 0  # requests that one holds
+        self.share = 1.0  # fraction of the proxy's budgets that this balancer has; another has the rest
+        self.other_open_requests = 0  # requests open at that other balancer
 
     def handle(self, now_ms: float, events: Sequence[Event]) -> list[Action]:
-        """Take in what happened by `now_ms`; returns what to do now, in that order."""
+        """Processes events; returns the actions, in order. Raises ValueError for impossible events."""
         if now_ms < self.now_ms:
             raise ValueError(f"time ran backwards: {now_ms} after {self.now_ms}")
-        self.now_ms, self.room_ms, self.stuck = now_ms, inf, False
+        self.now_ms, self.room_ms, self.blocked = now_ms, inf, False
         self.actions = []
         if not self.started:
             self.started = True
             if self.settings.subscribe:
                 self.actions.append(Subscribe())
         for event in events:
-            self.stuck = self.stuck and isinstance(event, RequestArrived)
+            self.blocked = self.blocked and isinstance(event, RequestArrived)
             match event:
                 case AttemptEnded():
                     self._on_attempt_ended(event)
@@ -134,7 +134,7 @@
                     self._on_timer(event)
                 case EndpointsListed():
                     self._on_list(event)
-                case RequestGone():
+                case ClientDisconnected():
                     if event.request_id in self.requests:
                         self._finish(self.requests[event.request_id])
                 case StreamStarted():
@@ -143,15 +143,15 @@
                     self._on_cordon(event)
                 case RequestCompleted():
                     self._on_completed(event)
-                case PartTaken():
-                    self._on_part(event)
+                case ShareAssigned():
+                    self._on_share(event)
                 case ProbeEnded():
                     if event.endpoint in self.membership.endpoints:
                         self.membership.endpoints[event.endpoint].down = event.outcome is not Outcome.OK
                 case _:
                     raise ValueError(f"not an event: {event!r}")
-        self._forget_old_judgements()
-        self._send_held()
+        self._decay_estimates()
+        self._send_queued()
         return self.actions
 
     # Discovery
@@ -161,41 +161,41 @@
         self.flow.resize(self.membership.weight)
         if event.kind is ListKind.FAILED:
             if self.failed_calls == 0:
-                self.actions.append(Log("discovery lost: asking again, the old list stands"))
+                self.actions.append(Log("discovery unavailable: retrying, the last list stays in use"))
             self.failed_calls += 1
-            # Danger: an unsubscribed proxy counts as told of drains and starts it has not heard of.
-            # Ask well inside the time the rule allows, jittered so that the proxies don't ask as one.
-            longest = self.settings.safety.must_ask_ms / 4
+            # An unsubscribed proxy counts as informed of drains and starts that it has not heard of. It polls
+            # well within the allowed interval, with jitter so that the proxies do not poll at the same time.
+            longest = self.settings.safety.max_poll_interval_ms / 4
             wait = min(longest, BACKOFF_BASE_MS * 2.0 ** min(self.failed_calls, 16))
             self._set_timer(wait * (0.5 + self.random.random() / 2), self._subscribe)
         elif self.failed_calls:
             self.failed_calls = 0
-            self.actions.append(Log("discovery back"))
+            self.actions.append(Log("discovery available again"))
 
     def _subscribe(self) -> None:
         self.actions.append(Subscribe())
 
-    def _look(self) -> None:
-        """Held requests are looked at after every round of events."""
+    def _check_queue(self) -> None:
+        """Does nothing: queued requests are checked after every round of events."""
 
-    # Operators, and another balancer beside this one
+    # Operators, and a second balancer during a handover
 
     def _on_cordon(self, event: Cordon) -> None:
         known = self.membership.cordon(self.now_ms, event.endpoint, event.on)
         self.flow.resize(self.membership.weight)
-        self.actions.append(Cordoned(event.endpoint, event.on, known))
+        self.actions.append(CordonResult(event.endpoint, event.on, known))
 
-    def _on_part(self, event: PartTaken) -> None:
-        """Danger: two balancers that each spend the whole budget push a cold server over together."""
-        if event.part < self.part:
-            kept = event.part / self.part
+    def _on_share(self, event: ShareAssigned) -> None:
+        """Scales the budgets: two balancers with a whole one each could overload a cold server."""
+        if event.share < self.share:
+            kept = event.share / self.share
             self.budget.tokens *= kept
             for endpoint in self.membership.endpoints.values():
                 endpoint.cold_credit *= kept
-        self.part, self.others_open = event.part, event.others_open
-        # The other sees the same excess, and lets go of its half.
-        for _ in range(ceil(self._over_full() / 2)):
-            self._let_go()
+        self.share, self.other_open_requests = event.share, event.other_open_requests
+        # The other balancer sees the same excess and drops its half.
+        for _ in range(ceil(self._excess_requests() / 2)):
+            self._drop_oldest()
 
     # Requests
 
@@ -217,7 +217,7 @@
         self._dispatch(request)
 
     def _on_completed(self, event: RequestCompleted) -> None:
-        """Danger: a slow upload is no slow server. What it was sent to counts as at work from here on."""
+        """Starts the deadline and the server's load here, since a slow upload is not a slow server."""
         request = self.requests.get(event.request_id)
         if request is None or request.done or not request.uploading:
             return
@@ -228,11 +228,11 @@
         for number, attempt in enumerate(request.attempts):
             if attempt.outcome is None:
                 attempt.sent_ms = self.now_ms
-                self._count_in(attempt)
-                wait_ms = max(1.0, self._useless_ms(request) - self.now_ms)
+                self._count_in_flight(attempt)
+                wait_ms = max(1.0, self._worthless_from_ms(request) - self.now_ms)
                 self.actions.append(SetTimeout(request.id, number, wait_ms))
 
-    def _count_in(self, attempt: Attempt) -> None:
+    def _count_in_flight(self, attempt: Attempt) -> None:
         attempt.working = True
         if not attempt.endpoint.in_flight:
             attempt.endpoint.waiting_since_ms = self.now_ms
@@ -240,38 +240,38 @@
         self.flow.out += 1
 
     def _dispatch(self, request: Request) -> None:
-        """Send the request's next attempt now, or hold it until a server may take it."""
-        if self._useless_ms(request) <= self.now_ms:
+        """Sends the request's next attempt now, or queues it until a server has room."""
+        if self._worthless_from_ms(request) <= self.now_ms:
             self._give_up(request)
         elif self._try_send(request) is None:
-            self._hold(request)
+            self._enqueue(request)
 
     def _window_size(self) -> float:
-        cover = COVER * len(self.membership.ready) / self.settings.proxies
-        met = self.arrivals.per_ms(self.now_ms) * WINDOW_SPANS * self.longest_deadline_ms
-        return max(WINDOW_LEAST, cover, met)
+        cover = PROXIES_PER_SERVER * len(self.membership.ready) / self.settings.proxies
+        met = self.arrivals.per_ms(self.now_ms) * ARRIVAL_DEADLINES * self.longest_deadline_ms
+        return max(MIN_WINDOW, cover, met)
 
     def _try_send(self, request: Request) -> Endpoint | None:
-        """Send to one of the servers with room, if the request may go to any of them."""
+        """Sends to a server with room that the request may use; returns the server, or None."""
         if not self.flow.has_room(self.now_ms):
             return None
-        spans = self.membership.spans(self._window_size(), self.place)
-        # Danger: back from a cordon and cold it would lose every draw against the warm, and its operators see
-        # it get nothing. It is sent one request early, wherever the window lies.
-        found = [e for e in islice(self.membership.owed.values(), REACH) if self._has_room(e)]
+        spans = self.membership.spans(self._window_size(), self.ring_position)
+        # After a cordon a cold server would lose every draw against warm ones, and operators would see it get
+        # no traffic. It is sent one request early, regardless of the window.
+        found = [e for e in islice(self.membership.unused.values(), MAX_SCANNED) if self._has_room(e)]
         allowed = [e for e in found if self._may_send(request, e)]
         if not allowed:
-            small = sum([span[2] for span in spans]) <= REACH
-            allowed = self._among(request, spans) if small else self._drawn(request, spans)
+            small = sum([span[2] for span in spans]) <= MAX_SCANNED
+            allowed = self._candidates(request, spans) if small else self._draw_candidates(request, spans)
         endpoint = self._pick(allowed)
         if endpoint is None or not self._may_send(request, endpoint):
-            self.stuck = self.stuck or not request.attempts
+            self.blocked = self.blocked or not request.attempts
             return None
         self._send(request, endpoint)
         return endpoint
 
     def _has_room(self, endpoint: Endpoint) -> bool:
-        """As it says; if it will have by itself, held requests are looked at then."""
+        """Returns whether it has room; else notes when its pause ends, to retry queued requests then."""
         if endpoint.has_room(self.now_ms):
             return True
         free = not endpoint.down and endpoint.in_flight < max(1.0, endpoint.limit)
@@ -279,55 +279,55 @@
             self.room_ms = min(self.room_ms, endpoint.paused_until_ms)
         return False
 
-    def _fits(self, request: Request, endpoint: Endpoint) -> bool:
-        """As `_may_send`; of a request not tried yet, only what differs between servers."""
+    def _is_suitable(self, request: Request, endpoint: Endpoint) -> bool:
+        """As `_may_send`, but for an untried request checks only what differs between servers."""
         if request.attempts or endpoint.cold_until_ms > self.now_ms:
             return self._may_send(request, endpoint)
         return True
 
-    def _roomy(self, spans: list[Span]) -> list[Endpoint]:
-        """A small window is looked at whole: those of it with room."""
+    def _window_with_room(self, spans: list[Span]) -> list[Endpoint]:
+        """Returns all servers with room of a small window, or of a stretch of the ring if it has none."""
         members, now_ms = self.membership, self.now_ms
-        window = members.window(now_ms, spans) or [e for e in self._reach(members.all) if self._has_room(e)]
+        window = members.window(now_ms, spans) or [e for e in self._slice(members.all) if self._has_room(e)]
         self.window_count = self.window_warm = len(window)
         if members.cold:
             self.window_warm = sum(e.cold_until_ms <= now_ms for e in window)
         return window
 
-    def _reach(self, ring: Ring) -> list[Endpoint]:
-        """A few that follow each other in it; all, if it has no more."""
+    def _slice(self, ring: Ring) -> list[Endpoint]:
+        """Returns a few consecutive members from a random position, or all if there are no more."""
         members = ring.members
-        more = len(members) - 2 * REACH
+        more = len(members) - 2 * MAX_SCANNED
         start = self.random.randrange(more) if more > 0 else 0
-        return members[start : start + 2 * REACH]
+        return members[start : start + 2 * MAX_SCANNED]
 
-    def _among(self, request: Request, spans: list[Span]) -> list[Endpoint]:
-        """Those of the window that it may go to, all that are as good a choice."""
-        allowed = roomy = self._roomy(spans)
+    def _candidates(self, request: Request, spans: list[Span]) -> list[Endpoint]:
+        """Returns the servers of the window that the request may use, reduced to the preferred ones."""
+        allowed = roomy = self._window_with_room(spans)
         if request.attempts or self.membership.cold:
-            allowed = [e for e in roomy if self._fits(request, e)]
-        if not allowed and roomy:  # the window has none for it: a repeat's group, or servers that are cold
-            allowed = [e for e in self._reach(self._group(request)) if self._has_room(e)]
-            # Danger: what all proxies may send a cold server, not just those near it, adds up to a push.
+            allowed = [e for e in roomy if self._is_suitable(request, e)]
+        if not allowed and roomy:  # e.g. a retry bound to its group, or only cold servers
+            allowed = [e for e in self._slice(self._group(request)) if self._has_room(e)]
+            # No cold servers: the requests of all proxies, not just of those near it, overload one.
             allowed = [e for e in allowed if e.cold_until_ms <= self.now_ms and self._may_send(request, e)]
         if request.attempts:
             tried = [a.endpoint for a in request.attempts]
-            # A retry goes elsewhere; with nowhere else to go, back to where it failed.
+            # A retry prefers other servers and returns to a tried one only if there is no other.
             allowed = [e for e in allowed if e not in tried] or allowed
-        if self.keeps_home:
+        if self.prefers_own_zone:
             allowed = [e for e in allowed if e.listed.zone == self.settings.zone] or allowed
         return allowed
 
     def _group(self, request: Request) -> Ring:
-        """The ring of those that it may go to, if anything of it may have run."""
+        """Returns the servers that may get the request: if it may have run, those that deduplicate it."""
         ran = request.first_possible_run() if request.attempts else None
         cls = request.cls
         if ran is None or cls is None or cls.idempotency is not Idempotency.KEYED:
             return self.membership.all
-        return self.membership.group(cls.repeat_scope, ran.endpoint.listed)
+        return self.membership.group(cls.dedup_scope, ran.endpoint.listed)
 
     def _pick(self, allowed: Sequence[Endpoint]) -> Endpoint | None:
-        """The better of two different servers drawn by their shares; the only one, if there is just one."""
+        """Returns the better of two servers drawn by their shares, or the only one."""
         if len(allowed) < 2:
             return allowed[0] if allowed else None
         total = sum([e.share for e in allowed])
@@ -335,68 +335,68 @@
         other = self._draw(allowed, total - one.share, one)
         return one if one.score() >= other.score() else other
 
-    def _draw(self, allowed: Sequence[Endpoint], total: float, but: Endpoint | None) -> Endpoint:
+    def _draw(self, allowed: Sequence[Endpoint], total: float, excluded: Endpoint | None) -> Endpoint:
         if total <= 1e-12:
-            left = [e for e in allowed if e is not but]
+            left = [e for e in allowed if e is not excluded]
             return left[self.random.randrange(len(left))]
         at = self.random.random() * total
         last = allowed[0]
         for e in allowed:
-            if e is not but:
+            if e is not excluded:
                 last = e
                 at -= e.share
                 if at < 0:
                     break
         return last
 
-    def _drawn(self, request: Request, spans: list[Span]) -> list[Endpoint]:
-        """Two of the window that it may go to, as drawn by their shares: a few tries each, and then those
-        that follow in the ring."""
+    def _draw_candidates(self, request: Request, spans: list[Span]) -> list[Endpoint]:
+        """Draws two servers of the window by their shares: a few tries each, and then the following ones on
+        the ring."""
         members = self.membership
         wanted = sum(span[2] for span in spans)
-        self.window_count = max(1.0, wanted * self.open_share)
+        self.window_count = max(1.0, wanted * self.room_share)
         self.window_warm = max(1.0, self.window_count * (1 - members.cold_share(self.now_ms)))
         group = self._group(request)
         if group is not members.all:
             spans = [(group, 0, len(group.members), 1.0)]
-        elif self.keeps_home:
+        elif self.prefers_own_zone:
             home = members.rings.get(self.settings.zone)
-            found = self._two(request, [span for span in spans if span[0] is home])
+            found = self._draw_two(request, [span for span in spans if span[0] is home])
             if found:
                 return found
         back = [a.endpoint for a in request.attempts if self._has_room(a.endpoint)]
-        return self._two(request, spans) or [e for e in back if self._may_send(request, e)]
+        return self._draw_two(request, spans) or [e for e in back if self._may_send(request, e)]
 
-    def _two(self, request: Request, spans: list[Span]) -> list[Endpoint]:
-        but = [a.endpoint for a in request.attempts]
+    def _draw_two(self, request: Request, spans: list[Span]) -> list[Endpoint]:
+        excluded = [a.endpoint for a in request.attempts]
         found: list[Endpoint] = []
         while spans and len(found) < 2:
-            endpoint = self._try(request, spans, but)
+            endpoint = self._draw_one(request, spans, excluded)
             if endpoint is None:
                 break
             endpoint.share = 1.0
             found.append(endpoint)
-            but.append(endpoint)
+            excluded.append(endpoint)
         return found
 
-    def _try(self, request: Request, spans: list[Span], but: list[Endpoint]) -> Endpoint | None:
+    def _draw_one(self, request: Request, spans: list[Span], excluded: list[Endpoint]) -> Endpoint | None:
         ring, start, wanted, _ = self._draw_span(spans)
-        for _ in range(TRIES):
+        for _ in range(MAX_DRAWS):
             size = len(ring.members)
             at = start + self.random.randrange(wanted)
             endpoint = ring.members[at if at < size else at - size]
             if endpoint.weight < ring.heaviest and self.random.random() * ring.heaviest >= endpoint.weight:
                 continue
             room = self._has_room(endpoint)
-            self.open_share += OPEN_GAIN * (room - self.open_share)
-            if room and endpoint not in but and self._fits(request, endpoint):
+            self.room_share += ROOM_SHARE_GAIN * (room - self.room_share)
+            if room and endpoint not in excluded and self._is_suitable(request, endpoint):
                 return endpoint
             ring, start, wanted, _ = self._draw_span(spans)
         size = len(ring.members)
         first = start + (wanted if wanted < size else self.random.randrange(size))
-        for i in range(first, first + min(size, REACH)):
+        for i in range(first, first + min(size, MAX_SCANNED)):
             endpoint = ring.members[i % size]
-            if endpoint not in but and self._has_room(endpoint) and self._fits(request, endpoint):
+            if endpoint not in excluded and self._has_room(endpoint) and self._is_suitable(request, endpoint):
                 return endpoint
         return None
 
@@ -410,66 +410,66 @@
                 return span
         return spans[-1]
 
-    def _hold(self, request: Request) -> None:
-        """Danger: sent to full servers, work queues there until it is late, and jams them. It waits
-        here instead, the most valuable first, until it could no longer be served in time."""
+    def _enqueue(self, request: Request) -> None:
+        """Queues the request, the highest value first, until it can no longer be served in time. At full
+        servers it would wait until it is late, and slow them down."""
         usual_ms = self.latencies[request.cls.name].mean_ms if request.cls else DEFAULT_DEADLINE_MS / 4
-        wait_ms = self._useless_ms(request) - usual_ms - self.now_ms
+        wait_ms = self._worthless_from_ms(request) - usual_ms - self.now_ms
         if wait_ms <= 0:
             self._give_up(request)
             return
-        # A client's repeat has most likely waited for its aim already, the time before.
+        # A request retried by its client has most likely missed its aim already.
         aim_ms = self._aim_ms(request.cls, request) if request.cls and not request.repeat else 0.0
-        request.in_aim_until_ms = request.arrived_ms + aim_ms - usual_ms
-        if self.crowded and request.in_aim_until_ms > self.now_ms:
-            wait_ms = min(wait_ms, request.in_aim_until_ms - self.now_ms)
+        request.on_time_until_ms = request.arrived_ms + aim_ms - usual_ms
+        if self.crowded and request.on_time_until_ms > self.now_ms:
+            wait_ms = min(wait_ms, request.on_time_until_ms - self.now_ms)
         request.timer = self._set_timer(wait_ms, partial(self._wake, request, self._give_up))
-        self.held.add(request)
-        self.held.compact(2 * len(self.requests) + REACH)
-        if self._over_full() > 0:
-            self._let_go()
+        self.queue.add(request)
+        self.queue.compact(2 * len(self.requests) + MAX_SCANNED)
+        if self._excess_requests() > 0:
+            self._drop_oldest()
 
-    def _over_full(self) -> float:
-        """How many requests too many hold connections of the clients'."""
+    def _excess_requests(self) -> float:
+        """Returns how many requests exceed the allowed share of client connections."""
         most = self.settings.limits.max_open
-        share = FULL_SHARE if self.part >= 1 else FULL_SHARE_BESIDE
-        return len(self.requests) + self.others_open - share * most if most else 0.0
+        share = MAX_OPEN_SHARE if self.share >= 1 else MAX_OPEN_SHARE_OF_TWO
+        return len(self.requests) + self.other_open_requests - share * most if most else 0.0
 
-    def _let_go(self) -> None:
-        """Danger: each held request takes up a connection of its client's. With none left, whatever comes
-        next is lost unseen. What has waited longest is the least likely to be served in time still."""
-        oldest = self.held.oldest()
+    def _drop_oldest(self) -> None:
+        """Drops the oldest queued request, which is the least likely to be served in time. Each one occupies
+        a client connection; when none is left, new requests are lost unseen."""
+        oldest = self.queue.oldest()
         if oldest is not None:
             self._give_up(oldest)
 
-    def _send_held(self) -> None:
-        """Send as many as there is room for. One that may go anywhere and can't be sent tells that no other
-        such can; those that have been tried may go only to some servers, and are each looked at."""
-        held = self.held
-        if held.oldest() is None:
-            self.timers.pop(self.look_token, None)
-            self.look_ms = 0.0
+    def _send_queued(self) -> None:
+        """Sends as many queued requests as there is room for. An untried one that cannot be sent shows that
+        no other untried one can; those that were tried may use only some servers, so each is checked."""
+        queue = self.queue
+        if queue.oldest() is None:
+            self.timers.pop(self.check_token, None)
+            self.next_check_ms = 0.0
             return
         aside: list[Entry[Request]] = []
-        while len(aside) < REACH:
+        while len(aside) < MAX_SCANNED:
             if not self.flow.has_room(self.now_ms):
                 self.room_ms = min(self.room_ms, self.flow.closed_until_ms)
                 break
-            top = held.pop(self.now_ms, fresh=not self.stuck)
+            top = queue.pop(self.now_ms, untried=not self.blocked)
             if top is None:
                 break
             if self._try_send(top[2]) is None:
                 aside.append(top)
-        held.put_back(aside)
-        # Danger: with no other traffic, nothing else would tell that a pause is over.
-        waiting = self.now_ms < self.look_ms <= self.room_ms + SOON_MS
+        queue.put_back(aside)
+        # Without other traffic, no event would show that a pause is over.
+        waiting = self.now_ms < self.next_check_ms <= self.room_ms + MIN_CHECK_DELAY_MS
         if self.now_ms < self.room_ms < inf and not waiting:
-            self.look_ms = max(self.room_ms, self.now_ms + SOON_MS)
-            self.timers.pop(self.look_token, None)
-            self.look_token = self._set_timer(self.look_ms - self.now_ms, self._look)
+            self.next_check_ms = max(self.room_ms, self.now_ms + MIN_CHECK_DELAY_MS)
+            self.timers.pop(self.check_token, None)
+            self.check_token = self._set_timer(self.next_check_ms - self.now_ms, self._check_queue)
 
-    def _useless_ms(self, request: Request) -> float:
-        """From when on an answer is worth nothing. Danger: work for nobody, on servers that are full."""
+    def _worthless_from_ms(self, request: Request) -> float:
+        """Returns when an answer becomes worthless; later work would load full servers for nothing."""
         cls = request.cls
         if cls is None or cls.late_worth or cls.streamed:
             return request.deadline_ms
@@ -480,41 +480,41 @@
         return min(cls.deadline_ms, cls.aim_ms + cls.aim_stretch * request.work)
 
     def _may_send(self, request: Request, endpoint: Endpoint) -> bool:
-        """The guard every send passes: may this request be sent to this endpoint now?"""
+        """Returns whether the request may be sent to this endpoint now. Every send passes this check."""
         limits = self.settings.limits
         if request.done or request.streaming or len(request.attempts) >= limits.max_attempts:
             return False
         if request.out and not limits.parallel_attempts:
             return False
-        # Danger: new work on a server that drains or is gone.
+        # No new work for a server that is draining or gone.
         if endpoint.listed.state is not EndpointState.READY or endpoint.cordoned:
             return False
-        # Danger: an effect that happens twice.
+        # The effect of a request must not happen twice.
         ran = request.first_possible_run() if request.attempts else None
         if ran is not None:
-            if not request.repeatable() or self.now_ms >= request.repeats_end_ms():
+            if not request.retryable() or self.now_ms >= request.dedup_until_ms():
                 return False
-            if not drops_repeats(request.cls, ran.endpoint.listed, endpoint.listed):
+            if not deduplicates(request.cls, ran.endpoint.listed, endpoint.listed):
                 return False
         return self._cold_room(request, endpoint)
 
     def _cold_room(self, request: Request, endpoint: Endpoint) -> bool:
-        """Danger: a server just started falls over under a warm server's share, and stays down."""
+        """A server that has just started fails under a warm server's share of the load, and stays down."""
         if endpoint.cold_until_ms <= self.now_ms:
             return True
         safety, warmth = self.settings.safety, endpoint.warmth(self.now_ms)
-        # What a warm server gets from here is this proxy's part of what a server can do; the other
-        # proxies keep to theirs in the same way. Credit for half a window at most: no bursts. It starts
-        # at a random part of one request: full, the proxies' first requests would add up to a push;
-        # empty, a server in few proxies' traffic would get nothing until it is warm.
-        rate = COLD_MARGIN * safety.push_multiple * warmth * self.warm_rate() * self.part
-        # Danger: that was in a narrower window, perhaps. In a wider one more proxies share each server.
+        # The rate of a warm server is this proxy's part of a server's capacity; the other proxies limit
+        # themselves in the same way. Credit is capped at half a window, to prevent bursts. It starts at a
+        # random part of one request: from full, the proxies' first requests would add up to an overload; from
+        # zero, a server that few proxies use would get nothing until it is warm.
+        rate = COLD_LOAD_SHARE * safety.overload_multiple * warmth * self.warm_rate() * self.share
+        # That rate may be from a smaller window. In a larger one more proxies share each server.
         rate *= min(1.0, self.peak_window / self._window_size())
         if endpoint.cold_credit_ms is None:
-            first = self.random.random() * request.work * self.part
-            first = first if endpoint.handed_credit is None else endpoint.handed_credit * self.part
+            first = self.random.random() * request.work * self.share
+            first = first if endpoint.restored_credit is None else endpoint.restored_credit * self.share
             endpoint.cold_credit, endpoint.cold_credit_ms = first, self.now_ms
-        most = max(rate * safety.push_window_ms / 2, request.work)
+        most = max(rate * safety.overload_window_ms / 2, request.work)
         earned = rate * (self.now_ms - endpoint.cold_credit_ms)
         endpoint.cold_credit = min(most, endpoint.cold_credit + earned)
         endpoint.cold_credit_ms = self.now_ms
@@ -525,15 +525,15 @@
         return False
 
     def warm_rate(self) -> float:
-        """Work a millisecond that a warm server gets from here, or lately got.
+        """Work per millisecond that a warm server gets, or recently got, from this proxy.
 
-        Danger: in a jam little is sent to warm servers, and by that measure the cold ones, which could
-        end it, get nothing. So the highest of late counts, fading over the time that warming takes.
-        Where none is warm and none was, all that arrives is taken to be what the servers are made for.
+        In an overload little is sent to warm servers; by that measure the cold ones, which could relieve
+        them, would get nothing. So the recent peak counts, decaying over the warm-up time. If no server is or
+        was warm, all arriving work is taken as what the servers are built for.
         """
         rate = self.work_rate.per_ms(self.now_ms)
-        if self.handed_peak:
-            self.peak_rate, self.peak_ms, self.handed_peak = self.handed_peak, self.now_ms, 0.0
+        if self.restored_peak_rate:
+            self.peak_rate, self.peak_ms, self.restored_peak_rate = self.restored_peak_rate, self.now_ms, 0.0
             self.peak_window = self._window_size()
         if not rate and not self.peak_rate:
             mean = sum(usual.mean_ms for usual in self.latencies.values()) / max(1, len(self.latencies))
@@ -548,24 +548,24 @@
         if endpoint.cold_until_ms > self.now_ms:
             endpoint.cold_credit -= request.work
         else:
-            # Danger: the last warm server of a small window gets what all should, and by that measure all
-            # proxies push the cold ones over together.
-            least = WINDOW_LEAST if self.crowded else 1.0
+            # The last warm server of a small window gets the load of all; with that as the measure, the
+            # proxies would overload the cold servers together.
+            least = MIN_WINDOW if self.crowded else 1.0
             self.work_rate.add(self.now_ms, request.work / max(least, self.window_warm))
-        if endpoint.owed:
-            endpoint.owed = False
-            self.membership.owed.pop(endpoint.listed.name, None)
-        request.held_as = 0
+        if endpoint.unused:
+            endpoint.unused = False
+            self.membership.unused.pop(endpoint.listed.name, None)
+        request.queue_number = 0
         self._drop_timer(request)
         attempt = Attempt(endpoint, self.now_ms)
         request.attempts.append(attempt)
-        # Danger: what is slow to come up would run beside another when repeats are dropped no more.
-        within_ms = inf if request.uploading else request.repeats_end_ms() - self.now_ms
+        # A slow connection attempt could otherwise overlap another one after the deduplication window.
+        within_ms = inf if request.uploading else request.dedup_until_ms() - self.now_ms
         request.out += 1
         timeout_ms = 0.0
         if not request.uploading:
-            self._count_in(attempt)
-            timeout_ms = self._useless_ms(request) - self.now_ms
+            self._count_in_flight(attempt)
+            timeout_ms = self._worthless_from_ms(request) - self.now_ms
         self.actions.append(Send(request.id, endpoint.listed.name, timeout_ms, within_ms))
 
     def _on_attempt_ended(self, event: AttemptEnded) -> None:
@@ -584,44 +584,44 @@
             self._finish(request)
         elif request.done:
             self._drop_if_over(request)
-        elif event.spent:
+        elif event.body_consumed:
             self._give_up(request)
         elif not request.out and not request.streaming:
             self._retry(request)
 
     def _target(self) -> float:
-        """A server slows down for all classes alike: the one with the least room sets the target."""
+        """A server slows down for all classes alike, so the class with the least slack sets the target."""
         seen = [usual.target() for usual in self.latencies.values() if usual.seen]
-        return min(seen, default=SLOWNESS_LEAST)
+        return min(seen, default=MIN_SLOWNESS)
 
     def _reported_slowness(self, report: tuple[float, ...] | None) -> float:
-        """How much waiting stretches the time of requests there, as the server tells it; 1 if unknown.
-        Danger: a proxy that starts in the middle of an overload takes its latencies for unhurried."""
+        """Factor by which queueing at the server, as it reports, stretches latencies; 1 if unknown. A proxy
+        that starts during an overload would otherwise take the latencies it sees for normal."""
         fields = self.settings.report_fields
         if report is None or "inflight" not in fields or "queue" not in fields:
             return 1.0
-        held, waiting = report[fields.index("inflight")], report[fields.index("queue")]
-        return held / max(1.0, held - waiting) if waiting > 0 else 1.0
+        queue, waiting = report[fields.index("inflight")], report[fields.index("queue")]
+        return queue / max(1.0, queue - waiting) if waiting > 0 else 1.0
 
     def _learn(
         self, request: Request, attempt: Attempt, outcome: Outcome, latency_ms: float, reported: float
     ) -> None:
-        """What an attempt's end, or its answer's beginning, says about its server."""
+        """Updates estimates of the server from the end of an attempt, or from the start of its response."""
         cls = request.cls
-        if not attempt.working:  # its answer had begun before, or the server never had the whole request
+        if not attempt.working:  # its response had started, or the server never had the whole request
             if outcome in (Outcome.REJECTED, *BROKEN) and not request.streaming and cls is not None:
                 self._failed(attempt.endpoint, self.latencies[cls.name], outcome)
             return
         attempt.working = False
         attempt.endpoint.in_flight -= 1
-        # Danger: beside an answer that seems to take no time, all servers are too slow to be sent anything.
-        untimed = outcome in TIMED and latency_ms < TIMED_LEAST_MS
+        # Beside a latency of zero every later one looks too slow, and no server would get requests.
+        untimed = outcome in TIMED and latency_ms < MIN_LATENCY_MS
         if outcome in NO_EVIDENCE or cls is None or untimed:
             self.flow.ended(self.now_ms, latency_ms, None)
             return
         usual = self.latencies[cls.name]
-        good_ms = usual.in_good_time_ms()
-        # Danger: a cold server is slow by nature. By its answers the pool would close before idle warm ones.
+        good_ms = usual.midpoint_ms()
+        # A cold server is slow by nature; that must not close the pooled limit while warm servers idle.
         warmth = attempt.endpoint.warmth(self.now_ms)
         slow = warmth * usual.slowness(latency_ms) / self._target() if outcome in TIMED else None
         self.flow.ended(self.now_ms, usual.base_ms, slow)
@@ -629,15 +629,15 @@
             slowness = usual.slowness(latency_ms)
             usual.add(latency_ms)
             on_time = latency_ms <= self._aim_ms(cls, request)
-            attempt.endpoint.judge(self.now_ms, 1.0 if on_time else cls.late_worth, slowness)
+            attempt.endpoint.learn(self.now_ms, 1.0 if on_time else cls.late_worth, slowness)
         else:
-            # Danger: a server that fails fast looks quick. A failure never counts as faster than usual.
-            attempt.endpoint.judge(self.now_ms, 0.0, max(1.0, usual.slowness(latency_ms)))
-        if outcome in WORKED:
+            # A server that fails fast must not look fast: a failure never counts as faster than normal.
+            attempt.endpoint.learn(self.now_ms, 0.0, max(1.0, usual.slowness(latency_ms)))
+        if outcome in SERVED:
             attempt.endpoint.answered(self.now_ms, latency_ms)
         if outcome in TIMED:
             strain = max(usual.slowness(latency_ms), reported) / self._target()
-            least = LIMIT_LEAST if self.crowded else 1.0
+            least = MIN_LIMIT if self.crowded else 1.0
             attempt.endpoint.adapt_limit(self.now_ms, min(latency_ms, good_ms), strain, least)
         else:
             self._failed(attempt.endpoint, usual, outcome)
@@ -648,47 +648,47 @@
     def _on_stream(self, event: StreamStarted) -> None:
         request = self.requests.get(event.request_id)
         if request is not None and not request.done:
-            request.streaming = True  # the attempt is the client's now; no deadline runs
+            request.streaming = True  # no deadline applies to a streaming response
             self._drop_timer(request)
             if 0 <= event.attempt < len(request.attempts):
-                # Danger: the client's reading may take long; the server has done its work by now.
+                # The client may read slowly; the server has done its work by now.
                 self._learn(request, request.attempts[event.attempt], Outcome.OK, event.latency_ms, 1.0)
 
     def _retry(self, request: Request) -> None:
         more = len(request.attempts) < self.settings.limits.max_attempts
-        if not (more and request.repeatable() and self._sleep(request)):
+        if not (more and request.retryable() and self._schedule_retry(request)):
             self._give_up(request)
 
-    def _sleep(self, request: Request) -> bool:
-        """Pay, wait by the paper's jitter and try then. False if no time, or no token, is left."""
-        wait = backoff_ms(request.prev_wait_ms, self.random)
-        sleep = min(wait, self._useless_ms(request) - self.now_ms - DEADLINE_MARGIN_MS)
-        if self.now_ms + sleep >= request.repeats_end_ms():
+    def _schedule_retry(self, request: Request) -> bool:
+        """Pays for a retry and schedules it after the backoff; False if time or tokens do not suffice."""
+        wait = backoff_ms(request.previous_wait_ms, self.random)
+        sleep = min(wait, self._worthless_from_ms(request) - self.now_ms - DEADLINE_MARGIN_MS)
+        if self.now_ms + sleep >= request.dedup_until_ms():
             return False
         if sleep <= 0 or not self.budget.spend():
             return False
-        request.prev_wait_ms = wait
+        request.previous_wait_ms = wait
         request.timer = self._set_timer(sleep, partial(self._wake, request, self._dispatch))
         return True
 
     def _wake(self, request: Request, then: Callable[[Request], None]) -> None:
-        request.timer, request.held_as = None, 0
+        request.timer, request.queue_number = None, 0
         then(request)
 
     def _give_up(self, request: Request) -> None:
-        """FAIL, or REFUSE, which tells the client that trying again is harmless, if no attempt ran."""
+        """Ends the request with `Refuse`, which permits a retry, if no attempt may have run; else `Fail`."""
         ran = request.first_possible_run() is not None
-        self.actions.append(Fail(request.id) if ran else Refuse(request.id, self._come_back_ms()))
+        self.actions.append(Fail(request.id) if ran else Refuse(request.id, self._retry_after_ms()))
         self._finish(request)
 
-    def _come_back_ms(self) -> float:
-        """The paper's first wait, for clients of sites that pass it on. Danger: turned away at once, they
-        are back at once, and the same overload turns them away again."""
+    def _retry_after_ms(self) -> float:
+        """The first backoff wait, where sites pass it to clients: refused requests that are retried at once
+        meet the same overload again."""
         limits = self.settings.limits
         return min(BACKOFF_BASE_MS, limits.max_retry_after_ms) if limits.retry_after else 0.0
 
     def _finish(self, request: Request) -> None:
-        request.done, request.held_as = True, 0
+        request.done, request.queue_number = True, 0
         self._drop_timer(request)
         self._drop_if_over(request)
 
@@ -696,7 +696,7 @@
         if not request.out:
             self.requests.pop(request.id, None)
 
-    # Time
+    # Timers
 
     def _set_timer(self, delay_ms: float, call: Callable[[], None]) -> int:
         self.last_token += 1
@@ -705,7 +705,7 @@
         return self.last_token
 
     def _drop_timer(self, request: Request) -> None:
-        """The proxy can't unset a timer; when this one fires it is not known here, and ignored."""
+        """Forgets a timer. The proxy cannot cancel it; its event is ignored."""
         if request.timer is not None:
             del self.timers[request.timer]
             request.timer = None
@@ -715,24 +715,24 @@
         if call is not None:
             call()
 
-    def _forget_old_judgements(self) -> None:
-        """Judgements fade over four times the longest deadline: what they were about is over then."""
-        if self.fading:
-            self._fade_some()
+    def _decay_estimates(self) -> None:
+        """Decays estimates over four times the longest deadline, after which their cause is over."""
+        if self.decaying:
+            self._decay_some()
             return
-        if self.forgot_ms is None:
-            self.forgot_ms = self.now_ms
-        share = (self.now_ms - self.forgot_ms) / (4 * self.longest_deadline_ms)
+        if self.decayed_ms is None:
+            self.decayed_ms = self.now_ms
+        share = (self.now_ms - self.decayed_ms) / (4 * self.longest_deadline_ms)
         if share < 0.01:
             return
-        self.forgot_ms = self.now_ms
-        self.fading = self.membership.ready.copy()
-        self.membership.cold_share(self.now_ms)  # those that are warm by now are forgotten
-        self.fade = (min(1.0, share), *self.membership.judged.means())
-        self._fade_some()
-
-    def _fade_some(self) -> None:
-        """A part at a time: a long list must not hold a request up."""
-        for endpoint in self.fading[-FADE_AT_ONCE:]:
-            endpoint.forget(*self.fade)
-        del self.fading[-FADE_AT_ONCE:]
+        self.decayed_ms = self.now_ms
+        self.decaying = self.membership.ready.copy()
+        self.membership.cold_share(self.now_ms)  # drops warm ones from the index of cold servers
+        self.decay = (min(1.0, share), *self.membership.all_means.means())
+        self._decay_some()
+
+    def _decay_some(self) -> None:
+        """Decays some endpoints per call, so that a long list does not delay a request."""
+        for endpoint in self.decaying[-DECAY_BATCH:]:
+            endpoint.decay_towards(*self.decay)
+        del self.decaying[-DECAY_BATCH:]
--- a/tests/cold_world.py
+++ b/tests/cold_world.py
@@ -1,9 +1,9 @@
-"""Many proxies before servers of which some have just started: what all of them together send each of these.
+"""Simulation of many proxies and of servers that have just started, which measures what all proxies together
+send to each cold server.
 
-A world of its own, so that the law for cold servers is held against something that does not share its
-reckoning: real balancers, one clock, servers that know what they can do, and a count for each cold server of
-what it is sent, held against the page: no more than N + 3 x root of N + 3 requests of mean work within the
-push window, N being what the settings allow at its present capacity.
+It is independent of the implementation: real balancers, one clock, servers with a known capacity, and a count
+of the requests sent to each cold server. The limit within one overload window is N + 3 x root of N + 3
+requests of mean work, where N is what the settings allow at the server's present capacity.
 """
 
 from __future__ import annotations
@@ -36,26 +36,26 @@
     TimerFired,
 )
 
-CORES, WORK_MS = 4, 100.0  # of each server, and the mean work of a request
-RATE = CORES / WORK_MS  # requests a millisecond that a warm server can do
-WARM_UP_MS = 3000.0  # of traffic before the servers start
-SAFETY = Safety(cold_share=0.12, cold_ms=6000.0, push_multiple=3.0, push_window_ms=2000.0)
-ASKED = RequestClass(
-    "asked", aim_ms=600, deadline_ms=2000, idempotency=Idempotency.KEYED, repeat_window_ms=9e9
+CORES, WORK_MS = 4, 100.0  # per server; mean work of a request
+RATE = CORES / WORK_MS  # requests per millisecond that a warm server can serve
+WARM_UP_MS = 3000.0  # duration of the traffic before the servers start
+SAFETY = Safety(cold_share=0.12, cold_ms=6000.0, overload_multiple=3.0, overload_window_ms=2000.0)
+REQUEST_CLASS = RequestClass(
+    "asked", aim_ms=600, deadline_ms=2000, idempotency=Idempotency.KEYED, dedup_window_ms=9e9
 )
 
 
 @dataclass(frozen=True)
 class Plan:
-    """What is drawn for one world."""
+    """Parameters of one simulation."""
 
     proxies: int = 20
     servers: int = 12
-    cold: int = 4  # of these, start at the same time
-    load: float = 0.8  # of what all could do, warm
-    unequal: float = 1.0  # sigma of the lognormal of the proxies' traffic
-    told_spread_ms: float = 300.0  # within which the proxies are told of the start, the first at once
-    killed: float = 0.0  # part of the proxies that is killed during the warming, and starts anew at once
+    cold: int = 4  # how many of them start at the same time
+    load: float = 0.8  # fraction of the total capacity when warm
+    traffic_sigma: float = 1.0  # sigma of the lognormal distribution of the proxies' traffic
+    notice_spread_ms: float = 300.0  # the proxies learn of the start within this time, the first one at once
+    killed: float = 0.0  # fraction of the proxies that is killed during the warm-up and restarted at once
     seed: int = 1
 
 
@@ -64,8 +64,8 @@
     name: str
     started_ms: float | None = None
     busy: int = 0
-    sent_ms: deque[float] = field(default_factory=deque)  # within the window
-    most: float = 0.0  # of what it was sent, as a part of what it may be
+    sent_ms: deque[float] = field(default_factory=deque)  # within the overload window
+    most: float = 0.0  # highest ratio of requests sent to requests allowed
     got: int = 0
 
     def warmth(self, now_ms: float) -> float:
@@ -75,15 +75,17 @@
         return min(1.0, SAFETY.cold_share + (1 - SAFETY.cold_share) * age)
 
     def take(self, now_ms: float) -> float:
-        """It is sent a request; how long that takes."""
+        """Accepts a request and returns how long it takes, in ms."""
         self.busy += 1
         self.got += 1
         warmth = self.warmth(now_ms)
         if warmth < 1:
             self.sent_ms.append(now_ms)
-            while self.sent_ms[0] < now_ms - SAFETY.push_window_ms:
+            while self.sent_ms[0] < now_ms - SAFETY.overload_window_ms:
                 self.sent_ms.popleft()
-            allowed = SAFETY.push_multiple * RATE * self.warmth(self.sent_ms[0]) * SAFETY.push_window_ms
+            allowed = (
+                SAFETY.overload_multiple * RATE * self.warmth(self.sent_ms[0]) * SAFETY.overload_window_ms
+            )
             self.most = max(self.most, len(self.sent_ms) / (allowed + 3 * sqrt(allowed) + 3))
         return WORK_MS / warmth * max(1.0, self.busy / CORES)
 
@@ -96,8 +98,8 @@
         self._queue: list[tuple[float, int, str, tuple[Any, ...]]] = []
         self._numbers = count()
         self.served = self.asked = 0
-        self._attempts: dict[int, int] = {}  # the last one's number, by request
-        shares = [self.random.lognormvariate(0.0, plan.unequal) for _ in range(plan.proxies)]
+        self._attempts: dict[int, int] = {}  # number of the last attempt, by request
+        shares = [self.random.lognormvariate(0.0, plan.traffic_sigma) for _ in range(plan.proxies)]
         rate = plan.load * plan.servers * RATE
         self.rates = [rate * share / sum(shares) for share in shares]
         self.proxies: list[Balancer] = []
@@ -109,8 +111,10 @@
 
     def _new(self, number: int) -> Balancer:
         limits = Limits(max_attempts=3)
-        told = Settings((ASKED,), proxies=self.plan.proxies, number=number, limits=limits, safety=SAFETY)
-        return Balancer(told, self.random.randrange(1 << 30))
+        config = Settings(
+            (REQUEST_CLASS,), proxies=self.plan.proxies, proxy_index=number, limits=limits, safety=SAFETY
+        )
+        return Balancer(config, self.random.randrange(1 << 30))
 
     def _listed(self, kind: ListKind) -> EndpointsListed:
         return EndpointsListed(
@@ -121,7 +125,8 @@
         heappush(self._queue, (self.now_ms + delay_ms, next(self._numbers), what, more))
 
     def play(self) -> float:
-        """The highest part of its budget that a cold server was sent; over 1 the law is broken."""
+        """Runs the simulation and returns the highest ratio of sent to allowed requests; above 1 breaks the
+        rule."""
         self._at(WARM_UP_MS, "start")
         while self._queue:
             self.now_ms, _, what, more = heappop(self._queue)
@@ -134,11 +139,11 @@
         for server in list(self.servers.values())[: self.plan.cold]:
             server.started_ms, server.busy = self.now_ms, 0
         for number in range(self.plan.proxies):
-            self._at(self.random.random() * self.plan.told_spread_ms, "told", number)
+            self._at(self.random.random() * self.plan.notice_spread_ms, "notified", number)
             if self.random.random() < self.plan.killed:
                 self._at(self.random.random() * SAFETY.cold_ms, "killed", number)
 
-    def _told(self, number: int) -> None:
+    def _notified(self, number: int) -> None:
         self._tell(number, self._listed(ListKind.FULL))
 
     def _killed(self, number: int) -> None:
@@ -149,7 +154,9 @@
     def _arrival(self, number: int) -> None:
         self._at(self.random.expovariate(self.rates[number]), "arrival", number)
         self.asked += 1
-        self._tell(number, RequestArrived(self.asked, ASKED.name, self.now_ms + ASKED.deadline_ms))
+        self._tell(
+            number, RequestArrived(self.asked, REQUEST_CLASS.name, self.now_ms + REQUEST_CLASS.deadline_ms)
+        )
 
     def _timer(self, number: int, life: int, token: int) -> None:
         if self.lives[number] == life:
--- a/tests/test_cold_law.py
+++ b/tests/test_cold_law.py
@@ -1,5 +1,6 @@
-"""The law for cold servers as a property over many proxies: whatever their number, their traffic, when they
-are told and which of them are killed, the sum of what they send stays within what a cold server bears."""
+"""The rule for cold servers as a property: whatever the number of proxies, their traffic, the time at which
+they learn of the start, and restarts of proxies, the sum of their requests stays within what a cold server
+can bear."""
 
 from __future__ import annotations
 
@@ -15,8 +16,8 @@
     servers=st.integers(6, 14),
     cold=st.integers(1, 6),
     load=st.floats(0.4, 1.2),
-    unequal=st.sampled_from((0.0, 1.0, 1.8)),
-    told_spread_ms=st.sampled_from((0.0, 300.0, 2000.0)),
+    traffic_sigma=st.sampled_from((0.0, 1.0, 1.8)),
+    notice_spread_ms=st.sampled_from((0.0, 300.0, 2000.0)),
     killed=st.sampled_from((0.0, 0.5, 1.0)),
     seed=st.integers(0, 10_000),
 )
@@ -30,8 +31,9 @@
     assert world.served > 0
 
 
-def test_the_world_finds_proxies_that_together_push_a_cold_server_over() -> None:
-    """None of them knows that it is cold, and all like it best."""
+def test_the_simulation_detects_proxies_that_together_overload_a_cold_server() -> None:
+    """The simulation must detect a violation: these proxies do not know that the server is cold, and prefer
+    it."""
 
     class Eager(ColdWorld):
         def _tell(self, number: int, event: Event) -> None:
--- a/tests/test_many_servers.py
+++ b/tests/test_many_servers.py
@@ -1,4 +1,4 @@
-"""Long lists: decisions that look at few servers, and the rules on the way that draws take there."""
+"""Long server lists: a decision checks few servers, and draws from long lists keep the rules."""
 
 from __future__ import annotations
 
@@ -10,17 +10,17 @@
 from hypothesis import strategies as st
 
 from cloverrouter.decide import Endpoint
-from cloverrouter.decide.membership import REACH
-from cloverrouter.indexes import Held, Mean, Ring
+from cloverrouter.decide.membership import MAX_SCANNED
+from cloverrouter.indexes import PairMean, RequestQueue, Ring
 from cloverrouter.interface import (
+    ClientDisconnected,
     Cordon,
+    DedupScope,
     EndpointState,
     ListedEndpoint,
     Outcome,
     Refuse,
-    RepeatScope,
     RequestArrived,
-    RequestGone,
     Send,
 )
 from tests.driver import KEYED, SETTINGS, UNSAFE, Driver, delta, endpoint, full
@@ -30,7 +30,7 @@
 
 
 def looked_at(monkeypatch: pytest.MonkeyPatch, driver: Driver, ask: int) -> float:
-    """Servers looked at for each of so many requests, that are answered one after the other."""
+    """Returns how many servers are checked per request, for `ask` requests served one after the other."""
     looks = 0
     has_room = Endpoint.has_room
 
@@ -62,8 +62,8 @@
         patched.setattr(Endpoint, "has_room", full_up)
         many.request()
         many.request()
-    assert len(looks) <= 2 * 2 * 2 * REACH
-    # Answers free room, and the request that waits goes there: not many of these would be drawn by chance.
+    assert len(looks) <= 2 * 2 * 2 * MAX_SCANNED
+    # Responses free capacity, and the queued request gets it; few random draws would find these servers.
     for known in list(many.balancer.membership.endpoints.values())[:300]:
         known.in_flight = 0
     assert [a for a in many.tell() if isinstance(a, Send)]
@@ -99,15 +99,15 @@
     driver.serve(400)
     used = {name for sent in driver.sent.values() for name in sent}
     assert not used & (banned | drained) and len(used) > 100
-    driver.tell(Cordon("s0", False), Cordon("s3", False))  # s0 is listed no more
+    driver.tell(Cordon("s0", False), Cordon("s3", False))  # s0 is not listed any more
     driver.sent.clear()
-    driver.serve(220)  # it warms in 10 s, and has the credit for a request then at the latest
+    driver.serve(220)  # it warms up in 10 s, and by then has enough credit for a request
     assert ["s3"] in driver.sent.values()
 
 
-@pytest.mark.parametrize("scope", list(RepeatScope))
-def test_repeats_stay_in_their_group_among_many_and_go_elsewhere(scope: RepeatScope) -> None:
-    config = replace(SETTINGS, classes=(replace(KEYED, repeat_scope=scope, repeat_window_ms=5000),))
+@pytest.mark.parametrize("scope", list(DedupScope))
+def test_repeats_stay_in_their_group_among_many_and_go_elsewhere(scope: DedupScope) -> None:
+    config = replace(SETTINGS, classes=(replace(KEYED, dedup_scope=scope, dedup_window_ms=5000),))
     driver = Driver(config, LIST)
     by_name = {e.name: e for e in LIST}
     zones = set()
@@ -117,25 +117,25 @@
         driver.wait(1500)
         home, there = (by_name[name] for name in driver.sent[request])
         assert home.name != there.name
-        assert scope is RepeatScope.ALL or home.zone == there.zone
-        assert scope is not RepeatScope.CELL or home.cell == there.cell
+        assert scope is DedupScope.ALL or home.zone == there.zone
+        assert scope is not DedupScope.CELL or home.cell == there.cell
         zones.add(home.zone == there.zone)
         driver.end(request, Outcome.OK)
-    assert zones == ({True, False} if scope is RepeatScope.ALL else {True})
+    assert zones == ({True, False} if scope is DedupScope.ALL else {True})
     lone = [replace(e, cell=9) if e.name == "s0" else e for e in LIST]
     driver = Driver(config, lone)
     for known in driver.balancer.membership.endpoints.values():
         known.in_flight = 0 if known.listed.name == "s0" else 9
     request, _ = driver.request("keyed")
-    while request not in driver.sent:  # the only one with room is found in time, if not at once
+    while request not in driver.sent:  # the only server with room is found after a few tries
         driver.tell()
     driver.end(request, Outcome.ERROR)
     driver.wait(1500)
-    # A group of one: with nowhere else to go, back to where it failed.
-    assert driver.sent[request] == ["s0"] * (2 if scope is RepeatScope.CELL else len(driver.sent[request]))
+    # A group of one server: with no alternative, the retry returns to it.
+    assert driver.sent[request] == ["s0"] * (2 if scope is DedupScope.CELL else len(driver.sent[request]))
 
 
-def test_dear_crossings_are_spared_among_many_while_there_is_room_at_home() -> None:
+def test_expensive_crossings_are_avoided_while_local_servers_have_room() -> None:
     config = replace(SETTINGS, prices=replace(SETTINGS.prices, cross_zone=0.2))
     driver = Driver(config, LIST)
     driver.serve(100)
@@ -160,11 +160,12 @@
     assert driver.balancer.membership.cold_share(driver.now_ms) == 0
 
 
-# Held requests
+# Queued requests
 
 
 def test_held_requests_go_when_a_pause_ends_with_no_other_traffic() -> None:
-    """Danger: nothing else happens, and a request waits for its time to be up beside a server with room."""
+    """Without other events, a queued request would wait until its timeout although a server has room
+    again."""
     driver = Driver(endpoints=[endpoint("s1")])
     server = driver.balancer.membership.endpoints["s1"]
     server.failed(driver.now_ms, 200.0, 1000.0)
@@ -177,34 +178,34 @@
     assert set(requests) <= set(cold.sent) | {a.request_id for a in cold.log if isinstance(a, Refuse)}
 
 
-def test_what_waits_no_longer_is_let_go_of_in_a_long_overload() -> None:
+def test_entries_no_longer_queued_are_removed_in_a_long_overload() -> None:
     driver = Driver(endpoints=[])
     for i in range(1000):
         driver.tell(RequestArrived(10_000 + i, "unsafe" if i % 2 else "safe"))
-        driver.tell(RequestGone(10_000 + i))
-    assert len(driver.balancer.held._ages) <= 2 * REACH
-    assert not list(driver.balancer.held) and not driver.balancer.timers
+        driver.tell(ClientDisconnected(10_000 + i))
+    assert len(driver.balancer.queue._ages) <= 2 * MAX_SCANNED
+    assert not list(driver.balancer.queue) and not driver.balancer.timers
 
 
-def test_a_look_that_is_not_needed_any_more_is_called_off() -> None:
+def test_check_timer_that_is_not_needed_is_dropped() -> None:
     driver = Driver(replace(SETTINGS, classes=(UNSAFE,)), endpoints=[endpoint("s1")])
     driver.balancer.membership.endpoints["s1"].failed(driver.now_ms, 200.0, 1000.0)
     request, _ = driver.request("unsafe")
     assert len(driver.balancer.timers) == 2
-    driver.tell(RequestGone(request))
+    driver.tell(ClientDisconnected(request))
     assert not driver.balancer.timers
 
 
-# The structures
+# Data structures
 
 
 @dataclass
 class Thing:
     value: float
     arrived_ms: float
-    in_aim_until_ms: float
+    on_time_until_ms: float
     attempts: list[int] = field(default_factory=list)
-    held_as: int = 0
+    queue_number: int = 0
 
 
 @given(
@@ -213,35 +214,37 @@
     )
 )
 def test_queue_is_as_a_sorted_list(steps: list[tuple[int, int, bool, str]]) -> None:
-    held: Held[Thing] = Held()
+    queue: RequestQueue[Thing] = RequestQueue()
     there: list[Thing] = []
     for now_ms, (value, until_ms, tried, what) in enumerate(steps):
         if what == "a":
             thing = Thing(value, now_ms, now_ms + until_ms, [1] if tried else [])
-            held.add(thing)
+            queue.add(thing)
             there.append(thing)
         elif what == "g" and there:
-            there.pop(value % len(there)).held_as = 0
+            there.pop(value % len(there)).queue_number = 0
         elif what == "c":
-            held.compact(0)
+            queue.compact(0)
         else:
             allowed = [t for t in there if tried or t.attempts]
-            entry = held.pop(now_ms, fresh=tried)
-            best = max(allowed, key=lambda t: (now_ms <= t.in_aim_until_ms, t.value, t.held_as), default=None)
+            entry = queue.pop(now_ms, untried=tried)
+            best = max(
+                allowed, key=lambda t: (now_ms <= t.on_time_until_ms, t.value, t.queue_number), default=None
+            )
             assert (entry and entry[2]) is best
             if entry is not None and until_ms % 2:
-                held.put_back([entry])
+                queue.put_back([entry])
             elif best is not None:
-                best.held_as = 0
+                best.queue_number = 0
                 there.remove(best)
-        assert sorted(map(id, held)) == sorted(map(id, there))
-        assert held.oldest() is min(there, key=lambda t: (t.arrived_ms, t.held_as), default=None)
+        assert sorted(map(id, queue)) == sorted(map(id, there))
+        assert queue.oldest() is min(there, key=lambda t: (t.arrived_ms, t.queue_number), default=None)
 
 
 @given(st.lists(st.tuples(st.booleans(), st.integers(0, 30), st.integers(0, 4)), max_size=80))
 def test_ring_and_mean_are_as_counted_anew(steps: list[tuple[bool, int, int]]) -> None:
     ring: Ring[str] = Ring()
-    mean, there = Mean(), dict[str, float]()
+    mean, there = PairMean(), dict[str, float]()
     for add, number, weight in steps:
         name = f"s{number}"
         if add and name not in there:
@@ -257,7 +260,7 @@
     again: Ring[str] = Ring()
     for name in reversed(list(there)):
         again.add(name, 1.0, name)
-    assert again.members == ring.members  # whatever the order in which they came
+    assert again.members == ring.members  # independent of the order in which they were added
 
 
 def test_an_entry_that_says_the_same_changes_nothing() -> None:
--- a/tests/test_properties.py
+++ b/tests/test_properties.py
@@ -1,6 +1,6 @@
-"""Random legal histories: servers that die, hang, restart and drain; clients that leave; kills.
+"""Random valid histories: servers fail, hang, restart and drain; clients disconnect; proxies are killed.
 
-Every action is checked against the rules, from the outside and with books of its own.
+Every action is checked against the rules by a model that is independent of the implementation.
 """
 
 from __future__ import annotations
@@ -17,6 +17,8 @@
     Action,
     AttemptEnded,
     Cancel,
+    ClientDisconnected,
+    DedupScope,
     EndpointsListed,
     EndpointState,
     Event,
@@ -28,10 +30,8 @@
     Probe,
     ProbeEnded,
     Refuse,
-    RepeatScope,
     RequestArrived,
     RequestClass,
-    RequestGone,
     Send,
     SetTimer,
     Settings,
@@ -47,8 +47,8 @@
     SAFE,
     UNSAFE,
     KEYED,
-    replace(KEYED, name="cell", repeat_scope=RepeatScope.CELL, repeat_window_ms=1500),
-    replace(KEYED, name="everywhere", repeat_scope=RepeatScope.ALL),
+    replace(KEYED, name="cell", dedup_scope=DedupScope.CELL, dedup_window_ms=1500),
+    replace(KEYED, name="everywhere", dedup_scope=DedupScope.ALL),
     replace(SAFE, name="stream", streamed=True, late_worth=0.5),
 )
 
@@ -71,7 +71,7 @@
 
 
 class World:
-    """The proxy, its clients and its servers, as far as one balancer can see them."""
+    """The proxy, its clients and its servers, as seen by one balancer."""
 
     def __init__(self, config: Settings, seed: int) -> None:
         self.random = Random(seed)
@@ -94,12 +94,12 @@
         self.pushes: defaultdict[str, list[float]] = defaultdict(list)
         self.tell(EndpointsListed(ListKind.RESTORED, tuple(self.servers.values())))
 
-    # What happens
+    # Events
 
     def tick(self) -> None:
         self.now_ms += TICK_MS
         if self.random.random() < 0.0005:
-            self.begin()  # killed: what it held is its clients' again
+            self.begin()  # killed: its requests are lost and only clients can retry them
         if self.random.random() < 0.01:
             self.tell(self.change())
         for request_id, book in list(self.books.items()):
@@ -109,7 +109,7 @@
                     self.tell(event)
             if not book.over and self.random.random() < 0.002:
                 book.over = True
-                self.tell(RequestGone(request_id))
+                self.tell(ClientDisconnected(request_id))
         for timer in [t for t in self.timers if t[0] <= self.now_ms]:
             self.timers.remove(timer)
             self.tell(TimerFired(timer[1]))
@@ -123,7 +123,7 @@
             deadline_ms = self.now_ms + cls.deadline_ms * self.random.uniform(0.2, 1.0)
             self.books[self.ids] = Book(cls, deadline_ms)
             self.came.append(self.now_ms)
-            since = self.now_ms - self.config.safety.push_window_ms
+            since = self.now_ms - self.config.safety.overload_window_ms
             self.most_came = max(self.most_came, sum(at > since for at in self.came[-1000:]))
             self.tell(RequestArrived(self.ids, cls.name, deadline_ms, work_hint_ms=100.0))
         self.check_answers()
@@ -172,7 +172,7 @@
         self.servers[name] = new
         return EndpointsListed(ListKind.DELTA, (new,))
 
-    # What is done about it
+    # Actions
 
     def tell(self, event: Event) -> None:
         for action in self.balancer.handle(self.now_ms, [event]):
@@ -203,7 +203,7 @@
 
     def check_send(self, book: Book, action: Send) -> None:
         server = self.servers[action.endpoint]
-        assert not book.over, "sent after its end"
+        assert not book.over, "sent after its final answer"
         assert not book.streaming
         assert server.state is EndpointState.READY, "sent to a server that drains or is gone"
         assert len(book.sent) < self.config.limits.max_attempts
@@ -212,30 +212,32 @@
         assert not out or self.config.limits.parallel_attempts
         possible = [s for s in book.sent if s.outcome not in NEVER_RAN]
         if possible:
-            assert book.cls.idempotency is not Idempotency.UNSAFE, "an effect twice"
+            assert book.cls.idempotency is not Idempotency.UNSAFE, "the effect could happen twice"
         if possible and book.cls.idempotency is Idempotency.KEYED:
-            assert self.now_ms < possible[0].at_ms + book.cls.repeat_window_ms
+            assert self.now_ms < possible[0].at_ms + book.cls.dedup_window_ms
             for earlier in possible:
-                if book.cls.repeat_scope is RepeatScope.ZONE:
+                if book.cls.dedup_scope is DedupScope.ZONE:
                     assert earlier.server.zone == server.zone
-                if book.cls.repeat_scope is RepeatScope.CELL:
+                if book.cls.dedup_scope is DedupScope.CELL:
                     assert earlier.server.cell == server.cell and earlier.server.zone == server.zone
         book.sent.append(Sent(server, self.now_ms, min(self.now_ms + action.timeout_ms, book.deadline_ms)))
         self.pushes[server.name].append(self.now_ms)
         self.check_push(server)
 
     def check_push(self, server: ListedEndpoint) -> None:
-        """A cold server gets, in any window, two requests and no more than the rule's multiple of its share
-        of what the busiest warm server ever got, or of all that ever came in where that is more."""
+        """In any window, a cold server gets at most two requests plus the rule's multiple of its share of the
+        highest load of a warm server, or of all arrivals if that is more."""
         safety = self.config.safety
         if self.warmth(server) >= 1:
             return
-        span = safety.push_window_ms
+        span = safety.overload_window_ms
         sent = sum(at > self.now_ms - span for at in self.pushes[server.name])
         warm = [self.pushes[s.name] for s in self.servers.values() if self.warmth(s) >= 1]
         busiest = max((sum(at - span < b <= at for b in p) for p in warm for at in p), default=0)
         share = max(busiest, self.most_came / len(self.servers))
-        assert sent <= 2 + safety.push_multiple * self.warmth(server) * share, "a cold server pushed"
+        assert sent <= 2 + safety.overload_multiple * self.warmth(server) * share, (
+            "a cold server is overloaded"
+        )
 
     def warmth(self, server: ListedEndpoint) -> float:
         if server.started_ms is None:
@@ -247,7 +249,7 @@
     def check_answers(self) -> None:
         for book in self.books.values():
             late = self.now_ms > book.deadline_ms + GRACE_MS
-            assert book.over or book.streaming or not late, "a request lost"
+            assert book.over or book.streaming or not late, "a request without an answer"
 
 
 @settings(derandomize=True, deadline=None, max_examples=25, database=None)
