--- a/cloverrouter/coordination/__init__.py
+++ b/cloverrouter/coordination/__init__.py
@@ -1,1 +1,2 @@
-"""Coordination of a few machines with disks and many without: a library to embed. Pure cores only."""
+"""Replicates a state machine over a few machines with disks, for a fleet of many without. Embeddable: the
+classes do no I/O; a driver feeds them events and carries out their effects."""
--- a/cloverrouter/coordination/catch_up.py
+++ b/cloverrouter/coordination/catch_up.py
@@ -1,12 +1,12 @@
-"""A long state goes to a member outside the chain in parts, while the chain goes on taking orders.
+"""Transfers a large state in chunks to a voter outside the chain while the chain keeps taking commands.
 
-A member of the chain must hold the whole state before its view is in force, so orders wait for a state that
-is handed over to one. A long one goes in parts beforehand to those that are about to join; what the chain
-decides meanwhile follows as updates when they do.
+A chain member must hold the whole state before its view is in force, so commands wait for the transfer of a
+state to a chain member. A large state is therefore sent in chunks to members that are about to join; updates
+decided meanwhile follow when they join.
 
-The state after update `seq` of one epoch is one content, whoever sends it: a member that has a part of it
-goes on from there with the next head, too. Taken whole it counts as the state of that epoch, as an `Install`
-does.
+The state after update `seq` of one epoch has the same content whoever sends it, so a member that has part of
+it resumes with the next head. A state received completely counts as the state of that epoch, like one
+received by `Install`.
 """
 
 from __future__ import annotations
@@ -21,27 +21,28 @@
 from cloverrouter.store import Snapshot
 
 PART_BYTES = 64 * 1024
-PARTS_IN_FLIGHT = 2  # so much may stand before an order on a slow link
+PARTS_IN_FLIGHT = 2  # limits how much data delays a command on a slow link
 RESEND_S = 0.5
-MOST_ROUNDS = 3  # whole states to one member; after that it is taken into the chain, and orders wait for it
+MOST_ROUNDS = 3  # transfers per member; after these it joins the chain, and commands wait for its state
 LONGEST_STATE_BYTES = 64 * 1024 * 1024
 
 
 @attrs.define(slots=True)
 class _Transfer:
-    """One state on its way to one member."""
+    """A transfer of one state to one member."""
 
     member: Member
     state: Snapshot
     checksum: int
-    taken: int = 0  # bytes that the member has
+    taken: int = 0  # bytes acknowledged by the member
     sent: int = 0
     progress_at: float = 0.0
 
 
 @attrs.frozen(slots=True)
 class Progress:
-    """How far a member is: bytes of the state that it is handed, and how often it was handed one."""
+    """Progress of a transfer: acknowledged and total bytes, and the number of transfers to this member so
+    far."""
 
     name: str
     taken: int
@@ -50,7 +51,7 @@
 
 
 class CatchUpSender:
-    """The head's part: one member at a time."""
+    """The sending side, at the head. Serves one member at a time."""
 
     def __init__(self, context: Context, epoch: int) -> None:
         self._context = context
@@ -60,7 +61,7 @@
 
     @property
     def progress(self) -> Progress | None:
-        """Of the transfer under way."""
+        """Progress of the current transfer; None without one."""
         found = self._transfer
         if found is None:
             return None
@@ -68,11 +69,13 @@
         return Progress(name, found.taken, length, self._rounds[found.member.identity])
 
     def may_wait(self, identity: str) -> bool:
-        """Whether a member is to be handed its state in parts: not for ever, where changes are faster."""
+        """Returns whether the member should get its state in chunks. The number of transfers is limited, as
+        updates may arrive faster than a transfer completes."""
         return self._rounds.get(identity, 0) <= MOST_ROUNDS
 
     def tick(self, now: float, wanted: list[Member]) -> None:
-        """`wanted`: the members that lack the whole state and should have it."""
+        """Starts, resumes or cancels a transfer. `wanted`: the members that lack the whole state and should
+        have it."""
         transfer = self._transfer
         if transfer is not None and transfer.member not in wanted:
             self._transfer = transfer = None
@@ -83,7 +86,8 @@
             self._go_on(now, transfer)
 
     def _go_on(self, now: float, transfer: _Transfer) -> None:
-        """Nothing was heard for a while: parts were lost, or the changes since are too many by now."""
+        """Resends after `RESEND_S` without progress: chunks were lost, or the member is complete but lacks
+        too many newer updates."""
         if transfer.taken == len(transfer.state.data):
             self._begin(now, transfer.member)
             return
@@ -101,7 +105,7 @@
         self._send(self._transfer)
 
     def taken(self, now: float, message: CatchUpTaken) -> None:
-        """The member tells how much it has."""
+        """Handles an acknowledgement."""
         transfer = self._transfer
         if transfer is None or message.epoch != self._epoch:
             return
@@ -114,7 +118,7 @@
             return
         if message.taken != transfer.taken:
             transfer.progress_at = now
-        if message.taken < transfer.taken:  # it has begun anew
+        if message.taken < transfer.taken:  # the member has restarted
             transfer.sent = message.taken
         transfer.taken = message.taken
         transfer.sent = max(transfer.sent, transfer.taken)
@@ -139,7 +143,7 @@
 
 @attrs.define(slots=True)
 class _Assembly:
-    """What has come of a state."""
+    """The part of a state that has been received."""
 
     seq: int
     length: int
@@ -151,16 +155,16 @@
 
 
 class CatchUpReceiver:
-    """The member's part."""
+    """The receiving side, at the member."""
 
     def __init__(self, context: Context) -> None:
         self._context = context
         self._assembly: _Assembly | None = None
-        self.refused = 0  # parts that fit nothing, and whole states with a wrong checksum
+        self.refused = 0  # invalid chunks, and states whose checksum does not match
 
     def receive(self, ip: str, part: CatchUpPart) -> bool:
-        """A part of the state, for a member outside the chain that does not have it yet. Gives whether the
-        state is whole now, and this member's."""
+        """Handles a chunk at a member outside the chain that lacks the state. Returns whether the state is
+        now complete and installed."""
         context = self._context
         has_it = (context.synced, context.history.newest) >= (part.epoch, part.seq)
         if has_it or self._is_in_chain_of(part.epoch):
@@ -178,7 +182,7 @@
         return view is not None and view.epoch == epoch and self._context.me.identity in view.chain
 
     def take(self, ip: str, part: CatchUpPart) -> Snapshot | None:
-        """A part has come. Gives the state once it is whole."""
+        """Adds a chunk and acknowledges it. Returns the state once it is complete."""
         if not self._is_sensible(part):
             self.refused += 1
             return None
--- a/cloverrouter/coordination/context.py
+++ b/cloverrouter/coordination/context.py
@@ -1,4 +1,4 @@
-"""What the parts of a replica share: who it is, its disk and state, the view it knows, and its effects."""
+"""State shared by the parts of a replica: identity, disk, state machine, known view and pending effects."""
 
 from __future__ import annotations
 
@@ -16,30 +16,30 @@
 
 @attrs.define(slots=True)
 class Context:
-    """Shared by the parts of one replica."""
+    """State shared by the parts of one replica."""
 
     me: Member
     config: ReplicaConfig
     random: Random
     disk: DiskQueue
     history: History
-    view: View | None  # of the highest epoch that is known
+    view: View | None  # the known view with the highest epoch
     effects: list[Effect] = attrs.Factory(list)
-    addresses: dict[str, str] = attrs.Factory(dict)  # of members that have moved
-    active_epoch: int = 0  # newest whose view a head has told to be in force
-    seen_epoch: int = 0  # highest that any message has told
-    round_epoch: int = 0  # of the newest heartbeat that was taken
+    addresses: dict[str, str] = attrs.Factory(dict)  # newest known address by member identity
+    active_epoch: int = 0  # newest epoch whose head reported its view to be in force
+    seen_epoch: int = 0  # highest epoch seen in any message
+    round_epoch: int = 0  # of the newest heartbeat that counts; see `Follower.on_heartbeat`
     round: int = 0
     resigning: bool = False
 
     @property
     def epoch(self) -> int:
-        """The epoch that is promised: no lower one is taken part in."""
+        """The promised epoch: this replica takes part in no lower one."""
         return self.disk.meta.promised
 
     @property
     def synced(self) -> int:
-        """The epoch in which the state was handed over."""
+        """The epoch in which this replica received its state."""
         return self.disk.meta.synced
 
     @property
@@ -48,15 +48,15 @@
         return self.disk.meta.settled
 
     def send(self, ip: str, message: object) -> None:
-        """Send to an address."""
+        """Queues a message to an address."""
         self.effects.append(Send(ip, message))
 
     def address(self, member: Member) -> str:
-        """Where a member is."""
+        """Returns the newest known address of a member."""
         return self.addresses.get(member.identity, member.ip)
 
     def learn_view(self, now: float, view: View | None, settled: bool) -> None:
-        """Another replica knows this view. That obliges to nothing."""
+        """Records a view that another replica knows. This creates no obligation to its head."""
         if view is None:
             return
         self.seen_epoch = max(self.seen_epoch, view.epoch)
@@ -69,7 +69,8 @@
             self.disk.note(now, settled=True)
 
     def take_view(self, view: View, proposer: str, synced: bool) -> None:
-        """A head has told its view, and its state if `synced`: to be stored at once."""
+        """Adopts a view sent by its head, and records its state as received if `synced`. To be stored at
+        once."""
         self.seen_epoch = max(self.seen_epoch, view.epoch)
         settled = self._is_in_force(view)
         if self.view is not None and self.view.epoch == view.epoch:
@@ -87,16 +88,16 @@
             self.disk.change(synced=view.epoch)
 
     def _is_in_force(self, view: View) -> bool:
-        """Whether a view needs no old voters, as far as is known here."""
+        """Returns whether, as far as this replica knows, the view needs no promises of its old voters."""
         return not view.old_voters or view.epoch == self.active_epoch
 
     @property
     def has_long_state(self) -> bool:
-        """Whether to hand over the state takes so long that orders should not wait for it."""
+        """Whether the state is so large that commands should not wait for its transfer."""
         return self.disk.state_bytes >= self.config.catch_up_bytes
 
     def report(self, now: float, ip: str, receiver: str) -> None:
-        """Tell a head how things stand here."""
+        """Sends a report of this replica's durable state to a head."""
         durable = self.disk.durable
         message = Report(
             sender=self.me.identity,
@@ -115,7 +116,7 @@
 
 
 def view_info(context: Context, view: View, active: bool) -> ViewInfo:
-    """A view as it is told outside."""
+    """Returns a view in the form that is published outside of the replica."""
     members = [member for member in map(view.voter, view.chain) if member is not None]
     head_ip = context.address(members[0]) if members else None
     return ViewInfo(view.epoch, view.voters, tuple(members), head_ip, active)
--- a/cloverrouter/coordination/desk.py
+++ b/cloverrouter/coordination/desk.py
@@ -1,4 +1,4 @@
-"""Commands and reads at the head, from their coming to their answer."""
+"""Commands and reads that are pending at the head."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 @attrs.frozen(slots=True)
 class Waiting:
-    """A command that nothing was decided on."""
+    """A queued command that was not evaluated yet."""
 
     ticket: int
     command: bytes
@@ -20,7 +20,7 @@
 
 @attrs.frozen(slots=True)
 class Flying:
-    """A command whose update isn't committed."""
+    """A command whose update is not committed yet."""
 
     ticket: int
     seq: int
@@ -29,18 +29,19 @@
 
 @attrs.define(slots=True)
 class Asked:
-    """A read, or a command that changed nothing: right only if this replica is still the head."""
+    """A read, or a command that changed nothing. The reply is valid only if this replica is still the head,
+    which a heartbeat round confirms."""
 
     ticket: int
-    seq: int  # what it rests on
-    reply: bytes | None  # None: the committed state
+    seq: int  # newest update that the reply depends on
+    reply: bytes | None  # None: replies with the committed state
     since: float
-    round: int | None = None  # the round of heartbeats that must be answered
+    round: int | None = None  # heartbeat round that must be confirmed; None: not started
     outcome: Outcome = Outcome.DONE
 
 
 class Desk:
-    """All that is owed an answer."""
+    """All commands and reads without an answer."""
 
     def __init__(self) -> None:
         self.waiting: deque[Waiting] = deque()
@@ -48,11 +49,11 @@
         self.asked: list[Asked] = []
 
     def is_read_before(self, since: float) -> bool:
-        """Whether a read of the committed state that came before waits for its answer."""
+        """Returns whether a read of the committed state that arrived before `since` is pending."""
         return any(entry.reply is None and entry.since < since for entry in self.asked)
 
     def committed(self, seq: int) -> list[Answer]:
-        """Answers to the updates up to `seq`."""
+        """Returns the answers to commands whose updates, up to `seq`, are committed."""
         answers = []
         while self.flying and self.flying[0].seq <= seq:
             done = self.flying.popleft()
@@ -60,7 +61,7 @@
         return answers
 
     def give_up(self) -> list[Answer]:
-        """This replica leads no more."""
+        """Fails everything that is pending, as this replica is not the head any more."""
         tickets = [entry.ticket for entry in self.flying]
         tickets += [entry.ticket for entry in self.waiting]
         tickets += [entry.ticket for entry in self.asked]
@@ -70,7 +71,7 @@
         return [Answer(ticket, Outcome.UNAVAILABLE) for ticket in tickets]
 
     def expire(self, before: float) -> list[Answer]:
-        """What has come before that and hasn't been begun, or can't be confirmed."""
+        """Fails queued commands and unconfirmed reads that arrived before `before`."""
         late = [entry.ticket for entry in self.asked if entry.since < before]
         self.asked = [entry for entry in self.asked if entry.since >= before]
         while self.waiting and self.waiting[0].since < before:
@@ -78,6 +79,6 @@
         return [Answer(ticket, Outcome.UNAVAILABLE) for ticket in late]
 
     def new_rounds(self) -> None:
-        """Rounds of an older epoch confirm nothing."""
+        """Resets the awaited rounds: those of an older epoch confirm nothing."""
         for entry in self.asked:
             entry.round = None
--- a/cloverrouter/coordination/disk.py
+++ b/cloverrouter/coordination/disk.py
@@ -1,7 +1,7 @@
-"""What is to be on the disk, what is there for certain, and whether the disk works.
+"""Queue of writes to the replica's disk: what is pending, what is durable, and whether the disk works.
 
-One record is under way at a time; what comes meanwhile is put together into the next (group commit). A record
-that fails is tried again with what has come since: nothing is ever written out of order.
+At most one record is being written; changes that arrive meanwhile are combined into the next record (group
+commit). A failed record is retried together with the changes since, so nothing is written out of order.
 """
 
 from __future__ import annotations
@@ -13,20 +13,20 @@
 
 from cloverrouter.store import Meta, Record, Snapshot, StoredReplica, Update
 
-# A write that was refused tells as much as one that takes for ever.
+# A refused write counts as a write that has been busy for this long.
 FAILING_S = 60.0
 
 
 @attrs.frozen(slots=True)
 class Durable:
-    """What the disk holds for certain."""
+    """What is durable on the disk."""
 
     meta: Meta
     seq: int
 
 
 class DiskQueue:
-    """The writes of one replica."""
+    """The write queue of one replica."""
 
     def __init__(
         self,
@@ -36,8 +36,8 @@
         slow_s: float,
         compact_bytes: int,
     ) -> None:
-        """`newest` gives the newest state, with all updates that were appended. A disk that has refused, or
-        whose last write took `slow_s`, is tried again every `retry_s`."""
+        """`newest` returns the newest state, with all appended updates. A disk that refused a write, or whose
+        last write took `slow_s` or more, is retried every `retry_s`."""
         self.meta = stored.meta
         seq = stored.snapshot.seq if stored.snapshot is not None else 0
         self.seq = stored.updates[-1].seq if stored.updates else seq
@@ -45,7 +45,7 @@
         self._newest = newest
         self._retry_s = retry_s
         self._slow_s = slow_s
-        self._took_s = 0.0  # the last write
+        self._took_s = 0.0  # duration of the last write
         self._compact_bytes = compact_bytes
         self._snapshot: Snapshot | None = None
         self._updates: list[Update] = []
@@ -53,7 +53,7 @@
         self._lazy_since: float | None = None
         self._flying: tuple[Record, Durable] | None = None
         self._token = 0
-        self._begun = 0.0  # of the record under way
+        self._begun = 0.0  # start time of the write in progress
         self._failing_since: float | None = None
         self._retry_at = 0.0
         self._snapshot_bytes = len(stored.snapshot.data) if stored.snapshot is not None else 0
@@ -61,29 +61,29 @@
 
     @property
     def state_bytes(self) -> int:
-        """About the size of the state: the last snapshot and the updates since."""
+        """Approximate size of the state: the last snapshot and the updates since."""
         return self._snapshot_bytes + self._update_bytes
 
     def change(self, **facts: Any) -> None:
-        """Facts of `Meta` that are to be written at once."""
+        """Changes fields of `Meta`; written as soon as possible."""
         self.meta = attrs.evolve(self.meta, **facts)
         self._dirty = True
 
     def note(self, now: float, **facts: Any) -> None:
-        """Facts of `Meta` that go with the next record, or after a while."""
+        """Changes fields of `Meta`; written with the next record, or after the delay that `next` is given."""
         self.meta = attrs.evolve(self.meta, **facts)
         if self._lazy_since is None:
             self._lazy_since = now
 
     def append(self, seq: int, update: bytes) -> None:
-        """The next update."""
+        """Queues the next update."""
         self._updates.append(Update(seq, update))
         self._update_bytes += len(update)
         self.seq = seq
         self._dirty = True
 
     def replace(self, seq: int, snapshot: bytes) -> None:
-        """Another state in place of all that is stored."""
+        """Queues a snapshot that replaces everything stored."""
         self._snapshot = Snapshot(seq, snapshot)
         self._updates.clear()
         self._snapshot_bytes, self._update_bytes = len(snapshot), 0
@@ -91,8 +91,8 @@
         self._dirty = True
 
     def trouble_s(self, now: float) -> float:
-        """For how long the disk has been busy with one record, or has refused. Of a disk at rest: how long
-        its last write took, if that was long."""
+        """Returns for how long the disk has been busy with one record, or `FAILING_S` and more while it
+        refuses writes. For an idle disk: the duration of its last write, if that was slow."""
         if self._failing_since is not None:
             return FAILING_S + now - self._failing_since
         busy_s = now - self._begun if self._flying is not None else 0.0
@@ -103,11 +103,12 @@
         return self._failing_since is not None or self._took_s >= self._slow_s
 
     def forgive(self, now: float) -> None:
-        """The process was frozen: the time that passed says nothing about the disk."""
+        """Restarts the timing of the write in progress after a freeze of this process."""
         self._begun = now
 
     def next(self, now: float, lazy_s: float) -> tuple[int, Record] | None:
-        """The record to write now, if any. Facts that can wait do so for `lazy_s`."""
+        """Returns the record to write now with its token, if any. Changes that are not urgent wait for
+        `lazy_s`."""
         if self._flying is not None or now < self._retry_at:
             return None
         lazy_due = self._lazy_since is not None and now - self._lazy_since >= lazy_s
@@ -123,7 +124,7 @@
         return self._token, record
 
     def done(self, now: float, token: int, error: str | None) -> None:
-        """The record under way has been written, or was refused."""
+        """Handles the end of the write in progress; `error` is set if it was refused."""
         if self._flying is None or token != self._token:
             return
         (record, durable), self._flying = self._flying, None
@@ -143,12 +144,12 @@
             self._updates[:0] = record.updates
 
     def fold(self) -> None:
-        """Have one snapshot of the newest state in place of the snapshot and the updates since."""
+        """Replaces the stored snapshot and updates by one snapshot of the newest state."""
         if self._update_bytes:
             newest = self._newest()
             self.replace(newest.seq, newest.data)
 
     def _compact(self) -> None:
-        """Fold the updates when they take more room than the snapshot."""
+        """Compacts the updates when they take more space than the snapshot."""
         if self._update_bytes > max(self._compact_bytes, self._snapshot_bytes):
             self.fold()
--- a/cloverrouter/coordination/effects.py
+++ b/cloverrouter/coordination/effects.py
@@ -1,4 +1,4 @@
-"""What a replica asks of whoever drives it, what it is handed, and its figures."""
+"""Effects that a replica requests from its driver, the state machine interface, and the configuration."""
 
 from __future__ import annotations
 
@@ -13,83 +13,87 @@
 
 
 class Outcome(Enum):
-    """How a command or a read has ended."""
+    """Result of a command or a read."""
 
     DONE = "done"
-    NOT_HEAD = "not head"  # ask the head
-    UNAVAILABLE = "unavailable"  # ask again: it may have been done, or not
-    TOO_LARGE = "too large"  # the state would outgrow the disk
+    NOT_HEAD = "not head"  # retry at the head
+    UNAVAILABLE = "unavailable"  # retry; the command may or may not have been executed
+    TOO_LARGE = "too large"  # the state would exceed `max_state_bytes`
 
 
 @attrs.frozen(slots=True)
 class Decision:
-    """What the state machine makes of a command."""
+    """Result of evaluating a command against a state."""
 
     reply: bytes
-    update: bytes | None  # None: answered without a change
+    update: bytes | None  # None: the command changes nothing
 
 
 class StateMachine(Protocol):
-    """The state that is replicated. Everything but `decide` is done by every replica."""
+    """The replicated state. All methods but `decide` run at every replica."""
 
     def decide(self, command: bytes) -> Decision:
-        """At the head, against the newest state, which may not be committed yet. Changes nothing."""
+        """Evaluates a command at the head against the newest state, which may not be committed yet. Changes
+        nothing."""
 
     def apply(self, update: bytes) -> None:
-        """An update enters the newest state."""
+        """Applies an update to the newest state."""
 
     def snapshot(self) -> bytes:
-        """The newest state."""
+        """Returns the newest state."""
 
     def restore(self, snapshot: bytes) -> None:
-        """Replace the newest state."""
+        """Replaces the newest state."""
 
 
 @attrs.frozen(slots=True)
 class ReplicaConfig:
-    """Figures of a replica. Times in seconds."""
+    """Configuration of a replica. Times in seconds."""
 
-    tolerance: int  # disks that may be lost at once
+    tolerance: int  # number of disks that may be lost at the same time
     heartbeat_s: float = 0.15
-    failure_timeout_s: float = 0.7  # a member silent, or whose disk is busy, for so long leaves the chain
-    sticky_s: float = 0.4  # who has heard the head within this promises nothing to others
-    rank_delay_s: float = 0.25  # between those who stand up when the head is silent
+    # a member that is silent, or whose disk is busy, this long leaves the chain
+    failure_timeout_s: float = 0.7
+    sticky_s: float = 0.4  # a replica that heard the head within this time promises nothing to others
+    rank_delay_s: float = 0.25  # between the election start of one rank and the next when the head is silent
     jitter_s: float = 0.08
-    start_delay_s: float = 0.45  # before a restarted voter stands up by itself
-    retry_s: float = 0.2  # a question without an answer is asked again
-    gather_s: float = 0.12  # how long the promises of the slower ones are waited for
-    lost_quorum_s: float = 1.0  # a head that a majority has not answered for so long is none
-    exchange_after_s: float = 0.7  # a voter silent, or whose disk is busy, for so long gives way to a spare
-    rejoin_s: float = 0.3  # a member that is back must be well for so long; doubles with each relapse
+    start_delay_s: float = 0.45  # before a restarted voter starts an election
+    retry_s: float = 0.2  # interval between repeats of an unanswered request
+    gather_s: float = 0.12  # how long further promises are awaited once a quorum is there
+    lost_quorum_s: float = 1.0  # a head that no majority has answered for this long steps down
+    # a voter that is silent, or whose disk is busy, this long is replaced by a spare
+    exchange_after_s: float = 0.7
+    rejoin_s: float = 0.3  # a returning member must be healthy this long to rejoin; doubles with each relapse
     disk_retry_s: float = 0.5
-    settle_s: float = 0.3  # facts that may be lost are written after so much quiet
-    in_flight: int = 32  # updates that are not committed
-    waiting: int = 256  # commands that wait for a view
-    wait_s: float = 2.5  # how long they do
+    settle_s: float = 0.3  # maximum delay of writes that are not urgent
+    in_flight: int = 32  # maximum number of uncommitted updates
+    waiting: int = 256  # maximum number of queued commands, and of pending reads
+    wait_s: float = 2.5  # after this time a queued command or a pending read fails
     max_state_bytes: int = 12 * 1024 * 1024
-    catch_up_bytes: int = 512 * 1024  # a state as long goes in parts, before its receiver joins the chain
-    compact_bytes: int = 256 * 1024  # updates on disk beyond this, and beyond the state's size, are folded
+    # a state of this size is sent in chunks before its receiver joins the chain
+    catch_up_bytes: int = 512 * 1024
+    compact_bytes: int = 256 * 1024  # updates on disk that exceed this and the snapshot's size are compacted
 
 
 @attrs.frozen(slots=True)
 class ViewInfo:
-    """The view as one replica knows it."""
+    """The view as known to one replica."""
 
     epoch: int
     voters: tuple[Member, ...]
     chain: tuple[Member, ...]  # head first
     head_ip: str | None
-    active: bool  # it was in force when the replica last heard
+    active: bool  # in force, according to the newest information
 
     @property
     def head(self) -> Member | None:
-        """The head."""
+        """The head, or None while the chain is empty."""
         return self.chain[0] if self.chain else None
 
 
 @attrs.frozen(slots=True)
 class Persist:
-    """Write a record, then call `persisted` with the token. One at a time."""
+    """Write a record, then call `Replica.persisted` with the token. At most one is outstanding."""
 
     token: int
     record: Record
@@ -97,7 +101,8 @@
 
 @attrs.frozen(slots=True)
 class Answer:
-    """The end of a command or a read. `reply` of a read is the committed state, `seq` its number."""
+    """Result of the command or read with this ticket. For a read `reply` is the committed state and `seq` its
+    sequence number."""
 
     ticket: int
     outcome: Outcome
@@ -107,7 +112,7 @@
 
 @attrs.frozen(slots=True)
 class Committed:
-    """The next update is committed."""
+    """The next update has been committed."""
 
     seq: int
     update: bytes
@@ -115,7 +120,7 @@
 
 @attrs.frozen(slots=True)
 class Restored:
-    """The committed state has jumped to this one."""
+    """The committed state has been replaced by this one, which skips updates."""
 
     seq: int
     snapshot: bytes
@@ -123,14 +128,14 @@
 
 @attrs.frozen(slots=True)
 class ViewChanged:
-    """What is known of the view has changed."""
+    """The view, or whether it is in force, has changed as far as this replica knows."""
 
     view: ViewInfo
 
 
 @attrs.frozen(slots=True)
 class NoteKept:
-    """The note of `Replica.keep_note` is on the disk."""
+    """The note passed to `Replica.keep_note` is durable."""
 
     note: bytes
 
--- a/cloverrouter/coordination/follower.py
+++ b/cloverrouter/coordination/follower.py
@@ -1,4 +1,5 @@
-"""The part of a replica that answers: it promises, takes views and state, stores and passes on."""
+"""The acceptor and chain member part of a replica: grants promises, installs views and states, stores updates
+and passes them on."""
 
 from __future__ import annotations
 
@@ -30,14 +31,14 @@
         self.contact = HeadContact(context, now)
         self._promise_due: tuple[int, str, str] | None = None  # epoch, proposer, address
         self._report_due: tuple[int, str, str] | None = None  # epoch, head, address
-        self._upstream = 0  # all from the head to the predecessor have stored up to this
-        self._told = 0  # of which the successor was told
-        self._link_epoch = 0  # that these two belong to
+        self._upstream = 0  # all from the head to the predecessor have stored the updates up to this one
+        self._told = 0  # newest sequence number sent in a `Stored`
+        self._link_epoch = 0  # epoch of these two numbers
 
     # -- votes --
 
     def on_canvass(self, now: float, ip: str, message: Canvass) -> None:
-        """Would this replica promise?"""
+        """Handles a pre-vote request."""
         context = self._context
         known = context.view.epoch if context.view is not None else 0
         granted = not self.contact.is_bound(now, message.sender) and message.view_epoch >= known
@@ -56,7 +57,7 @@
         return self._context.disk.trouble_s(now) >= self._context.config.failure_timeout_s
 
     def on_propose(self, now: float, ip: str, message: Propose) -> bool:
-        """A promise is asked for. Gives whether a new one was made."""
+        """Handles a prepare request. Returns whether a new promise was made."""
         context = self._context
         context.seen_epoch = max(context.seen_epoch, message.epoch)
         meta = context.disk.meta
@@ -72,7 +73,8 @@
         return not same
 
     def on_fetch(self, now: float, ip: str, message: Fetch) -> None:
-        """The proposer that has the promise asks for the state. A long one takes a while to arrive."""
+        """Sends the state to the proposer that holds this replica's promise. The transfer of a large state
+        takes a while."""
         context = self._context
         meta = context.disk.meta
         if message.epoch != meta.promised or message.sender != meta.promised_to:
@@ -92,7 +94,7 @@
     # -- views and state --
 
     def on_install(self, now: float, ip: str, message: Install) -> bool:
-        """A head hands over its view and state. Gives whether they were taken just now."""
+        """Handles a view and state from a head. Returns whether they were installed by this message."""
         context = self._context
         view = message.view
         if not self._may_take(now, ip, message.sender, view.epoch):
@@ -113,7 +115,8 @@
         return True
 
     def on_announce(self, now: float, ip: str, message: Announce) -> bool:
-        """A head tells its view. Gives whether it was taken just now."""
+        """Handles a view from a head whose chain this replica is not in. Returns whether it was adopted by
+        this message."""
         context = self._context
         epoch = message.view.epoch
         if not self._may_take(now, ip, message.sender, epoch):
@@ -126,7 +129,8 @@
         return True
 
     def _may_take(self, now: float, ip: str, sender: str, epoch: int) -> bool:
-        """Whether a view of this epoch from this head may be taken; if a higher one was promised, say so."""
+        """Returns whether a view of this epoch from this head may be adopted; if a higher epoch was promised,
+        reports that to the sender."""
         meta = self._context.disk.meta
         if epoch < meta.promised:
             self._context.report(now, ip, sender)
@@ -136,7 +140,7 @@
     # -- updates --
 
     def on_forward(self, message: Forward) -> list[Committed | Restored]:
-        """Updates come down the chain: stored here, and passed on at once."""
+        """Stores updates from the predecessor and passes them on at once. Returns the commits that follow."""
         context = self._context
         if not self._is_in_chain(message.epoch):
             return []
@@ -167,12 +171,12 @@
         self._send_to(successor, passed)
 
     def on_stored(self, message: Stored) -> None:
-        """The predecessor, and all before it, have stored."""
+        """Handles the acknowledgement of the predecessor and all members before it."""
         if self._is_in_chain(message.epoch):
             self._take_upstream(message.epoch, message.sender, message.seq)
 
     def on_commit(self, message: Commit) -> list[Committed | Restored]:
-        """All of the chain have stored."""
+        """Handles a commit: the whole chain has stored these updates. Returns the commits that follow."""
         return self._commit(message.seq) if self._is_in_chain(message.epoch) else []
 
     def _commit(self, seq: int) -> list[Committed | Restored]:
@@ -180,7 +184,7 @@
         return history.commit(min(seq, history.newest))
 
     def _is_in_chain(self, epoch: int) -> bool:
-        """Whether this replica holds the state of that epoch and has promised no higher one."""
+        """Returns whether this replica holds the state of that epoch and has promised no higher one."""
         return epoch == self._context.epoch == self._context.synced
 
     def _take_upstream(self, epoch: int, sender: str, seq: int) -> None:
@@ -197,7 +201,7 @@
             self._link_epoch, self._upstream, self._told = epoch, 0, 0
 
     def _stored(self) -> int:
-        """Up to where all from the head to this replica have stored."""
+        """Returns the newest update that all members from the head to this replica have stored."""
         durable = self._context.disk.durable
         if durable.meta.synced != self._link_epoch:
             return 0
@@ -219,7 +223,7 @@
     # -- heartbeats --
 
     def on_heartbeat(self, now: float, ip: str, message: Heartbeat) -> list[Committed | Restored]:
-        """The head is there, and asks how things stand."""
+        """Handles a heartbeat and replies with a report. Returns the commits that follow."""
         context = self._context
         context.seen_epoch = max(context.seen_epoch, message.epoch)
         known = context.view.epoch if context.view is not None else 0
@@ -228,7 +232,7 @@
             context.report(now, ip, message.sender)
             return []
         self.contact.judge(now, message)
-        # A head is sure by the word of those only that will know it after a loss of power.
+        # A head's lease must rest only on voters that still know of their promise after a power loss.
         promise = context.disk.durable.meta
         is_promised = message.epoch == context.epoch == promise.promised
         if is_promised and message.sender == promise.promised_to:
@@ -242,10 +246,10 @@
             return []
         return self._commit(message.committed)
 
-    # -- what follows from a write that is done --
+    # -- after a write has completed --
 
     def flush(self, now: float) -> None:
-        """Send what had to wait for the disk."""
+        """Sends the messages that were waiting for a write."""
         self._flush_promise()
         self._flush_report(now)
         self._flush_stored()
--- a/cloverrouter/coordination/head.py
+++ b/cloverrouter/coordination/head.py
@@ -1,4 +1,4 @@
-"""The head of one epoch: brings its view into force, orders updates, and watches the others."""
+"""The head of one epoch: brings its view into force, orders updates, and monitors the other members."""
 
 from __future__ import annotations
 
@@ -22,15 +22,15 @@
 from cloverrouter.coordination.rounds import Rounds
 from cloverrouter.coordination.views import Member, View, is_majority
 
-# View and state are handed over again when nothing is heard of them for so long.
+# The view and the state are sent again after this long without an acknowledgement.
 HAND_AGAIN_S = 0.5
 REPAIR_AFTER_S = 0.2
-# One message carries updates of so many bytes, or a single one.
+# Maximum total size of the updates in one message, unless a single update exceeds it.
 FORWARD_BYTES = 1024 * 1024
 
 
 class Head:
-    """One headship: from the choice of the state to the next epoch."""
+    """The head of one epoch, from the selection of the state to the next epoch."""
 
     def __init__(
         self,
@@ -43,7 +43,8 @@
         now: float,
         follows: int,
     ) -> None:
-        """`lineage`: for an epoch, up to which update states handed over in it are beginnings of this one.
+        """`lineage`: maps an epoch to the newest update up to which states received in it are prefixes of
+        this head's state.
         `follows`: see `Replica.follows`."""
         self.view = view
         self.follows = follows
@@ -80,7 +81,7 @@
                 self._hand(now, peer)
 
     def _hand(self, now: float, peer: Peer) -> None:
-        """Send view and state to one of the chain, or the view to another."""
+        """Sends the view and the state to a chain member, or the view only to another replica."""
         if peer.handed_at and now - peer.handed_at < HAND_AGAIN_S:
             return
         peer.handed_at = now
@@ -91,8 +92,8 @@
             self._send(peer.member, Announce(me, identity, self.view))
 
     def _updates_from(self, synced: int, seq: int) -> tuple[bytes, ...] | None:
-        """The updates that lead here from the state `seq` of the epoch `synced`; None if only a whole state
-        does."""
+        """Returns the updates that lead to the newest state from the state `seq` of epoch `synced`; None if
+        only the whole state does."""
         history = self._context.history
         last = history.newest if synced == self.view.epoch else self._lineage.get(synced, -1)
         return history.after(seq) if seq <= last else None
@@ -122,7 +123,8 @@
         self._context.send(self._context.address(member), message)
 
     def _is_in_force(self) -> bool:
-        """Whether all of the chain hold view and state, and a majority of the old voters the view."""
+        """Returns whether the whole chain has stored the view and the state, and a majority of the old voters
+        the view."""
         epoch = self.view.epoch
         if not self._own_is_stored():
             return False
@@ -143,7 +145,7 @@
         return self._context.disk.durable.meta.synced == self.view.epoch
 
     def _report(self, identity: str) -> Report | None:
-        """The report of one that follows this epoch."""
+        """Returns the newest report of a member, if it has promised exactly this epoch."""
         peer = self._roster.peers.get(identity)
         report = peer.report if peer is not None else None
         return report if report is not None and report.promised == self.view.epoch else None
@@ -152,18 +154,18 @@
 
     @property
     def catch_up(self) -> Progress | None:
-        """The state that is handed over in parts, if one is."""
+        """Progress of the chunked state transfer, if one is in progress."""
         return self._catch_up.progress
 
     def _lacks_long_state(self, peer: Peer) -> bool:
-        """Whether a member is to be handed the state in parts before it joins the chain."""
+        """Returns whether a member needs a chunked state transfer before it joins the chain."""
         if not self._context.has_long_state or not self._catch_up.may_wait(peer.member.identity):
             return False
         report = peer.report
         return report is None or self._updates_from(report.synced, report.seq) is None
 
     def caught_up(self, now: float, message: CatchUpTaken) -> None:
-        """A member tells how much of the state it has."""
+        """Handles the acknowledgement of state chunks."""
         self._catch_up.taken(now, message)
 
     def _tick_catch_up(self, now: float) -> None:
@@ -175,7 +177,7 @@
     # -- heartbeats and confirmation --
 
     def beat(self, now: float) -> int:
-        """Begin a round of heartbeats. Gives its number."""
+        """Starts a heartbeat round and returns its number."""
         context = self._context
         self._beat_at = now
         trouble_s = context.disk.trouble_s(now)
@@ -196,7 +198,7 @@
         return number
 
     def on_report(self, now: float, report: Report) -> None:
-        """A member tells how things stand."""
+        """Handles a report; sends again what the member lacks."""
         peer = self._roster.heard(now, report, self.view.epoch)
         self._context.seen_epoch = max(self._context.seen_epoch, report.promised)
         if peer is None or report.promised > self.view.epoch:
@@ -212,18 +214,19 @@
 
     @property
     def lead_until(self) -> float | None:
-        """Until when no other can have become head, or None if that is not sure."""
+        """Time until which no other replica can become head (see `Rounds.lead_until`); None without a lease."""
         return self.rounds.lead_until if self.active else None
 
     # -- commands --
 
     def work(self, now: float) -> None:
-        """Decide on what waits, as far as there is room."""
+        """Evaluates queued commands up to the limit of uncommitted updates."""
         config = self._context.config
         desk = self._desk
         while self.active and desk.waiting and len(desk.flying) < config.in_flight:
             if desk.is_read_before(desk.waiting[0].since):
-                return  # it needs a moment without an update under way; those that came later wait their turn
+                # the read needs a moment without uncommitted updates; commands that arrived after it wait
+                return
             entry = desk.waiting.popleft()
             self._decide(now, entry.ticket, entry.command)
 
@@ -243,7 +246,7 @@
         desk.flying.append(Flying(ticket, seq, decision.reply))
 
     def _has_room(self, update_bytes: int) -> bool:
-        """Whether the disk takes an update of that size, if need be after its updates are folded."""
+        """Returns whether the state has room for an update of that size, if needed after compaction."""
         context = self._context
         room = context.config.max_state_bytes - update_bytes
         if context.disk.state_bytes > room:
@@ -251,7 +254,7 @@
         return context.disk.state_bytes <= room
 
     def ask_rounds(self, now: float) -> None:
-        """Begin a round for reads that have come since the last."""
+        """Starts a heartbeat round for the reads that have arrived since the last one."""
         asked = [entry for entry in self._desk.asked if entry.round is None]
         if not asked or not self.active:
             return
@@ -260,7 +263,7 @@
             entry.round = number
 
     def answer_asked(self) -> None:
-        """Answer the reads that are confirmed."""
+        """Answers the reads whose round is confirmed."""
         history, desk = self._context.history, self._desk
         left: list[Asked] = []
         for entry in desk.asked:
@@ -279,7 +282,7 @@
     # -- the chain --
 
     def forward(self, now: float, sent: int) -> int:
-        """Send the updates after `sent` to the successor. Gives up to where all are sent."""
+        """Sends the updates after `sent` to the successor. Returns the newest update sent."""
         history = self._context.history
         if not self.active or len(self.view.chain) < 2 or history.newest <= sent:
             return history.newest
@@ -308,7 +311,7 @@
         return durable.seq if durable.meta.synced == self.view.epoch else 0
 
     def _repair(self, now: float, peer: Peer, report: Report) -> None:
-        """Send once more what a member lacks, if that is not merely on its way."""
+        """Resends the updates that a member lacks, unless they were sent a moment ago."""
         history = self._context.history
         if report.received_seq >= history.newest or now - self._sent_at < REPAIR_AFTER_S:
             return
@@ -320,12 +323,13 @@
             self._send_updates(peer.member, report.received_seq + 1, updates)
 
     def on_stored(self, message: Stored) -> None:
-        """The tail has stored, and so have all before it."""
+        """Handles the tail's acknowledgement, which covers all members before it."""
         if message.epoch == self.view.epoch and message.sender == self.view.chain[-1]:
             self._tail_stored = max(self._tail_stored, message.seq)
 
     def _stored_by_all(self) -> int:
-        """Up to where the whole chain has stored: told by the tail, or one by one in the reports."""
+        """Returns the newest update that the whole chain has stored, from the tail's acknowledgement or the
+        members' reports."""
         least = self._own_stored()
         for identity in self.view.chain[1:]:
             report = self._report(identity)
@@ -334,8 +338,8 @@
         return max(least, min(self._tail_stored, self._own_stored()))
 
     def flush(self, now: float) -> bool:
-        """What follows from writes that are done and reports that came. Gives whether the view has just come
-        into force."""
+        """Commits and acknowledges after completed writes and received reports. Returns whether the view has
+        just come into force."""
         begins = not self.active and self._is_in_force()
         if begins:
             self.active = True
@@ -346,7 +350,7 @@
         seq = self._stored_by_all()
         if seq > self._context.history.committed or begins:
             self._commit(now, seq)
-        if begins:  # that the view is in force is to be known by many: see `View.old_voters`
+        if begins:  # many replicas should know that the view is in force: see `View.old_voters`
             self.beat(now)
         return begins
 
@@ -370,29 +374,29 @@
             if member is not None:
                 self._send(member, Commit(context.me.identity, identity, self.view.epoch, seq))
 
-    # -- watching --
+    # -- monitoring --
 
     def tick(self, now: float) -> None:
-        """Time has passed."""
+        """Sends heartbeats that are due, updates the members' health and continues state transfers."""
         if now - self._beat_at >= self._context.config.heartbeat_s:
             self.beat(now)
         self._roster.mark(now)
         self._tick_catch_up(now)
 
     def plan(self, now: float) -> Plan | None:
-        """The next view, if another one is called for and this disk works."""
+        """Returns the next view that is needed, if any and if this disk works."""
         context = self._context
         if context.resigning or context.disk.trouble_s(now) >= context.config.failure_timeout_s / 2:
             return None
         return self._roster.plan(now, self.view, self.active, self._lacks_long_state)
 
     def info(self) -> ViewInfo:
-        """What this head says of its view."""
+        """Returns the published form of the view."""
         return view_info(self._context, self.view, self.active)
 
 
 def _batches(updates: tuple[bytes, ...]) -> list[tuple[int, tuple[bytes, ...]]]:
-    """Updates in portions, each with the place of its first."""
+    """Splits updates into batches, each with the index of its first update."""
     batches: list[tuple[int, tuple[bytes, ...]]] = []
     start, size = 0, 0
     for place, update in enumerate(updates):
--- a/cloverrouter/coordination/head_contact.py
+++ b/cloverrouter/coordination/head_contact.py
@@ -1,4 +1,5 @@
-"""What a replica has heard of the head: whether it holds to it, and when it would stand up in its place."""
+"""A replica's contact with the head: whether it must withhold promises from others, and when it starts an
+election."""
 
 from __future__ import annotations
 
@@ -8,29 +9,30 @@
 
 
 class HeadContact:
-    """The head, as one of the others hears it."""
+    """The head as seen by one other replica."""
 
     def __init__(self, context: Context, now: float) -> None:
         self._context = context
         self._started = now
         self.heard_at = now
-        self.head: str | None = None  # identity of the one that was heard
-        self.is_active = False  # its view was in force
-        self._ill_since: float | None = None  # its disk fails, or it is about to leave
-        self._inactive_since: tuple[int, float] = (0, now)  # epoch, since when it is not in force yet
+        self.head: str | None = None  # identity of the head heard last
+        self.is_active = False  # whether its view was in force at the last heartbeat
+        self._ill_since: float | None = None  # since when its disk fails or its process is about to exit
+        # epoch, and since when its view has not been in force
+        self._inactive_since: tuple[int, float] = (0, now)
 
     def hear(self, now: float, head: str) -> None:
-        """A head, or one who is about to be, was heard."""
+        """Records a message from a head, or from a proposer about to become head."""
         self.heard_at = now
         self.head = head
 
     def judge(self, now: float, message: Heartbeat) -> None:
-        """A head's heartbeat has come."""
+        """Handles a heartbeat of a head."""
         timeout_s = self._context.config.failure_timeout_s
         self.is_active = message.active
         if self._inactive_since[0] != message.epoch or message.active:
             self._inactive_since = (message.epoch, now)
-        # One that can't get its view in force is not waited for for ever.
+        # A head that cannot bring its view into force stops counting as contact after a while.
         if now - self._inactive_since[1] < 2 * timeout_s:
             self.hear(now, message.sender)
         is_ill = message.resigning or message.trouble_ms >= timeout_s * 1000
@@ -40,16 +42,16 @@
             self._ill_since = now
 
     def is_well(self, now: float) -> bool:
-        """Whether a head that is well was heard just now."""
+        """Returns whether a healthy head was heard at this moment."""
         return self.heard_at >= now and self._ill_since is None
 
     def forgive(self, now: float) -> None:
-        """The process was frozen: silence says nothing about the others."""
+        """Restarts the timeouts after a freeze of this process, during which nothing could be received."""
         self.heard_at = max(self.heard_at, now)
         self._ill_since = None
 
     def is_bound(self, now: float, sender: str) -> bool:
-        """Whether a promise to `sender` has to wait, as the head was heard a moment ago."""
+        """Returns whether a promise to `sender` must be withheld because the head was heard recently."""
         if self._is_bound_by_last_life(now, sender):
             return True
         if self.head is None or sender == self.head or self._ill_since is not None:
@@ -57,15 +59,19 @@
         return now - self.heard_at < self._context.config.sticky_s
 
     def _is_bound_by_last_life(self, now: float, sender: str) -> bool:
-        """Of the life before this one only the last promise is known. The one that it was given to may be
-        sure of itself by this replica's word, whoever else was heard since; no other can be."""
+        """Returns whether a promise must be withheld shortly after a restart.
+
+        Only the last promise survives a restart. Its holder may have a lease that counts on this replica's
+        reply, whichever other head is heard since; no other replica can have one.
+        """
         context = self._context
         if context.epoch == 0 or sender == context.disk.meta.promised_to:
             return False
         return now - self._started < context.config.sticky_s
 
     def stands_up_at(self, jitter: float) -> float | None:
-        """When this replica tries to become head if the head stays silent; None if it may not."""
+        """Returns the time at which this replica starts an election if the head stays silent; None if it must
+        not."""
         context, config = self._context, self._context.config
         view, me = context.view, context.me.identity
         if view is None or view.voter(me) is None or context.resigning:
@@ -77,7 +83,7 @@
             return self._ill_since + turn_s
         if self.head is not None:
             return self.heard_at + config.failure_timeout_s + turn_s
-        if not view.chain:  # the first view of all
+        if not view.chain:  # the initial view
             return self.heard_at + turn_s
         if view.head == me:
             return self._started + jitter
--- a/cloverrouter/coordination/history.py
+++ b/cloverrouter/coordination/history.py
@@ -1,29 +1,30 @@
-"""The state of one replica: the newest, how much of it is committed, and the updates in between."""
+"""The replicated state at one replica: the newest state, the committed sequence number, and the updates in
+between."""
 
 from __future__ import annotations
 
 from cloverrouter.coordination.effects import Committed, Decision, Restored, StateMachine
 from cloverrouter.store import Snapshot, StoredReplica
 
-# Committed updates that are kept in memory for members that lack them.
+# Limits of committed updates that stay in memory for members that lack them.
 KEPT_BYTES = 512 * 1024
 KEPT_UPDATES = 256
 
 
 class History:
-    """Newest state and updates."""
+    """Newest state and recent updates."""
 
     def __init__(self, machine: StateMachine) -> None:
         self._machine = machine
         self.newest = 0
         self.committed = 0
-        self._updates: list[bytes] = []  # those up to `newest`
+        self._updates: list[bytes] = []  # consecutive updates that end with `newest`
         self._bytes = 0
-        self._received: Snapshot | None = None  # a state taken whole whose commit is awaited
+        self._received: Snapshot | None = None  # a state received whole that is not known to be committed
         self._cached: Snapshot | None = None
 
     def start(self, stored: StoredReplica) -> list[Committed | Restored]:
-        """Take what the disk held. What is known to be committed is told."""
+        """Loads what the disk holds. Returns the committed state if it is known."""
         known = stored.meta.committed
         if stored.snapshot is not None:
             self.replace(stored.snapshot.seq, stored.snapshot.data)
@@ -42,11 +43,11 @@
         return [Restored(seq, self.snapshot().data)] if seq else []
 
     def decide(self, command: bytes) -> Decision:
-        """What the state machine makes of a command, against the newest state."""
+        """Evaluates a command against the newest state."""
         return self._machine.decide(command)
 
     def append(self, update: bytes) -> int:
-        """The next update enters the newest state. Gives its number."""
+        """Applies the next update to the newest state. Returns its sequence number."""
         self._machine.apply(update)
         self._updates.append(update)
         self._bytes += len(update)
@@ -55,7 +56,7 @@
         return self.newest
 
     def replace(self, seq: int, snapshot: bytes) -> None:
-        """Another state, handed over by a head."""
+        """Replaces the newest state by one received from another replica."""
         self._machine.restore(snapshot)
         self._updates.clear()
         self._bytes = 0
@@ -64,23 +65,24 @@
         self._received = Snapshot(seq, snapshot)
 
     def snapshot(self) -> Snapshot:
-        """The newest state."""
+        """Returns the newest state."""
         if self._cached is None:
             self._cached = Snapshot(self.newest, self._machine.snapshot())
         return self._cached
 
     def after(self, seq: int) -> tuple[bytes, ...] | None:
-        """The updates after `seq`, or None if they are not kept any more."""
+        """Returns the updates after `seq`, or None if they are no longer in memory."""
         count = self.newest - seq
         if not 0 <= count <= len(self._updates):
             return None
         return tuple(self._updates[len(self._updates) - count :])
 
     def commit(self, seq: int) -> list[Committed | Restored]:
-        """The state `seq`, not over the newest, is committed. Gives what became of the committed state."""
+        """Marks the state `seq`, at most the newest, as committed. Returns the effects of that."""
         effects: list[Committed | Restored] = []
         received = self._received
-        # Of what lies before a state that was taken whole nothing is known: that state's own commit follows.
+        # Updates before a state that was received whole are unknown here: wait for the commit of that state
+        # itself.
         if seq <= self.committed or (received is not None and seq < received.seq):
             return effects
         if received is not None:
@@ -88,7 +90,7 @@
                 effects.append(Restored(received.seq, received.data))
                 self.committed = received.seq
             self._received = None
-        first = self.newest - len(self._updates)  # the state before the first update that is kept
+        first = self.newest - len(self._updates)  # the state before the first update in memory
         for number in range(self.committed, seq):
             effects.append(Committed(number + 1, self._updates[number - first]))
         self.committed = seq
--- a/cloverrouter/coordination/messages.py
+++ b/cloverrouter/coordination/messages.py
@@ -1,5 +1,5 @@
-"""What replicas say to one another. Each message names the disks that it is from and for, so that nothing
-that was meant for a machine's lost disk is taken by its new one."""
+"""Messages between replicas. Each names the disk identity of its sender and its receiver, so that a message
+meant for a disk that was lost is not accepted by the disk that replaced it in the same machine."""
 
 from __future__ import annotations
 
@@ -9,30 +9,30 @@
 
 @message(101)
 class Canvass:
-    """Would you follow me? Asked before an epoch is spent on it."""
+    """Pre-vote request: asks whether the receiver would grant a promise, before an epoch is used."""
 
     sender: str
     receiver: str
-    attempt: int  # of this sender
-    view_epoch: int  # of the view that it knows
+    attempt: int  # counts the sender's elections
+    view_epoch: int  # of the newest view that the sender knows
 
 
 @message(102)
 class Support:
-    """Answer to `Canvass`."""
+    """Pre-vote reply to `Canvass`."""
 
     sender: str
     receiver: str
     attempt: int
     granted: bool
     promised: int  # highest epoch that the sender has promised
-    view: View | None  # the view that the sender knows
+    view: View | None  # newest view that the sender knows
     settled: bool
 
 
 @message(103)
 class Propose:
-    """Promise me that you'll take part in no epoch below this one."""
+    """Prepare request: asks the receiver to take part in no epoch lower than this one."""
 
     sender: str
     receiver: str
@@ -41,20 +41,21 @@
 
 @message(104)
 class Promise:
-    """The promise, durable. It tells what the sender holds, which no lower epoch can change any more."""
+    """Reply to `Propose`, sent once the promise is durable. Its facts about the sender's state can no longer
+    be changed by a lower epoch."""
 
     sender: str
     receiver: str
     epoch: int
-    synced: int  # epoch in which its state was handed over
-    seq: int  # of its newest update
+    synced: int  # epoch in which the sender received its state
+    seq: int  # sequence number of the sender's newest update
     view: View | None
     settled: bool
 
 
 @message(105)
 class Refused:
-    """No promise, as a higher one was given, or the head is well."""
+    """Negative reply to `Propose`: a higher epoch was promised, or the current head is healthy."""
 
     sender: str
     receiver: str
@@ -64,7 +65,7 @@
 
 @message(106)
 class Fetch:
-    """The proposer asks the one with the newest state for it."""
+    """The proposer requests the state from the replica that holds the newest one."""
 
     sender: str
     receiver: str
@@ -73,7 +74,7 @@
 
 @message(107)
 class State:
-    """Answer to `Fetch`: the state after update `seq`, handed over in epoch `synced`."""
+    """Reply to `Fetch`: the state after update `seq`, received in epoch `synced`."""
 
     sender: str
     receiver: str
@@ -85,21 +86,22 @@
 
 @message(108)
 class Install:
-    """The head hands a member of its chain the view and the state: whole, or the updates that it lacks."""
+    """The head sends a chain member the view and the state, either whole or as the updates that the member
+    lacks."""
 
     sender: str
     receiver: str
     view: View
-    seq: int  # of the state handed over
-    snapshot: bytes | None  # the state after `seq`; None: `updates` lead there from what the member holds
-    from_synced: int  # what it must hold for that
+    seq: int  # of the state that results
+    snapshot: bytes | None  # the state after `seq`; None: `updates` lead from the member's state to it
+    from_synced: int  # the receiver's `synced` and newest `seq` that `updates` apply to
     from_seq: int
     updates: tuple[bytes, ...]
 
 
 @message(109)
 class Announce:
-    """The head tells a view to one who isn't in its chain."""
+    """The head sends its view to a replica outside its chain."""
 
     sender: str
     receiver: str
@@ -108,20 +110,21 @@
 
 @message(110)
 class Forward:
-    """Updates on their way down the chain."""
+    """Updates passed from a chain member to its successor."""
 
     sender: str
     receiver: str
     epoch: int
     first_seq: int
     updates: tuple[bytes, ...]
-    stored: int  # as in `Stored`
+    stored: int  # as `Stored.seq`
     committed: int
 
 
 @message(111)
 class Stored:
-    """All from the head to the sender have stored the updates up to `seq`. The tail says it to the head."""
+    """All chain members from the head to the sender have stored the updates up to `seq`. Sent to the
+    successor; the tail sends it to the head."""
 
     sender: str
     receiver: str
@@ -131,7 +134,7 @@
 
 @message(112)
 class Commit:
-    """All of the chain have stored the updates up to `seq`."""
+    """The whole chain has stored the updates up to `seq`."""
 
     sender: str
     receiver: str
@@ -141,55 +144,55 @@
 
 @message(113)
 class Heartbeat:
-    """The head is there."""
+    """Sent by the head once per round to the voters, old ones included, and to spares that may be needed."""
 
     sender: str
     receiver: str
     epoch: int
-    round: int  # rises with each round that the head begins
-    active: bool  # its view is in force
+    round: int  # incremented with each round that the head starts
+    active: bool  # the head's view is in force
     committed: int
-    trouble_ms: int  # its disk has been busy or failing that long
-    resigning: bool  # it is about to leave
+    trouble_ms: int  # for how long the head's disk has been busy or failing
+    resigning: bool  # the head's process is about to exit
 
 
 @message(114)
 class Report:
-    """Answer to `Heartbeat`; also sent when a view has become durable."""
+    """Reply to `Heartbeat`; also sent when a view has become durable."""
 
     sender: str
     receiver: str
-    round_epoch: int  # epoch of the newest heartbeat that was taken
-    round: int  # and its round
+    round_epoch: int  # epoch of the newest heartbeat that counts; see `Follower.on_heartbeat`
+    round: int  # its round
     promised: int
-    view_epoch: int  # of the newest view on the disk
-    synced: int  # on the disk
-    seq: int  # on the disk
-    received_seq: int  # in memory
+    view_epoch: int  # of the newest durable view
+    synced: int  # durable
+    seq: int  # durable
+    received_seq: int  # newest update in memory
     trouble_ms: int
     resigning: bool
 
 
 @message(120)
 class GenesisQuery:
-    """A seed asks a disk whether it is one of the system's first start."""
+    """A seed asks a disk whether it takes part in the bootstrap of the system."""
 
     receiver: str
 
 
 @message(121)
 class GenesisState:
-    """Answer to `GenesisQuery` and `Genesis`."""
+    """Reply to `GenesisQuery` and `Genesis`."""
 
     member: Member
     adoptable: bool
-    view_epoch: int  # of the view that it knows; 0: none
+    view_epoch: int  # of the view that the member knows; 0: none
     voters: tuple[Member, ...]  # of that view
 
 
 @message(122)
 class Genesis:
-    """The voters that the seeds have agreed on."""
+    """The initial voters that the seeds have agreed on."""
 
     receiver: str
     voters: tuple[Member, ...]
@@ -197,14 +200,14 @@
 
 @message(123)
 class SeedPrepare:
-    """A seed asks the seeds to promise a ballot."""
+    """Asks a seed to promise a ballot (Paxos prepare)."""
 
     ballot: int
 
 
 @message(124)
 class SeedPrepared:
-    """Answer to `SeedPrepare`: what the sender has accepted, if anything."""
+    """Reply to `SeedPrepare`: what the sender has accepted, if anything."""
 
     ballot: int
     accepted_ballot: int
@@ -213,7 +216,7 @@
 
 @message(125)
 class SeedAccept:
-    """A seed asks the seeds to accept voters."""
+    """Asks a seed to accept the initial voters (Paxos accept)."""
 
     ballot: int
     voters: tuple[Member, ...]
@@ -221,14 +224,14 @@
 
 @message(126)
 class SeedAccepted:
-    """Answer to `SeedAccept`."""
+    """Reply to `SeedAccept`."""
 
     ballot: int
 
 
 @message(127)
 class SeedRefused:
-    """A higher ballot was promised."""
+    """Negative reply to `SeedPrepare` and `SeedAccept`: a higher ballot was promised."""
 
     ballot: int
     promised: int
@@ -236,21 +239,21 @@
 
 @message(128)
 class CatchUpPart:
-    """The head hands a part of a long state to a member outside its chain."""
+    """The head sends a chunk of a large state to a voter outside its chain."""
 
     sender: str
     receiver: str
-    epoch: int  # of the head
-    seq: int  # the state is the one after this update
-    length: int  # of the whole, in bytes
-    checksum: int  # of the whole: CRC-32
+    epoch: int  # of the head's view
+    seq: int  # sequence number of the state's last update
+    length: int  # of the whole state, in bytes
+    checksum: int  # CRC-32 of the whole state
     offset: int
     data: bytes
 
 
 @message(129)
 class CatchUpTaken:
-    """The member's answer: so many bytes of that state are there."""
+    """Acknowledges the first `taken` bytes of that state."""
 
     sender: str
     receiver: str
@@ -261,6 +264,6 @@
 
 
 GENESIS_MESSAGES = (GenesisState, SeedPrepared, SeedAccepted, SeedRefused)
-"""For a seed's `GenesisProposer`."""
+"""Messages handled by a seed's `GenesisProposer`."""
 BALLOT_MESSAGES = (SeedPrepare, SeedAccept)
-"""For whoever keeps a seed's word: its replica, or its process where it has no disk."""
+"""Messages handled by a seed's acceptor: the replica, or the process itself if the seed has no disk."""
--- a/cloverrouter/coordination/proposal.py
+++ b/cloverrouter/coordination/proposal.py
@@ -1,12 +1,13 @@
-"""One try to become head of a new view: canvass, collect promises, take the newest state.
+"""One election: pre-vote, collect promises, fetch the newest state.
 
 | phase | left when |
 | --- | --- |
-| CANVASSING | a quorum would promise: only then an epoch is spent, and a head that others hear has peace |
-| RESERVING | the own promise is on the disk: the epoch is never used a second time |
-| COLLECTING | a quorum has promised, and the slower ones had a moment |
-| FETCHING | the newest state among them is here |
-| READY | whoever drives it makes it the head |
+| CANVASSING | pre-vote: a quorum would promise. Only then is an epoch used, so a head that others hear is not
+disturbed |
+| RESERVING | the own promise is durable: the epoch is never used a second time |
+| COLLECTING | a quorum has promised, and the slower voters had `gather_s` |
+| FETCHING | the newest state among the promises has arrived |
+| READY | the replica makes it the head |
 | DEAD | a higher epoch was seen, or this replica is no voter |
 """
 
@@ -23,7 +24,7 @@
 
 
 class Phase(Enum):
-    """How far it has come."""
+    """Phase of an election; see the table above."""
 
     CANVASSING = "canvassing"
     RESERVING = "reserving"
@@ -35,19 +36,19 @@
 
 @attrs.frozen(slots=True)
 class Plan:
-    """What a head wants of its next view."""
+    """The next view that an active head intends."""
 
-    base_epoch: int  # of the view that it changes
+    base_epoch: int  # epoch of the view that it replaces
     voters: tuple[Member, ...]
-    chain: frozenset[str]  # identities of those that are well, itself among them
+    chain: frozenset[str]  # identities of the healthy members, the head included
     reason: str
 
 
 class Proposal:
-    """One try."""
+    """One election of this replica."""
 
     def __init__(self, context: Context, now: float, attempt: int, plan: Plan | None = None) -> None:
-        """With a plan of an active head there is no canvass."""
+        """With the plan of an active head there is no pre-vote."""
         self._context = context
         self.plan = plan
         self.phase = Phase.CANVASSING
@@ -59,9 +60,10 @@
         self._asked_at = now
         self._retry_s = context.config.retry_s
         self._quorum_at: float | None = None
-        self._source: Promise | None = None  # of the one that the state was asked of
+        self._source: Promise | None = None  # promise of the replica that the state was requested from
         self._fetch_until = 0.0
-        self._patience_s = context.config.failure_timeout_s  # with a source; grows, as states may be long
+        # how long one source may take; grows, as states may be large
+        self._patience_s = context.config.failure_timeout_s
         if plan is not None:
             self._reserve()
         else:
@@ -69,7 +71,7 @@
             self._count_supporters()
 
     def receive(self, now: float, message: object) -> None:
-        """An answer to a question of this proposal, or another message, which is none of its business."""
+        """Handles a reply to this election; ignores other messages."""
         if isinstance(message, Support):
             self.on_support(now, message)
         elif isinstance(message, Promise):
@@ -79,10 +81,10 @@
         elif isinstance(message, State):
             self.on_state(message)
 
-    # -- questions --
+    # -- requests --
 
     def tick(self, now: float) -> None:
-        """Time has passed."""
+        """Repeats requests and handles timeouts."""
         if self.phase is Phase.COLLECTING:
             self._choose(now)
         if self.phase is Phase.FETCHING and now >= self._fetch_until:
@@ -91,7 +93,7 @@
             self._ask(now)
 
     def _ask(self, now: float) -> None:
-        """Ask all that have not answered."""
+        """Sends the current phase's request to all that have not answered."""
         self._asked_at = now
         if self.phase is Phase.CANVASSING:
             known = self._view.epoch
@@ -122,10 +124,10 @@
         self.phase = Phase.DEAD
         return False
 
-    # -- canvass --
+    # -- pre-vote --
 
     def on_support(self, now: float, message: Support) -> None:
-        """An answer to the canvass."""
+        """Handles a pre-vote reply."""
         self._context.seen_epoch = max(self._context.seen_epoch, message.promised)
         if self.phase is not Phase.CANVASSING or message.attempt != self._attempt:
             return
@@ -155,7 +157,7 @@
         self.phase = Phase.RESERVING
 
     def flush(self, now: float) -> None:
-        """A write is done."""
+        """Continues after a completed write."""
         context = self._context
         durable = context.disk.durable
         if self.phase is not Phase.RESERVING or durable.meta.promised != self.epoch:
@@ -175,7 +177,7 @@
         self._choose(now)
 
     def on_promise(self, now: float, message: Promise) -> None:
-        """A promise has come."""
+        """Handles a promise."""
         if message.epoch != self.epoch or self.phase is not Phase.COLLECTING:
             return
         if message.view is not None and message.view.epoch >= self.epoch:
@@ -191,13 +193,13 @@
         self._choose(now)
 
     def on_refused(self, message: Refused) -> None:
-        """Someone has promised a higher epoch."""
+        """Handles a negative reply."""
         self._context.seen_epoch = max(self._context.seen_epoch, message.promised)
         if message.epoch == self.epoch and message.promised > self.epoch:
             self.phase = Phase.DEAD
 
     def _choose(self, now: float) -> None:
-        """With a quorum, and when the slower ones had a moment, go on with the newest state."""
+        """Selects the newest state once a quorum has promised and the slower voters had `gather_s`."""
         if not self._has_quorum():
             return
         if self._quorum_at is None:
@@ -221,7 +223,8 @@
         return len(self._chain_members()) >= self._least_chain()
 
     def _gather_s(self) -> float:
-        """How long the slower ones are waited for: longer for those that were well a moment ago."""
+        """Returns how long further promises are awaited: longer with a plan, whose members were healthy a
+        moment ago."""
         config = self._context.config
         return config.gather_s if self.plan is None else max(config.gather_s, config.failure_timeout_s / 2)
 
@@ -242,7 +245,8 @@
         self._ask_state()
 
     def _ask_state(self) -> None:
-        """Ask for the state, again after longer and longer: each question brings all of it."""
+        """Requests the state. The retry interval doubles, as each request causes a transfer of the whole
+        state."""
         context, source = self._context, self._source
         members = [member for member in self._others(()) if source and member.identity == source.sender]
         if not members:
@@ -253,7 +257,7 @@
         context.send(context.address(members[0]), question)
 
     def _do_without(self, now: float) -> None:
-        """The source does not answer. Its state counts if it comes after all."""
+        """Continues without the source, which does not answer. Its state still counts if it arrives later."""
         if self._source is not None:
             self.promises.pop(self._source.sender, None)
         self._patience_s *= 2
@@ -263,7 +267,7 @@
         self._ask(now)
 
     def on_state(self, message: State) -> None:
-        """The state has come."""
+        """Handles a state."""
         context, promise = self._context, self._source
         if self.phase not in (Phase.FETCHING, Phase.COLLECTING) or promise is None:
             return
@@ -274,7 +278,8 @@
         if (message.synced, message.seq) != (promise.synced, promise.seq):
             self.phase = Phase.DEAD
             return
-        self.promises[promise.sender] = promise  # which it holds to, also if it was done without meanwhile
+        # still valid, even if the election went on without it meanwhile
+        self.promises[promise.sender] = promise
         if not self._has_quorum() or not self._has_chain():
             return
         context.history.replace(message.seq, message.snapshot)
@@ -297,7 +302,8 @@
         return least_chain(len(self._voters()), self._context.config.tolerance)
 
     def _chain_members(self) -> list[Member]:
-        """Those that have promised; with a plan, the well ones of them and the new voter."""
+        """Returns the chain of the next view: the members that have promised; with a plan, the healthy ones
+        of them and the new voter."""
         voters = self._voters()
         present = set(self.promises)
         if self.plan is not None and self._plan_holds():
@@ -312,14 +318,15 @@
         return ready if len(ready) >= self._least_chain() else members
 
     def _lacks_state(self, member: Member) -> bool:
-        """Whether only the whole state would bring a member up to date: it is to join the chain later."""
+        """Returns whether a member can only be brought up to date with the whole state; it then joins the
+        chain later."""
         own, promise = self.promises.get(self._context.me.identity), self.promises.get(member.identity)
         if own is None or promise is None or promise is own:
             return False
         return promise.synced != own.synced or self._context.history.after(promise.seq) is None
 
     def new_view(self) -> View:
-        """The view that follows. Only when ready."""
+        """Returns the next view. Valid in phase READY only."""
         voters = self._voters()
         old: tuple[Member, ...] = ()
         if voters != self._view.voters:
--- a/cloverrouter/coordination/replica.py
+++ b/cloverrouter/coordination/replica.py
@@ -1,8 +1,8 @@
-"""One replica: events and the time go in, effects come out.
+"""One replica as a deterministic core: events and the current time go in, effects come out.
 
-Roles: every replica is a follower; it may at the same time have a proposal under way, or be the head of one
-epoch. A head that wants another view stops its epoch and proposes; its commands wait meanwhile. Whoever
-promises a higher epoch to another gives up both.
+Every replica is a follower; at the same time it may run an election, or be the head of one epoch. A head that
+needs another view ends its epoch and runs an election; its commands wait meanwhile. A replica that promises a
+higher epoch to another gives up both roles.
 """
 
 from __future__ import annotations
@@ -57,8 +57,9 @@
 class Replica:
     """One disk's part in the chain and in the agreement on its view.
 
-    Every call gives the effects to carry out, in order. `persisted` answers each `Persist`, of which one is
-    out at a time."""
+    Every event method returns the effects to carry out, in order. Each `Persist` is answered by a call of
+    `persisted`; at most one is outstanding.
+    """
 
     def __init__(
         self,
@@ -68,9 +69,10 @@
         config: ReplicaConfig,
         random: Random,
     ) -> None:
-        """`me` has the identity of the stored disk; `machine` is in its first state."""
+        """`me` must have the identity of the stored disk; `machine` is in its initial state. Raises
+        ValueError if the identities differ."""
         if me.identity != stored.identity:
-            raise ValueError("a replica has the identity of its disk")
+            raise ValueError("the member's identity differs from the identity of the stored disk")
         self._stored = stored
         self._config = config
         self._random = random
@@ -85,12 +87,12 @@
         self._desk = Desk()
         self._head: Head | None = None
         self._proposal: Proposal | None = None
-        self._is_reviewing = False  # the proposal is that of a head, for another view of its own
+        self._is_reviewing = False  # the election is that of a head that changes its own view
         self._lineage: dict[int, int] = {0: 0}
-        self._sent = 0  # updates up to this were sent down the chain
+        self._sent = 0  # newest update sent down the chain
         self._attempts = 0
         self._jitter = 0.0
-        self._not_before = 0.0  # no try to become head before that
+        self._not_before = 0.0  # no election starts before this time
         self._now = 0.0
         self._told: ViewInfo | None = None
         self._seed_disk = SeedDisk(self._context)
@@ -98,16 +100,16 @@
         self._catch_up = CatchUpReceiver(self._context)
         self._handlers = self._handler_table()
 
-    # -- what is to be seen --
+    # -- published state --
 
     @property
     def me(self) -> Member:
-        """This replica."""
+        """This replica's identity and machine."""
         return self._context.me
 
     @property
     def view_info(self) -> ViewInfo | None:
-        """The view that this replica knows."""
+        """The view that this replica knows; None before the first."""
         if self._head is not None:
             return self._head.info()
         view = self._context.view
@@ -119,7 +121,7 @@
 
     @property
     def committed(self) -> tuple[int, bytes | None]:
-        """Number of the committed state, and the state unless newer updates are under way."""
+        """Sequence number of the committed state, and that state unless newer updates are uncommitted."""
         history = self._context.history
         if history.newest != history.committed:
             return history.committed, None
@@ -127,19 +129,20 @@
 
     @property
     def adoptable(self) -> bool:
-        """Whether the disk is of the system's first start and no view has it yet. On a seed that says so a
-        `GenesisProposer` has to run, also when its process was started again meanwhile."""
+        """Whether the disk is new and may take part in the bootstrap. On a seed with such a disk a
+        `GenesisProposer` must run, also after a restart of the process."""
         return self._context.disk.meta.adoptable
 
     @property
     def lead_until(self) -> float | None:
-        """Until when surely no other is head: None if this replica isn't or can't be sure."""
+        """Time until which surely no other replica is head; None if this replica is not the head or has no
+        lease."""
         return self._head.lead_until if self._head is not None else None
 
     @property
     def may_end(self) -> bool:
-        """Whether the process may end as far as the others need it: it surely has no vote any more, or nobody
-        is there who could take it over."""
+        """Whether the process may exit as far as the other replicas need it: it surely has no vote any more,
+        or there is no spare to replace it."""
         view = self._context.view
         if view is None:
             return True
@@ -149,51 +152,55 @@
 
     @property
     def fleet_size(self) -> int:
-        """The size of the fleet that was remembered last; 0: none."""
+        """The stored fleet size; 0: none."""
         return self._context.disk.meta.fleet_size
 
     def remember_fleet_size(self, now: float, size: int) -> None:
-        """How many machines there are is kept for the next start, as nobody else may know it then."""
+        """Stores the fleet size for the next start, when no other replica may know it."""
         if size != self.fleet_size:
             self._context.disk.note(now, fleet_size=size)
 
     @property
     def note(self) -> bytes:
-        """The note that is on the disk for certain; empty: none."""
+        """The durable note; empty: none."""
         return self._context.disk.durable.meta.note
 
     def keep_note(self, now: float, note: bytes) -> list[Effect]:
-        """Write a note for the next head at this disk; `NoteKept` tells when it is there."""
+        """Stores a note for the next head at this disk; `NoteKept` reports that it is durable."""
         self._context.disk.change(note=note)
         return self._finish(now)
 
     @property
     def follows(self) -> int | None:
-        """As head: the epoch of the last head that may have been in force before this one. None: no head.
+        """As head: the epoch of the last head whose view may have been in force before this one's. None: not
+        the head.
 
-        All of a chain store the state under its epoch before it is in force, and each majority of promises
-        meets each chain: an epoch in between would have been found in one of the promises."""
+        All chain members store the state under the head's epoch before its view is in force, and each
+        majority of promises intersects each chain, so one of the promises would have shown an epoch in
+        between.
+        """
         return self._head.follows if self._head is not None else None
 
     @property
     def catch_up(self) -> Progress | None:
-        """As head: the long state that is handed to a member in parts."""
+        """As head: progress of the chunked state transfer to a member, if any."""
         return self._head.catch_up if self._head is not None else None
 
     # -- events --
 
     def start(self, now: float) -> list[Effect]:
-        """The process starts."""
+        """Starts the replica; called once."""
         self._now = now
         self._follower = Follower(self._context, now)
         self._draw_jitter()
         self._context.effects += self._context.history.start(self._stored)
         self._sent = self._context.history.newest
-        self._stored = StoredReplica(self._stored.identity)  # the rest is held elsewhere now
+        # release the memory; history and disk hold the content
+        self._stored = StoredReplica(self._stored.identity)
         return self._finish(now)
 
     def tick(self, now: float) -> list[Effect]:
-        """Time has passed; to be called every 50 ms."""
+        """Handles the passing of time; to be called every 50 ms."""
         self._look_at_clock(now)
         if self._head is not None:
             self._tick_head(now, self._head)
@@ -205,14 +212,14 @@
         return self._finish(now)
 
     def receive(self, now: float, sender_ip: str, message: object) -> list[Effect]:
-        """A message has come. What isn't for this disk is dropped."""
+        """Handles a message; drops those for another disk identity."""
         self._look_at_clock(now)
         if getattr(message, "receiver", self.me.identity) == self.me.identity:
             self._take(now, sender_ip, message)
         return self._finish(now)
 
     def persisted(self, now: float, token: int, error: str | None = None) -> list[Effect]:
-        """A record is on the disk, or was refused."""
+        """Reports that the outstanding record is durable, or was refused with `error`."""
         self._look_at_clock(now)
         before = self.note
         self._context.disk.done(now, token, error)
@@ -221,7 +228,7 @@
         return self._finish(now)
 
     def discovered(self, now: float, members: Iterable[Member]) -> list[Effect]:
-        """Disks that are known from elsewhere to be there."""
+        """Reports the disks that service discovery currently finds."""
         known = list(members)
         self._roster.discovered(now, known)
         for member in known:
@@ -229,7 +236,7 @@
         return self._finish(now)
 
     def submit(self, now: float, ticket: int, command: bytes) -> list[Effect]:
-        """A command for the state machine, answered under its ticket."""
+        """Submits a command; its `Answer` carries the ticket."""
         if not self._leads_or_will():
             return self._answer(now, ticket, Outcome.NOT_HEAD)
         if len(self._desk.waiting) >= self._config.waiting:
@@ -238,7 +245,7 @@
         return self._finish(now)
 
     def read(self, now: float, ticket: int) -> list[Effect]:
-        """Ask for the committed state."""
+        """Requests the committed state; its `Answer` carries the ticket."""
         if not self._leads_or_will():
             return self._answer(now, ticket, Outcome.NOT_HEAD)
         if len(self._desk.asked) >= self._config.waiting:
@@ -247,7 +254,8 @@
         return self._finish(now)
 
     def resign(self, now: float) -> list[Effect]:
-        """The process is about to end: let another be head, and leave the chain."""
+        """Announces that the process is about to exit: another replica is to become head, and this one leaves
+        the chain."""
         self._context.resigning = True
         if self._head is not None:
             self._head.beat(now)
@@ -263,7 +271,8 @@
     # -- time --
 
     def _look_at_clock(self, now: float) -> None:
-        """After a freeze nothing that was not heard counts."""
+        """Detects a freeze of this process by the time since the last event, and restarts the timeouts on
+        others' silence."""
         if now - self._now > self._config.failure_timeout_s / 2:
             self._follower.contact.forgive(now)
             self._roster.forgive(now)
@@ -303,7 +312,7 @@
     # -- roles --
 
     def _review(self, now: float, head: Head, plan: Plan) -> None:
-        """The head stops its epoch, for another view."""
+        """Ends the head's epoch and starts the election of its next view."""
         if head.active:
             self._lineage[head.view.epoch] = self._context.history.newest
         self._head = None
@@ -316,7 +325,7 @@
         if proposal.fetched:
             self._lineage = {0: 0}
             context.effects += self._desk.give_up()
-        # Whatever was handed over in the same epoch is a beginning of the state that goes on here.
+        # Any state received in the same epoch is a prefix of the state that continues here.
         self._lineage[context.synced] = context.history.newest
         follows, view = context.synced, proposal.new_view()
         self._proposal, self._is_reviewing = None, False
@@ -327,7 +336,7 @@
         )
 
     def _step_down(self, now: float) -> None:
-        """Give up headship and proposal."""
+        """Gives up the head role and any election."""
         self._head = None
         self._proposal = None
         self._is_reviewing = False
@@ -338,7 +347,7 @@
         self._context.effects += self._desk.give_up()
 
     def _yield_to(self, now: float, epoch: int) -> None:
-        """Another has, or is about to have, this epoch."""
+        """Steps down if another replica has, or is about to have, this higher epoch."""
         if self._head is not None:
             own = self._head.view.epoch
         elif self._proposal is not None and self._proposal.phase is not Phase.CANVASSING:
@@ -437,14 +446,14 @@
             self._proposal = None
 
     def _is_well_followed(self, now: float) -> bool:
-        """Whether this is the head, and a majority has answered it a moment ago."""
+        """Returns whether this replica is a healthy head that a majority has answered within `sticky_s`."""
         if self._head is None or self._context.resigning:
             return False
         if self._context.disk.trouble_s(now) >= self._config.failure_timeout_s:
             return False
         return now - self._head.rounds.followed_at < self._config.sticky_s
 
-    # -- the first view --
+    # -- bootstrap --
 
     def _on_genesis(self, now: float, ip: str, message: Genesis | GenesisQuery) -> None:
         if self._seed_disk.told(now, ip, message):
@@ -453,10 +462,10 @@
     def _on_ballot(self, now: float, ip: str, message: SeedPrepare | SeedAccept) -> None:
         self._seed_disk.asked(ip, message)
 
-    # -- what follows --
+    # -- after each event --
 
     def _finish(self, now: float) -> list[Effect]:
-        """Do all that follows from what has happened."""
+        """Runs all steps that an event enables, and returns the effects."""
         context = self._context
         self._follower.flush(now)
         self._seed_disk.flush()
@@ -479,7 +488,7 @@
             self._step_down(now)
 
     def _work(self, now: float, head: Head) -> None:
-        """The head goes on as far as it can."""
+        """Advances the head's commands, reads and updates as far as possible."""
         head.flush(now)
         head.work(now)
         self._sent = head.forward(now, self._sent)
--- a/cloverrouter/coordination/roster.py
+++ b/cloverrouter/coordination/roster.py
@@ -1,4 +1,5 @@
-"""What a head knows of the others: who answers, whose disk works, and which view that calls for."""
+"""A head's knowledge of the other disks: which of them answer, whose disk works, and which change of the view
+that requires."""
 
 from __future__ import annotations
 
@@ -11,31 +12,31 @@
 from cloverrouter.coordination.proposal import Plan
 from cloverrouter.coordination.views import Member, View, least_chain
 
-# A spare that nobody has spoken of for so long is none.
+# A spare that discovery has not reported for this long is dropped.
 SPARE_SEEN_S = 6.0
-# A head that learns of a higher promise waits so long for the one it was given to.
+# A head that sees a higher promise waits this long for the proposer that holds it.
 FENCED_WAIT_S = 0.3
 MOST_RELAPSES = 5
-# A member that has been well for so long has a clean record.
+# Relapses are forgotten after this time of good health.
 CLEAN_AFTER_S = 20.0
 
 
 @attrs.define(slots=True)
 class Peer:
-    """One other disk, as the head sees it."""
+    """One other disk, as seen by the head."""
 
     member: Member
-    heard: float  # when it last answered, or when this was begun
-    report: Report | None = None  # of this headship
+    heard: float  # time of its last answer, or of this object's creation
+    report: Report | None = None  # newest report in this head's epoch
     well_since: float | None = None
-    in_chain: bool = False  # of the last view that this replica led
-    relapses: int = 0  # how often it has left the chain lately
-    fenced_since: float | None = None  # it has promised a higher epoch
-    handed_at: float = 0.0  # when view and state were last sent to it
-    repaired_at: float = 0.0  # when updates were last sent to it once more
+    in_chain: bool = False  # in the chain of the last view that this replica led
+    relapses: int = 0  # how often it has recently left the chain
+    fenced_since: float | None = None  # since when its reports show a promise of a higher epoch
+    handed_at: float = 0.0  # when the view or the state was last sent to it
+    repaired_at: float = 0.0  # when updates were last resent to it
 
     def is_well(self, now: float, config: ReplicaConfig) -> bool:
-        """Whether it answers and its disk works, as far as is known."""
+        """Returns whether it answers and its disk works, as far as is known."""
         if now - self.heard >= config.failure_timeout_s:
             return False
         report = self.report
@@ -51,16 +52,16 @@
         self._me = me
         self._config = config
         self.peers: dict[str, Peer] = {}
-        self._spares: dict[str, tuple[Member, float]] = {}  # and when they were last spoken of
+        self._spares: dict[str, tuple[Member, float]] = {}  # with the time of their last discovery
 
     def discovered(self, now: float, members: Iterable[Member]) -> None:
-        """Disks that are known from elsewhere to be there."""
+        """Records the disks that service discovery currently finds."""
         for member in members:
             if member.identity != self._me.identity:
                 self._spares[member.identity] = (member, now)
 
     def begin(self, now: float, view: View) -> None:
-        """This replica leads a view: nothing has been heard in it yet."""
+        """Prepares for a new view led by this replica, in which nothing has been received yet."""
         for member in view.electorate(settled=False):
             if member.identity != self._me.identity:
                 peer = self._peer(now, member)
@@ -72,7 +73,8 @@
             peer.handed_at = peer.repaired_at = 0.0
 
     def _enter_view(self, peer: Peer, view: View) -> None:
-        """One that is not in the new chain has to prove itself, and longer each time."""
+        """Updates a peer for the new view: outside the chain it must be healthy for a while before it joins,
+        longer after each relapse."""
         was_in_chain, peer.in_chain = peer.in_chain, peer.member.identity in view.chain
         if peer.in_chain:
             return
@@ -87,20 +89,21 @@
         return peer
 
     def forget(self) -> None:
-        """This replica leads no more."""
+        """Drops all peers, as this replica is not the head any more."""
         self.peers.clear()
 
     def was_silent(self, member: Member, since: float) -> None:
-        """The head that was is silent since then."""
+        """Records that the previous head has been silent since then."""
         self.peers[member.identity] = Peer(member, heard=since)
 
     def forgive(self, now: float) -> None:
-        """The process was frozen: silence says nothing."""
+        """Restarts the silence timeouts after a freeze of this process, during which nothing could be
+        received."""
         for peer in self.peers.values():
             peer.heard = max(peer.heard, now)
 
     def spares(self, now: float, view: View) -> list[Member]:
-        """Disks without a vote that were spoken of lately."""
+        """Returns the recently discovered disks without a vote."""
         for identity, (_, seen) in list(self._spares.items()):
             if now - seen > SPARE_SEEN_S:
                 del self._spares[identity]
@@ -108,7 +111,7 @@
         return [member for identity, (member, _) in self._spares.items() if identity not in voters]
 
     def wanted_spares(self, now: float, view: View) -> list[Member]:
-        """Spares that may be needed, so that it should be known whether they are well."""
+        """Returns the spares that may be needed, whose health the head should therefore know."""
         spares = self.spares(now, view)
         is_vacant = any(self._is_vacant(now, member) for member in view.voters)
         places = {member.ip for member in view.voters} | {member.name for member in view.voters}
@@ -118,30 +121,30 @@
         return wanted
 
     def _is_vacant(self, now: float, member: Member) -> bool:
-        """Whether a voter's place may have to be given to a spare."""
+        """Returns whether a voter may have to be replaced by a spare."""
         if self._is_leaving(member) or self._is_stalled(member):
             return True
         return self.silent_s(now, member) >= self._config.failure_timeout_s / 2
 
     def _is_stalled(self, member: Member) -> bool:
-        """Whether a voter answers and its disk takes nothing: it promises nothing either."""
+        """Returns whether a voter answers but its disk is stuck, so that it cannot make promises either."""
         peer = self.peers.get(member.identity)
         if peer is None or peer.report is None:
             return False
         return peer.report.trouble_ms >= self._config.exchange_after_s * 1000
 
     def _is_leaving(self, member: Member) -> bool:
-        """Whether a member has said that its process is about to end."""
+        """Returns whether a member has reported that its process is about to exit."""
         peer = self.peers.get(member.identity)
         return peer is not None and peer.report is not None and peer.report.resigning
 
     def silent_s(self, now: float, member: Member) -> float:
-        """For how long a member has not answered."""
+        """Returns for how long a member has not answered."""
         peer = self.peers.get(member.identity)
         return now - peer.heard if peer is not None else 0.0
 
     def heard(self, now: float, report: Report, epoch: int) -> Peer | None:
-        """A member has answered."""
+        """Records a report; returns its peer, if known."""
         peer = self.peers.get(report.sender)
         if peer is None:
             return None
@@ -156,20 +159,20 @@
         return peer
 
     def mark(self, now: float) -> None:
-        """Note who is not well."""
+        """Updates since when each peer has been healthy."""
         for peer in self.peers.values():
             if not peer.is_well(now, self._config):
                 peer.well_since = None
             elif peer.well_since is not None and now - peer.well_since > CLEAN_AFTER_S:
                 peer.relapses = 0
 
-    # -- the view that all this calls for --
+    # -- the next view --
 
     def plan(
         self, now: float, view: View, settled: bool, lacks_state: Callable[[Peer], bool] = lambda peer: False
     ) -> Plan | None:
-        """The next view, if another one than this is called for. `lacks_state`: whether one is to be handed a
-        long state before it joins the chain."""
+        """Returns the next view if another one than this is needed. `lacks_state`: whether a peer needs a
+        chunked state transfer before it joins the chain."""
         if settled:
             exchange = self._exchange(now, view, lacks_state)
             if exchange is not None:
@@ -177,7 +180,7 @@
         return self._regroup(now, view, lacks_state)
 
     def well_outside(self, now: float, view: View) -> list[Peer]:
-        """Voters outside the chain that answer and whose disks work."""
+        """Returns the voters outside the chain that answer and whose disks work."""
         outside = (self.peers.get(member.identity) for member in view.voters)
         return [
             peer
@@ -189,7 +192,7 @@
         ]
 
     def _regroup(self, now: float, view: View, lacks_state: Callable[[Peer], bool]) -> Plan | None:
-        """The same voters, another chain."""
+        """Returns a plan with the same voters and another chain, if needed."""
         present = {self._me.identity}
         reasons: list[str] = []
         is_fenced = False
@@ -216,8 +219,9 @@
         return Plan(view.epoch, view.voters, frozenset(chain), ", ".join(reasons))
 
     def _long_enough(self, now: float, view: View, fit: set[str], gone: str = "") -> set[str] | None:
-        """A chain of those that are fit, made long enough by others that answer and whose disks work, though
-        they leave or have yet to prove themselves. None if there are too few of them."""
+        """Returns a chain of the fit members, padded to the minimum length with others that answer and whose
+        disks work, though they are leaving or have not been healthy long enough. None if there are too few.
+        """
         chain = set(fit)
         least = least_chain(len(view.voters), self._config.tolerance)
         for member in view.voters:
@@ -236,12 +240,13 @@
         return peer.report.view_epoch == view.epoch or self._is_fenced(now, peer)
 
     def _may_join(self, now: float, peer: Peer, view: View) -> bool:
-        """Whether one outside the chain is to come in: well for a while, and its disk took this view."""
+        """Returns whether a voter outside the chain may join: it has been healthy for a while, and its disk
+        holds this view."""
         report = peer.report
         if report is None or peer.well_since is None or not peer.is_well(now, self._config):
             return False
         if report.trouble_ms >= self._config.failure_timeout_s * 500:
-            return False  # it would hold up everyone, and soon leave again
+            return False  # its slow disk would delay all commands, and it would soon leave again
         if now - peer.well_since < self._config.rejoin_s * 2 ** max(0, peer.relapses - 1):
             return False
         return report.view_epoch == view.epoch or self._is_fenced(now, peer)
@@ -250,10 +255,11 @@
         return peer.fenced_since is not None and now - peer.fenced_since >= FENCED_WAIT_S
 
     def _exchange(self, now: float, view: View, lacks_state: Callable[[Peer], bool]) -> Plan | None:
-        """A spare in the place of a voter that is lost or leaves, one at a time.
+        """Returns a plan that replaces one lost or leaving voter by a spare, if needed.
 
-        One that leaves is exchanged while it still answers: its promise may be needed for that, if another
-        disk is lost at the same moment."""
+        A leaving voter is replaced while it still answers: its promise may be needed for that if another disk
+        is lost at the same time.
+        """
         config = self._config
         fit = [spare for spare in self.spares(now, view) if self._spare_is_fit(now, spare)]
         if not fit:
@@ -281,7 +287,7 @@
             return None
         is_long_enough = len(chain) > least_chain(len(voters), config.tolerance)
         if is_long_enough and lacks_state(self.peers[spare.identity]):
-            chain.discard(spare.identity)  # it has the vote at once, and joins when it has the state
+            chain.discard(spare.identity)  # it votes at once, and joins the chain when it has the state
         return Plan(view.epoch, voters, frozenset(chain), f"{spare.name} in the place of {gone.name}")
 
     def _spare_is_fit(self, now: float, spare: Member) -> bool:
@@ -294,7 +300,8 @@
         return self.silent_s(now, member) >= 2 * self._config.heartbeat_s
 
     def _same_place(self, fit: list[Member], lost: list[Member]) -> tuple[Member, Member] | None:
-        """A machine that has lost its disk, or was put in another's place under its name."""
+        """Returns a pair of a lost voter and a spare in the same machine with another disk, or in another
+        machine under the same name."""
         for gone in lost:
             for spare in fit:
                 if spare.ip == gone.ip or spare.name == gone.name:
@@ -312,7 +319,7 @@
 
     @staticmethod
     def _nearest(fit: list[Member], gone: list[Member]) -> tuple[Member, Member] | None:
-        """The first that goes, and a spare of its zone if there is one."""
+        """Returns the first voter to replace with a spare, of the same zone if possible."""
         if not gone:
             return None
         spare = min(fit, key=lambda member: (member.zone != gone[0].zone, member.identity))
--- a/cloverrouter/coordination/rounds.py
+++ b/cloverrouter/coordination/rounds.py
@@ -1,33 +1,33 @@
-"""Rounds of a head's heartbeats: which of them a majority has answered, and what follows from that."""
+"""Heartbeat rounds of a head: which of them a majority has answered, and the lease that follows from that."""
 
 from __future__ import annotations
 
 from cloverrouter.coordination.effects import ReplicaConfig
 from cloverrouter.coordination.views import View, majority
 
-# Beginnings of older rounds are forgotten: their answers come too late to tell anything.
+# Start times of older rounds are dropped: replies to those come too late to extend the lease.
 KEPT_ROUNDS = 64
 
 
 class Rounds:
-    """The rounds of one headship."""
+    """The heartbeat rounds of one head's epoch."""
 
     def __init__(self, me: str, view: View, config: ReplicaConfig, now: float) -> None:
         """`me` is the head's identity."""
         self.newest = 0
-        self.confirmed = 0  # the newest that a majority of the voters, the head among them, has answered
-        self.followed_at = now  # when that one was begun
+        self.confirmed = 0  # newest round that a majority of the voters, the head included, has answered
+        self.followed_at = now  # start time of that round
         self._me = me
         self._view = view
         self._config = config
         self._begun: dict[int, float] = {}
-        self._answered: dict[str, int] = {}  # the newest round of each voter
-        self._heard_at = now  # as `followed_at`, but a freeze of this process does not count
+        self._answered: dict[str, int] = {}  # newest round answered by each voter
+        self._heard_at = now  # as `followed_at`, but moved forward after a freeze of this process
         self._lead_from: float | None = None
-        self._no_lead_round = 0  # the last in which the others were told not to hold to this head
+        self._no_lead_round = 0  # newest round that told the others not to hold to this head
 
     def begin(self, now: float, is_fit: bool) -> int:
-        """The next round. `is_fit`: the others are to hold to this head. Gives its number."""
+        """Starts the next round and returns its number. `is_fit`: the round extends the head's lease."""
         self.newest += 1
         self._begun[self.newest] = now
         self._begun.pop(self.newest - KEPT_ROUNDS, None)
@@ -38,7 +38,7 @@
         return self.newest
 
     def answered(self, identity: str, number: int) -> None:
-        """A voter that follows has answered a round, and so all before it."""
+        """Records that a voter has answered a round, and thereby all rounds before it."""
         self._answered[identity] = max(number, self._answered.get(identity, 0))
         self._confirm()
 
@@ -59,13 +59,15 @@
 
     @property
     def lead_until(self) -> float | None:
-        """Until when no other can have become head: those that answered promise nothing to others so long."""
+        """Time until which no other replica can become head, as the voters that answered promise nothing to
+        others until then. None without such a lease."""
         return None if self._lead_from is None else self._lead_from + self._config.sticky_s
 
     def has_lost_quorum(self, now: float) -> bool:
-        """Whether a majority has not answered for too long."""
+        """Returns whether no majority has answered for `lost_quorum_s`."""
         return now - self._heard_at > self._config.lost_quorum_s
 
     def forgive(self, now: float) -> None:
-        """The process was frozen: silence says nothing."""
+        """Restarts the lost quorum timeout after a freeze of this process, during which no reply could
+        arrive."""
         self._heard_at = max(self._heard_at, now)
