--- a/tests/system/loss_table.py
+++ b/tests/system/loss_table.py
@@ -1,11 +1,12 @@
-"""Every set of up to three losses at every step of a planned exchange of voters, in the simulated world.
+"""Every set of up to three disk losses at every step of a planned replacement of a voter, in simulation.
 
     python -m tests.system.loss_table [--voters 3 --tolerance 1] [--jobs N]
 
-A newcomer has counted, a voter is told to end, and at one step of the exchange that follows, disks are lost:
-their machines lose power and come back with empty disks. Prints, for each step and number of losses, how
-many sets there are, after how many of them orders are acknowledged again, and those after which none are.
-Whatever the set, the world raises `Violation` where something false is told.
+A spare has been discovered and a voter is told to exit. At one step of the replacement that follows, disks
+are lost: their machines lose power and come back with empty disks. Prints, for each step and number of
+losses, how many sets there are and after how many of them commands are acknowledged again or not, and lists
+the tolerable losses after which none are. Whatever the set, the world raises `Violation` if an invariant is
+broken.
 """
 
 from __future__ import annotations
@@ -40,7 +41,7 @@
 
 @attrs.frozen
 class Case:
-    """Disks lost at one step. `lost`: places of the nodes; the newcomer's is the number of voters."""
+    """Disks lost at one step. `lost`: indices of the nodes; the spare's is the number of voters."""
 
     voters: int
     tolerance: int
@@ -51,25 +52,26 @@
 
 @attrs.frozen
 class Outcome:
-    """What came of a case."""
+    """Result of a case."""
 
     case: Case
     goes_on: bool
     count: int
-    """Machines lost that count: the one that leaves only until its process has ended.
+    """Number of lost machines that count; the leaving one counts only until its process has ended.
 
-    Danger: with it and as many others as may be lost no majority is left until it is exchanged, though its
-    successor has had its time. That can't be helped: who is left can't tell it from a cut, on whose other
-    side the others are a majority."""
+    Limitation: if the leaving machine and as many others as may be lost are lost before the replacement, no
+    majority remains, although the spare has been there long enough. This cannot be avoided: to the remaining
+    machines it looks like a partition on whose other side the others are a majority.
+    """
 
     @property
     def is_borne(self) -> bool:
-        """Whether no more than may be lost at once was lost of what counts then."""
+        """Returns whether the losses that count are within the tolerance."""
         return self.count <= self.case.tolerance
 
 
 def cases(voters: int, tolerance: int, head_leaves: bool = False) -> Iterator[Case]:
-    """All sets of one to three losses at all steps."""
+    """Yields all sets of one to three losses at all steps."""
     for step in STEPS:
         for many in range(1, MOST_LOST + 1):
             for lost in itertools.combinations(range(voters + 1), many):
@@ -78,7 +80,7 @@
 
 @attrs.define
 class _Scene:
-    """An exchange under way."""
+    """A replacement in progress."""
 
     world: World
     head: Node
@@ -109,7 +111,8 @@
 
 
 def exchange_at(case: Case) -> _Scene:
-    """A world in which an exchange is at that step."""
+    """Returns a world in which a replacement has reached the case's step. Raises Unmet if it does not get
+    there."""
     world = World(1, case.voters, case.tolerance)
     world.run(2.0)
     head = leader(world)
@@ -129,10 +132,10 @@
 
 
 def play(case: Case) -> Outcome:
-    """Lose the disks at that step, and see whether orders are acknowledged again."""
+    """Loses the disks at that step, and checks whether commands are acknowledged again."""
     scene = exchange_at(case)
     world = scene.world
-    # The newcomer is asked for by its place behind the voters that were there first.
+    # The spare's index follows those of the initial voters.
     lost = [world.nodes[place] for place in case.lost]
     count = sum(node is not scene.leaver or node.replica is not None for node in lost)
     for node in lost:
@@ -153,7 +156,7 @@
 
 
 def table(outcomes: list[Outcome]) -> str:
-    """The rows of the page: by step and number of losses."""
+    """Returns a Markdown table of the results by step and number of losses."""
     lines = ["| step | machines lost that count | sets | go on | wait |", "| --- | --- | --- | --- | --- |"]
     for step in STEPS:
         found = [outcome for outcome in outcomes if outcome.case.step == step]
@@ -169,7 +172,7 @@
 
 @app.default
 def main(voters: int = 3, tolerance: int = 1, jobs: int = 4, head_leaves: bool = False) -> int:
-    """Plays all cases of a chain and prints the table; 1 if a loss that may be borne is not."""
+    """Plays all cases and prints the table. Returns 1 if commands stop after a tolerable loss."""
     drawn = list(cases(voters, tolerance, head_leaves))
     with ProcessPoolExecutor(jobs) as pool:
         outcomes = list(pool.map(play, drawn, chunksize=8))
--- a/tests/system/lossy_world.py
+++ b/tests/system/lossy_world.py
@@ -1,6 +1,5 @@
-"""A small world for pure cores: a fake clock, links with delay, loss and cuts, machines that stop and start
-again.
-"""
+"""Simulation of pure cores: a fake clock, links with delay, loss and partitions, and machines that stop and
+restart."""
 
 from __future__ import annotations
 
@@ -18,7 +17,7 @@
 
 
 class Core(Protocol):
-    """What the world drives: events with the time in, effects out."""
+    """A pure core driven by the world: events and the time in, effects out."""
 
     def start(self, now: float) -> Iterable[Any]: ...
 
@@ -56,7 +55,7 @@
         heapq.heappush(self._queue, (time, next(self._numbers), action))
 
     def add(self, ip: str, core: Core, after: float = 0.0) -> None:
-        """A machine starts (again) with this core; what an earlier life of it had under way is lost."""
+        """Starts or restarts a machine with this core; anything pending from its earlier process is lost."""
         self._lives[ip] += 1
         life = self._lives[ip]
         self._frozen.discard(ip)
@@ -71,34 +70,35 @@
         self.at(self.now + after, start)
 
     def stop(self, ip: str) -> None:
-        """The machine is gone."""
+        """Stops the machine."""
         self._lives[ip] += 1
         self.cores.pop(ip, None)
 
     def freeze(self, ip: str) -> None:
-        """The machine does nothing until `thaw`; what is sent to it is lost."""
+        """Freezes the machine until `thaw`; messages to it are lost."""
         self._frozen.add(ip)
 
     def thaw(self, ip: str) -> None:
         self._frozen.discard(ip)
 
     def cut(self, *groups: Iterable[str]) -> None:
-        """From now on only machines of the same group reach one another; those named in none reach all."""
+        """Partitions the network: only machines of the same group reach one another; those in no group reach
+        all."""
         self._groups = [set(group) for group in groups]
 
     def join(self) -> None:
-        """All links are whole again."""
+        """Ends all partitions."""
         self._groups = []
 
     def run(self, until: float) -> None:
-        """Moves the clock on to `until`."""
+        """Advances the clock to `until`."""
         while self._queue and self._queue[0][0] <= until:
             self.now, _, action = heapq.heappop(self._queue)
             action()
         self.now = until
 
     def run_until(self, condition: Callable[[], bool], limit: float, step: float = 0.01) -> float:
-        """Moves on until the condition holds; returns how long that took. Fails after `limit` seconds."""
+        """Advances until the condition holds; returns how long that took. Fails after `limit` seconds."""
         start = self.now
         while not condition():
             assert self.now - start < limit, f"not so after {limit} s"
@@ -106,7 +106,7 @@
         return self.now - start
 
     def take(self, ip: str, effects: Iterable[Any]) -> None:
-        """Carries out what the core at `ip` wants."""
+        """Carries out the effects of the core at `ip`."""
         for effect in effects:
             if isinstance(effect, Send):
                 self._send(ip, effect)
@@ -116,7 +116,7 @@
                 self.on_effect(ip, effect)
 
     def seen(self, ip: str, kind: type) -> list[Any]:
-        """The effects of that kind that the machine had."""
+        """Returns the effects of that type that the machine has produced."""
         return [effect for _, at, effect in self.effects if at == ip and isinstance(effect, kind)]
 
     def reaches(self, a: str, b: str) -> bool:
--- a/tests/system/replica_chaos.py
+++ b/tests/system/replica_chaos.py
@@ -1,4 +1,4 @@
-"""Troubled days in the world of replicas, drawn from a seed. By hand:
+"""Randomized fault injection into a simulation of replicas. By hand:
 
 python -m tests.system.replica_chaos --seeds 1000 --first 1 [--trace SEED]
 """
@@ -23,31 +23,31 @@
 )
 TROUBLED_S = 9.0
 STORM_S = 3.0
-# After the last trouble: orders are taken again within this.
+# After the last fault commands must be acknowledged again within this time.
 HEALED_S = 6.0
 
 
 @attrs.define
 class Day:
-    """One world with its troubles."""
+    """One simulation with the faults injected into it."""
 
     world: World
     random: Random
     clients: list[Client]
     count: int
     tolerance: int
-    haste: float = 1.0  # shortens how long troubles last
-    meanness: float = 0.0  # share of messages that draw a trouble
-    kinds: list[Callable[[], None]] = attrs.Factory(list)  # those of this day
+    haste: float = 1.0  # factor on the duration of faults
+    meanness: float = 0.0  # share of messages that trigger a fault
+    kinds: list[Callable[[], None]] = attrs.Factory(list)  # faults enabled in this run
 
     def trouble(self) -> None:
-        """Draw a trouble."""
+        """Injects a random fault."""
         if not self.kinds:
             self.kinds = self.all_kinds()
         self.random.choice(self.kinds)()
 
     def all_kinds(self) -> list[Callable[[], None]]:
-        """All troubles, the likelier more than once."""
+        """Returns all faults; likelier ones occur more than once."""
         return [
             self.kill,
             self.kill,
@@ -73,7 +73,7 @@
         ]
 
     def spite(self, node: Node, effect: Send) -> float:
-        """A message is sent: perhaps it is held up, or one of its two ends goes down at that moment."""
+        """Hook for each message sent: may return a delay for it, or crash one of its two ends at that moment."""
         if isinstance(effect.message, Heartbeat | Report) or self.random.random() >= self.meanness:
             return 0.0
         kind = self.random.random()
@@ -124,7 +124,7 @@
                 self._restart(node, 1.0)
 
     def resign(self) -> None:
-        """A process is told to end: it resigns, and ends a little later."""
+        """Tells a process to exit: it resigns, and ends a little later."""
         node = self._any_running()
         if node is None or node.replica is None:
             return
@@ -148,10 +148,10 @@
         if node is not None:
             self.world.freeze(node, self.haste * self.random.uniform(0.3, 3.0))
 
-    # -- disks that are lost --
+    # -- lost disks --
 
     def _lost_now(self) -> int:
-        """How many lost disks are still voters, as far as any disk knows."""
+        """Returns the number of lost disks that are still voters in any disk's view."""
         known: set[str] = set()
         lost = {disk.stored.identity for disk in self.world.buried}
         for node in self.world.nodes:
@@ -160,12 +160,12 @@
         return len(lost & known)
 
     def _may_lose(self) -> bool:
-        """Fewer disks than may be lost are; and there are enough to lose any."""
+        """Returns whether a further disk loss is tolerable."""
         enough = self.count >= 2 * self.tolerance + 1
         return enough and self._lost_now() < self.tolerance
 
     def wipe(self) -> None:
-        """A disk is lost, sometimes while all others lose power."""
+        """Loses a disk, sometimes while all others lose power."""
         node = self._any_running()
         if node is None or not self._may_lose():
             return
@@ -177,11 +177,11 @@
         self.world.wipe(node)
 
     def replace(self) -> None:
-        """A machine is taken away, and another comes, under its name or another."""
+        """Removes a machine and adds another, under the same or another name."""
         node = self._any_running()
         if node is None or not self._may_lose():
             return
-        self.world.say(f"{node.name} is taken away")
+        self.world.say(f"{node.name} is removed")
         self.world.remove(node)
         name = node.name if self.random.random() < 0.5 else ""
 
@@ -226,9 +226,9 @@
 
     def join(self) -> None:
         self.world.cuts.clear()
-        self.world.say("all links are whole")
+        self.world.say("all partitions end")
 
-    # -- disks in trouble --
+    # -- faulty disks --
 
     def stall(self) -> None:
         self._stall(self._any_running())
@@ -258,13 +258,13 @@
             node.disk.stalled_until = 0.0
             node.disk.slowness = 1.0
             node.disk.full = False
-        self.world.say("all disks are well")
+        self.world.say("all disks are healthy")
 
     # -- the end --
 
     def heal(self) -> None:
-        """All troubles are over."""
-        self.world.say("healed")
+        """Ends all faults."""
+        self.world.say("all faults end")
         self.join()
         self.mend()
         self.world.weather = Weather()
@@ -278,7 +278,7 @@
 
 
 def known_voters(node: Node) -> set[str]:
-    """Voters of the view that a node's disk or process knows."""
+    """Returns the identities of the voters, old ones included, in the view on a node's disk."""
     from cloverrouter.coordination.views import decode_view
 
     view = decode_view(node.disk.stored.meta.view)
@@ -288,13 +288,13 @@
 
 
 def play(seed: int, trace: Callable[[str], None] | None = None, storm: bool = False) -> World:
-    """Play the day of a seed. Raises Violation."""
+    """Runs the simulation of a seed. Raises Violation."""
     return play_storm(seed, trace) if storm else play_day(seed, trace)
 
 
 def play_storm(seed: int, trace: Callable[[str], None] | None = None) -> World:
-    """A day on which hardly anything comes in time, views change all the while, and no figure of the
-    configuration is such that time alone would keep things right."""
+    """Runs a simulation with frequent faults and view changes, and with timeouts too short for correctness to
+    rest on timing alone. Raises Violation."""
     random = Random(f"storm {seed}")
     count, tolerance = random.choice(SIZES)
     failure_timeout_s = random.choice([0.06, 0.15, 0.3])
@@ -320,7 +320,7 @@
         late=random.choice([0.0, 0.0, 0.02, 0.1]),
         twice=random.choice([0.0, 0.1]),
     )
-    if seed % 3 == 0:  # every state is long: it goes in parts to those that are about to join
+    if seed % 3 == 0:  # every state counts as large: it is sent in chunks to members that are about to join
         config["catch_up_bytes"] = 0
     world = World(seed, count, tolerance, weather, config=config, tick_s=0.01)
     world.trace = trace
@@ -333,7 +333,7 @@
     crowd = Crowd(world, random.choice([0.02, 0.1, 10.0, 10.0]), random.choice([1, 6]))
     readers = [Reader(world, node) for node in world.nodes]
     day.meanness = random.choice([0.0, 0.01, 0.03, 0.1])
-    # A few kinds a day: troubles that come seldom together, or undo each other, get their turn.
+    # Only a few kinds of fault per run, so that rare combinations, and faults that others would undo, occur.
     day.kinds = [*random.sample(day.all_kinds(), random.randint(2, 6)), day.join, day.mend]
     pause_s = random.choice([0.1, 0.3, 0.6])
     world.nemesis = day.spite
@@ -350,7 +350,7 @@
 
 
 def play_day(seed: int, trace: Callable[[str], None] | None = None) -> World:
-    """An ordinary bad day."""
+    """Runs a simulation with the default configuration and occasional faults. Raises Violation."""
     random = Random(f"day {seed}")
     count, tolerance = random.choice(SIZES)
     loss = random.choice([0.0, 0.0, 0.01, 0.1])
@@ -373,21 +373,22 @@
 
 
 def check_healed(world: World, clients: list[Client]) -> None:
-    """Orders are taken again, and all that was acknowledged is read."""
+    """Checks that commands are acknowledged again, everything acknowledged is read, and all voters are back
+    in the chain. Raises Violation."""
     for client in clients:
         client.stopped = True
     healed_at = world.now
     probe = Client(world, "probe", pause_s=0.05)
     if not world.run_while(lambda: not probe.done, HEALED_S):
-        raise Violation(f"no order is taken {HEALED_S} s after all is well")
+        raise Violation(f"no command is acknowledged within {HEALED_S} s after the last fault")
     if not world.run_while(lambda: not probe.reads, HEALED_S):
-        raise Violation("nothing is read after all is well")
+        raise Violation(f"no read is answered within {HEALED_S} s after the last fault")
     world.healed_s = world.now - healed_at
     probe.stopped = True
     world.run(4.0)
     head = world.head()
     if head is None or head.replica is None:
-        raise Violation("there is no head after all is well")
+        raise Violation("there is no head after the last fault")
     view = head.replica.view_info
     assert view is not None
     if len(view.chain) != len(view.voters):
@@ -399,7 +400,7 @@
 
 
 def main() -> None:
-    parser = argparse.ArgumentParser(description="Play troubled days.")
+    parser = argparse.ArgumentParser(description="Runs simulations with random faults.")
     parser.add_argument("--seeds", type=int, default=200)
     parser.add_argument("--first", type=int, default=1)
     parser.add_argument("--trace", type=int)
@@ -416,7 +417,7 @@
             failed += 1
             place = traceback.extract_tb(error.__traceback__)[-1]
             print(f"seed {seed}: {type(error).__name__}: {error} ({place.name}:{place.lineno})", flush=True)
-    print(f"{arguments.seeds} days, {failed} failed")
+    print(f"{arguments.seeds} runs, {failed} failed")
 
 
 if __name__ == "__main__":
--- a/tests/system/replica_faults.py
+++ b/tests/system/replica_faults.py
@@ -1,4 +1,4 @@
-"""Faults put into the replica, or its disk, on purpose: the world has to find each. By hand:
+"""Faults injected into the replica or its disk; the simulation has to detect each. By hand:
 
 python -m tests.system.replica_faults [--seeds 400] [NAME ...]
 """
@@ -35,21 +35,21 @@
 
 _evolve: Any = (
     attrs.evolve
-)  # messages are attrs classes by a decorator that the type checker can't see through
+)  # messages become attrs classes through a decorator that the type checker does not see through
 
 FAULTS: dict[str, Callable[[], Any]] = {}
 
 
 def fault(function: Callable[[], Any]) -> Callable[[], Any]:
-    """Register a fault under its function's name."""
+    """Registers a fault under its function's name."""
     FAULTS[function.__name__.replace("_", " ")] = function
     return function
 
 
 @contextmanager
 def whole_states() -> Iterator[None]:
-    """No fault: heads always hand over the whole state. That a state handed over in part has to fit what is
-    there hides some faults."""
+    """Makes heads always send the whole state, which is no fault. Partial states must match the receiver's
+    state, and that check hides some faults."""
     original = Head._install_for
 
     def whole(self: Head, identity: str) -> Any:
@@ -564,7 +564,7 @@
 
 
 def find(name: str, seeds: Iterable[int]) -> str | None:
-    """What shows a fault first: a scripted race, or a storm."""
+    """Returns what detects a fault first, a scripted race or a storm; None if nothing does."""
     with FAULTS[name]():
         for scenario, seed in itertools.product(SCENARIOS, SCENARIO_SEEDS):
             try:
@@ -582,7 +582,7 @@
 
 
 def main() -> None:
-    parser = argparse.ArgumentParser(description="Look for seeded faults.")
+    parser = argparse.ArgumentParser(description="Searches for injected faults.")
     parser.add_argument("names", nargs="*")
     parser.add_argument("--seeds", type=int, default=400)
     arguments = parser.parse_args()
--- a/tests/system/replica_scenarios.py
+++ b/tests/system/replica_scenarios.py
@@ -1,4 +1,4 @@
-"""Scripted races among replicas: each is a few milliseconds that random days hardly ever meet."""
+"""Scripted races among replicas: each is a window of a few milliseconds that random runs rarely meet."""
 
 from __future__ import annotations
 
@@ -13,7 +13,8 @@
 from tests.system.replica_chaos import check_healed
 from tests.system.replica_world import Client, Node, Reader, Violation, World
 
-# Members that can't hear the head stand up soon, and nobody waits for a head that was heard a moment ago.
+# Members that cannot hear the head start an election early, and no promise is withheld for a head heard
+# recently.
 RASH = {
     "sticky_s": 0.0,
     "failure_timeout_s": 0.3,
@@ -23,32 +24,32 @@
 }
 
 
-# A machine that was added, or is back, counts after so long.
+# Time after which a machine that was added or has returned takes part.
 COUNTS_AFTER_S = 4.0
 LEAVES_WITHIN_S = 4.0
 
 
 class Unmet(AssertionError):
-    """A race did not come to its point: it shows nothing."""
+    """The situation of a race did not arise, so the run shows nothing."""
 
 
 def leader(world: World) -> Node:
-    """The node that leads. Raises Unmet if there is none."""
+    """Returns the head's node. Raises Unmet if there is none."""
     head = world.head()
     if head is None:
-        raise Unmet("nobody leads")
+        raise Unmet("there is no head")
     return head
 
 
 def cut(world: World, ones: list[Node], others: list[Node]) -> None:
-    """Cut two groups from each other."""
+    """Partitions two groups from each other."""
     for one in ones:
         for other in others:
             world.cuts |= {(one.ip, other.ip), (other.ip, one.ip)}
 
 
 def order(world: World, node: Node, name: str) -> Callable[[], bool]:
-    """Send an order to a node; what is given tells whether it was acknowledged."""
+    """Sends a command to a node; the returned function tells whether it was acknowledged."""
     answers: list[Answer] = []
 
     def on_answer(answer: Answer) -> None:
@@ -62,13 +63,13 @@
 
 
 def run_to(world: World, condition: Callable[[], bool], most_s: float, what: str) -> None:
-    """Run until a condition holds. Raises Unmet if it does not in time."""
+    """Runs until a condition holds. Raises Unmet if it does not in time."""
     if not world.run_while(lambda: not condition(), most_s):
         raise Unmet(f"{what} not within {most_s} s")
 
 
 def settle(world: World) -> None:
-    """All is well again: orders are taken, and what was acknowledged is read."""
+    """Ends all faults, then checks that commands are acknowledged and what was acknowledged is read."""
     world.cuts.clear()
     world.nemesis = None
     for node in world.nodes:
@@ -77,12 +78,12 @@
 
 
 def two_and_an_excluded(world: World) -> tuple[Node, Node, Node]:
-    """Head, follower, and a third that is outside the chain and hears the head no more."""
+    """Returns the head, a follower, and a third node that is outside the chain and cannot hear the head."""
     world.run(2.0)
     head = leader(world)
     follower, third = [node for node in world.nodes if node is not head]
     third.disk.stalled_until = world.now + 1.5
-    run_to(world, order(world, head, "first"), 5.0, "an order without the third")
+    run_to(world, order(world, head, "first"), 5.0, "a command without the third")
     view = head.replica.view_info if head.replica is not None else None
     if view is None or third.member in view.chain:
         raise Unmet("the third is still in the chain")
@@ -91,8 +92,8 @@
 
 
 def an_order_reaches_a_member_that_has_promised_more(seed: int) -> None:
-    """The head forwards to a member that has just promised a higher epoch to another and has handed over its
-    state; the other's view is late."""
+    """The head forwards to a member that has just promised a higher epoch to another replica and sent it its
+    state; the other's view is delayed."""
     world = World(seed, 3, 1, config=RASH)
     head, follower, third = two_and_an_excluded(world)
     handed: list[float] = []
@@ -103,14 +104,14 @@
         return 0.1 if node is third and isinstance(effect.message, Install) else 0.0
 
     world.nemesis = watch
-    run_to(world, lambda: bool(handed), 5.0, "the third has promise and state")
+    run_to(world, lambda: bool(handed), 5.0, "the third has the promise and the state")
     order(world, head, "late")
     run_to(world, lambda: world.head() is third, 5.0, "the third as head")
     settle(world)
 
 
 def a_member_loses_power_when_it_has_promised(seed: int) -> None:
-    """The same, and the member, whose disk is slow, loses power in that moment and is back at once."""
+    """As above, but the member, whose disk is slow, loses power at that moment and restarts at once."""
     world = World(seed, 3, 1, config=RASH)
     head, follower, third = two_and_an_excluded(world)
     follower.disk.slowness = 20.0
@@ -128,7 +129,7 @@
         return 0.1 if node is third and isinstance(effect.message, Install) else 0.0
 
     world.nemesis = watch
-    run_to(world, lambda: bool(handed), 5.0, "the third has promise and state")
+    run_to(world, lambda: bool(handed), 5.0, "the third has the promise and the state")
     run_to(world, lambda: follower.replica is None, 1.0, "the loss of power")
     run_to(world, lambda: follower.replica is not None, 1.0, "the member is back")
     order(world, head, "late")
@@ -137,7 +138,7 @@
 
 
 def the_old_voters_go_on_while_an_exchange_is_under_way(seed: int) -> None:
-    """A voter is exchanged; head and newcomer are cut from the rest, and the lost one comes back there."""
+    """A voter is replaced; head and spare are partitioned from the rest, where the replaced voter returns."""
     world = World(seed, 3, 1)
     world.run(2.0)
     head = leader(world)
@@ -154,14 +155,14 @@
 
     world.nemesis = watch
     client = Client(world, "operator", pause_s=0.05)
-    run_to(world, lambda: bool(world.cuts), 5.0, "the exchange")
+    run_to(world, lambda: bool(world.cuts), 5.0, "the replacement")
     world.run(4.0)
     client.stopped = True
     settle(world)
 
 
 def a_second_proposer_in_the_same_moment(seed: int) -> None:
-    """Both followers propose at once when the head goes, and their questions cross."""
+    """Several followers start an election at once when the head is lost, and their requests cross."""
     world = World(seed, 5, 2, config=RASH | {"rank_delay_s": 0.0, "jitter_s": 0.001})
     world.run(2.0)
     client = Client(world, "operator", pause_s=0.02)
@@ -176,7 +177,7 @@
 
 
 def a_member_hears_the_head_no_more_and_the_others_do(seed: int) -> None:
-    """A cut between two of five: the head stays, without the one that can't hear it."""
+    """A partition between two of five: the head stays, without the member that cannot hear it."""
     world = World(seed, 5, 2)
     world.run(2.0)
     head = leader(world)
@@ -186,33 +187,34 @@
     world.run(5.0)
     client.stopped = True
     if leader(world) is not head:
-        raise Violation("a head that the others hear has lost its place")
+        raise Violation("a head that the other members hear was replaced")
     settle(world)
 
 
 def a_head_that_is_cut_off_is_asked(seed: int) -> None:
-    """The others go on without it, and it still takes itself for the head."""
+    """The others continue without a partitioned head, which still considers itself the head and must not
+    answer reads."""
     world = World(seed, 3, 1, config={"lost_quorum_s": 10.0})
     world.run(2.0)
     head = leader(world)
     others = [node for node in world.nodes if node is not head]
-    run_to(world, order(world, head, "first"), 2.0, "an order")
+    run_to(world, order(world, head, "first"), 2.0, "a command")
     cut(world, [head], others)
     run_to(world, lambda: world.head() in others, 3.0, "another head")
-    run_to(world, order(world, leader(world), "second"), 2.0, "an order at the new head")
+    run_to(world, order(world, leader(world), "second"), 2.0, "a command at the new head")
     Reader(world, head)
     world.run(1.0)
     settle(world)
 
 
 def a_wiped_machine_and_one_that_was_away_are_alone(seed: int) -> None:
-    """Two of three are there, and neither knows what was acknowledged."""
+    """Two of three are running, and neither has what was acknowledged: they must not elect a head."""
     world = World(seed, 3, 1)
     world.run(2.0)
     head = leader(world)
     follower, away = [node for node in world.nodes if node is not head]
     world.kill(away, power=True)
-    run_to(world, order(world, head, "first"), 3.0, "an order of two")
+    run_to(world, order(world, head, "first"), 3.0, "a command with two members")
     world.kill(head, power=True)
     world.kill(follower, power=True)
     world.wipe(head)
@@ -222,14 +224,14 @@
     world.run(3.0)
     client.stopped = True
     if world.head() is not None:
-        raise Violation("two that know nothing lead")
+        raise Violation("two replicas without the acknowledged updates elected a head")
     world.start(follower)
     world.run(3.0)
     settle(world)
 
 
 def a_view_comes_after_the_next(seed: int) -> None:
-    """A head hands its view to a member too late: another head's view is in force there already."""
+    """A head's view reaches a member late, when another head's view is already in force there."""
     world = World(seed, 3, 1)
     world.run(2.0)
     first = leader(world)
@@ -243,10 +245,10 @@
         return 0.0
 
     third = next(node for node in world.nodes if node not in (first, follower))
-    third.disk.full = True  # it leaves the chain, so that a view is handed out
+    third.disk.full = True  # it leaves the chain, so that a new view is sent
     order(world, first, "first")
     world.nemesis = hold
-    run_to(world, lambda: bool(late), 3.0, "a view is handed out")
+    run_to(world, lambda: bool(late), 3.0, "a view is sent")
     world.kill(first, power=True)
     third.disk.full = False
     run_to(world, lambda: world.head() is not None, 3.0, "another head")
@@ -259,7 +261,8 @@
 
 
 def a_voter_starts_again_that_has_promised_the_head_nothing(seed: int) -> None:
-    """Its disk has taken no promise since the head before, and that one asks for it at once."""
+    """The voter's disk has stored no promise since the previous head, which asks for a promise right after
+    the voter's restart."""
     world = World(seed, 3, 1, config={"gather_s": 0.01, "retry_s": 0.05})
     world.run(2.0)
     before = leader(world)
@@ -283,8 +286,8 @@
 
 
 def the_oldest_disks_are_lost_while_replaced_voters_leave(seed: int) -> None:
-    """A planned replacement: the newcomers first, long enough to count; then the others are told to end, and
-    as many disks as may be lost, the oldest, are lost in that second."""
+    """Planned replacement: spares run long enough to take part, then other voters are told to exit, and as
+    many of the oldest disks as are tolerable are lost right then."""
     for (count, tolerance), lost_after_s in itertools.product(((3, 1), (5, 2)), (0.0, 0.4)):
         world = World(seed, count, tolerance)
         leave_and_lose(world, tolerance, head_leaves=seed % 4 == 1, lost_after_s=lost_after_s)
@@ -293,18 +296,20 @@
 def leave_and_lose(
     world: World, many: int, head_leaves: bool, lost_after_s: float, same_name: bool = False
 ) -> None:
-    """So many voters leave whose successors are there, and so many of the oldest disks are lost then."""
+    """Tells `many` voters with running successors to exit, and then loses as many of the oldest disks. Raises
+    Violation if they do not exit in time."""
     world.run(2.0)
     head = leader(world)
     others = [node for node in world.nodes if node is not head]
     voters = [head, *others] if head_leaves else [*others, head]
     leavers, oldest = voters[:many], voters[-many:]
-    run_to(world, order(world, head, "first"), 2.0, "an order")
+    run_to(world, order(world, head, "first"), 2.0, "a command")
     for leaver in leavers:
         world.add_node(place=world.nodes.index(leaver), name=leaver.name if same_name else "")
     world.run(COUNTS_AFTER_S)
     for leaver in leavers:
-        leaver.disk.slowness = 20.0  # that it has stored the view without it comes a moment after the view
+        # its acknowledgement of the view without it arrives a moment after the view
+        leaver.disk.slowness = 20.0
         world.leave(leaver)
     world.run(lost_after_s)
     for node in oldest:
@@ -313,7 +318,7 @@
         world.wipe(node)
         world.start(node, 1.0)
     if not world.run_while(lambda: any(node.replica for node in leavers), LEAVES_WITHIN_S):
-        raise Violation(f"voters whose successors are there have not left within {LEAVES_WITHIN_S} s")
+        raise Violation(f"voters with running successors did not exit within {LEAVES_WITHIN_S} s")
     for leaver in leavers:
         world.remove(leaver)
     world.run(COUNTS_AFTER_S)
@@ -321,8 +326,8 @@
 
 
 def the_chain_is_short_and_the_third_has_relapsed(seed: int) -> None:
-    """A member that has often left the chain is well again and waits to come back; a disk of the two in the
-    chain is lost then. The third is needed at once: one copy is too few, and orders wait."""
+    """A member that has often left the chain is healthy again and waits to rejoin when one of the two disks
+    in the chain is lost. The member is needed at once: one copy is too few, and commands wait."""
     world = World(seed, 3, 1)
     world.run(2.0)
     head = leader(world)
@@ -333,37 +338,38 @@
         run_to(world, lambda: third.member not in chain_of(world), 3.0, "the third out of the chain")
         run_to(world, lambda: third.member in chain_of(world), 9.0, "the third back in the chain")
     third.disk.stalled_until = world.now + 1.5
-    run_to(world, order(world, leader(world), "two"), 3.0, "an order of two")
+    run_to(world, order(world, leader(world), "two"), 3.0, "a command with two members")
     run_to(world, lambda: third.member not in chain_of(world), 3.0, "the third out of the chain")
-    run_to(world, lambda: world.now > third.disk.stalled_until + 0.2, 3.0, "the third's disk is well")
+    run_to(world, lambda: world.now > third.disk.stalled_until + 0.2, 3.0, "the third's disk is healthy")
     lost = follower if leader(world) is head else head
     world.kill(lost, power=True)
     world.wipe(lost)
-    world.run(0.8)  # its silence is noticed
+    world.run(0.8)  # until its silence is detected
     acknowledged = order(world, leader(world), "late")
     if not world.run_while(lambda: not acknowledged(), 1.0):
-        raise Violation("a member that is well is not taken into a chain that is too short")
+        raise Violation("a healthy member does not join a chain that is too short")
     world.start(lost)
     settle(world)
 
 
 def chain_of(world: World) -> tuple[Member, ...]:
-    """The chain as its head knows it; empty if nobody leads."""
+    """Returns the chain as known to its head; empty without a head."""
     head = world.head()
     view = head.replica.view_info if head is not None and head.replica is not None else None
     return view.chain if view is not None else ()
 
 
 def the_old_voters_know_nothing_of_an_exchange(seed: int) -> None:
-    """Two of five have promised and have yet to come back into the chain. The head exchanges a third that is
-    only cut off from it, and the two hear of the new view too late: these three are a majority of before."""
+    """Two of five have promised but not yet rejoined the chain. The head replaces a third that is only
+    partitioned from it, and the two learn of the new view too late: these three are a majority of the old
+    voters."""
     world = World(seed, 5, 2, config={"rejoin_s": 5.0})
     world.run(2.0)
     head = leader(world)
     second, third, *slow = [node for node in world.nodes if node is not head]
     for node in slow:
         node.disk.stalled_until = world.now + 1.5
-    run_to(world, order(world, head, "first"), 3.0, "an order without the slow ones")
+    run_to(world, order(world, head, "first"), 3.0, "a command without the slow ones")
     run_to(world, lambda: len(chain_of(world)) == 3, 3.0, "the slow ones out of the chain")
     world.run(1.0)
     spare = world.add_node(place=1, name=third.name)
@@ -376,24 +382,25 @@
         return 9.0 if is_new and effect.ip in {node.ip for node in slow} else 0.0
 
     world.nemesis = hold
-    run_to(world, lambda: spare.member in voters_at(head), 3.0, "the exchange")
+    run_to(world, lambda: spare.member in voters_at(head), 3.0, "the replacement")
     client = Client(world, "operator", pause_s=0.05)
     world.run(1.0)
     cut(world, [head, second, spare], slow)
     world.run(3.0)
     client.stopped = True
     world.cuts.clear()
-    world.run(9.0)  # those that have yet to prove themselves do
+    world.run(9.0)  # until those two may rejoin the chain
     settle(world)
 
 
 def a_second_exchange_before_the_first_is_in_force(seed: int) -> None:
-    """A voter is exchanged, its successor does not get the state, and a second voter says that it leaves."""
+    """A voter is replaced, its successor does not receive the state, and a second voter reports that it
+    leaves."""
     world = World(seed, 3, 1)
     world.run(2.0)
     head = leader(world)
     second, third = [node for node in world.nodes if node is not head]
-    run_to(world, order(world, head, "first"), 3.0, "an order")
+    run_to(world, order(world, head, "first"), 3.0, "a command")
     spare = world.add_node(place=1)
     world.run(0.5)
     cut(world, [head, spare], [third])
@@ -406,7 +413,7 @@
         return 9.0 if is_new and effect.ip == second.ip else 0.0
 
     world.nemesis = hold
-    run_to(world, lambda: voters_at(head) > {spare.member}, 3.0, "the first exchange is begun")
+    run_to(world, lambda: voters_at(head) > {spare.member}, 3.0, "the start of the first replacement")
     other = world.add_node(place=2)
     world.run(0.5)
     if second.replica is not None:
@@ -422,13 +429,14 @@
 
 
 def voters_at(node: Node) -> set[Member]:
-    """The voters of the view that a node knows."""
+    """Returns the voters of the view that a node knows."""
     view = node.replica.view_info if node.replica is not None else None
     return set(view.voters) if view is not None else set()
 
 
 def a_voter_starts_again_while_its_head_is_sure(seed: int) -> None:
-    """A third that can't hear the head asks a voter that has answered the head and starts again at once."""
+    """A third that cannot hear the head asks for the promise of a voter that has just answered the head and
+    then restarted."""
     world = World(seed, 3, 1, config={"retry_s": 0.02, "jitter_s": 0.01})
     world.run(2.0)
     head = leader(world)
@@ -445,7 +453,8 @@
 
 
 def a_head_that_leaves_hears_nothing_more(seed: int) -> None:
-    """It says that it leaves, is answered, and then nobody reaches it: another is head at once."""
+    """The head reports that it leaves, gets replies, and then receives nothing more: another becomes head at
+    once."""
     world = World(seed, 3, 1)
     world.run(2.0)
     head = leader(world)
@@ -462,19 +471,19 @@
 
 
 def a_head_takes_up_a_newer_state_than_its_own(seed: int) -> None:
-    """Head and one member have an order that the others never saw; these went on under another head. The
-    first one leads again: the state of that member is no beginning of the newest one."""
+    """The head and one member have a command that the others never received; these continued under another
+    head. When the first head leads again, that member's state is no prefix of the newest one."""
     world = World(seed, 5, 2, config={"lost_quorum_s": 10.0})
     world.run(2.0)
     head = leader(world)
-    run_to(world, order(world, head, "first"), 2.0, "an order")
+    run_to(world, order(world, head, "first"), 2.0, "a command")
     partner, *others = [node for node in world.nodes if node is not head]
     cut(world, [head, partner], others)
     order(world, head, "never acknowledged")
     run_to(world, lambda: world.head() in others, 3.0, "another head")
     second = leader(world)
     for number in range(3):
-        run_to(world, order(world, second, f"second-{number}"), 2.0, "an order at the other head")
+        run_to(world, order(world, second, f"second-{number}"), 2.0, "a command at the other head")
     world.kill(second, power=True)
     world.cuts.clear()
     client = Client(world, "operator", pause_s=0.05)
@@ -485,7 +494,7 @@
 
 
 def a_head_that_is_cut_off_says_so(seed: int) -> None:
-    """An order at a head that the others hear no more is given back soon: whoever sent it asks elsewhere."""
+    """A command at a partitioned head fails soon, so that its sender retries elsewhere."""
     world = World(seed, 3, 1)
     world.run(2.0)
     head = leader(world)
@@ -494,13 +503,13 @@
     command = json.dumps({"id": "late", "expect": None, "value": "late"}).encode()
     world.submit(head, command, answers.append)
     if not world.run_while(lambda: not answers, 1.5) or answers[0].outcome is Outcome.DONE:
-        raise Violation("a head that is cut off keeps an order for more than 1.5 s, or confirms it")
+        raise Violation("a partitioned head holds a command for more than 1.5 s, or confirms it")
     settle(world)
 
 
 def a_state_handed_over_is_lost_before_it_is_stored(seed: int) -> None:
-    """The head hands a member an update that no other disk holds. The head's disk is lost, the member loses
-    power before it has stored the update; the number then is another one's."""
+    """The head sends a member an update that no other disk holds. The head's disk is lost, and the member
+    loses power before it has stored the update; its sequence number is then used for another update."""
     world = World(seed, 3, 1)
     world.run(2.0)
     head = leader(world)
@@ -530,19 +539,20 @@
     world.cuts.clear()
     cut(world, [third], [head, follower])
     world.start(head)
-    run_to(world, lambda: bool(handed), 3.0, "the state is handed over")
+    run_to(world, lambda: bool(handed), 3.0, "the state is sent")
     run_to(world, lambda: follower.replica is None, 1.0, "the loss of power")
     world.cuts.clear()
     world.nemesis = None
     world.start(follower)
     run_to(world, lambda: world.head() is not None, 5.0, "a head")
-    run_to(world, order(world, leader(world), "other"), 5.0, "another order")
+    run_to(world, order(world, leader(world), "other"), 5.0, "another command")
     world.start(head)
     settle(world)
 
 
 def all_freeze_and_wake(seed: int) -> None:
-    """Nobody has been silent: the same head leads on, with all, and takes an order at once."""
+    """After a freeze of all replicas none counts as silent: the same head continues with the same chain, and
+    acknowledges a command at once."""
     world = World(seed, 3, 1)
     world.run(2.0)
     head, before = leader(world), chain_of(world)
@@ -551,7 +561,7 @@
     world.run(2.0)
     run = order(world, head, "late")
     if not world.run_while(lambda: not run(), 0.2) or chain_of(world) != before:
-        raise Violation("a head that was frozen with all others does not lead on")
+        raise Violation("a head that was frozen with all others does not continue")
     settle(world)
 
 
--- a/tests/system/replica_times.py
+++ b/tests/system/replica_times.py
@@ -1,9 +1,9 @@
-"""How long fail-over takes in the simulated world. By hand:
+"""Measures fail-over times in simulation. By hand:
 
     python -m tests.system.replica_times [--seeds 100]
 
-For each trouble: from the trouble until an order that is sent at that moment is acknowledged; median and
-worst over the seeds.
+For each fault: the time from the fault until a command sent at that moment is acknowledged; median and worst
+over the seeds.
 """
 
 from __future__ import annotations
@@ -16,14 +16,14 @@
 
 
 def head_of(world: World) -> Node:
-    """The node that leads."""
+    """Returns the head's node."""
     head = world.head()
     assert head is not None
     return head
 
 
 def other_of(world: World) -> Node:
-    """One that follows."""
+    """Returns a node other than the head's."""
     head = head_of(world)
     return next(node for node in world.nodes if node is not head)
 
@@ -104,19 +104,20 @@
 
 
 def time_of(trouble: Callable[[World], None], seed: int, count: int, tolerance: int) -> float:
-    """Seconds from a trouble to the first acknowledgement of an order sent at that moment."""
+    """Returns the seconds from a fault to the acknowledgement of a command sent at that moment."""
     world = World(seed, count, tolerance)
     world.run(3.0 + world.random.random())
     trouble(world)
     begun = world.now
     client = Client(world, "operator", pause_s=0.001, patience_s=0.5, read_share=0.0, wary=True)
     if not world.run_while(lambda: not client.done, 20.0):
-        raise TimeoutError(f"no order in 20 s, seed {seed}")
+        raise TimeoutError(f"no command was acknowledged within 20 s, seed {seed}")
     return world.now - begun
 
 
 def exchange_time(seed: int, count: int, tolerance: int, head: bool, same_name: bool) -> float:
-    """Seconds from a machine's being taken away and another's start to the view that has it as a voter."""
+    """Returns the seconds from the removal of a machine, with another started at once, to the view whose
+    chain has the new one."""
     world = World(seed, count, tolerance)
     world.run(3.0 + world.random.random())
     lost = head_of(world) if head else other_of(world)
@@ -130,7 +131,7 @@
         return view is not None and spare.member in view.chain
 
     if not world.run_while(lambda: not is_voter(), 20.0):
-        raise TimeoutError(f"no exchange in 20 s, seed {seed}")
+        raise TimeoutError(f"the voter was not replaced within 20 s, seed {seed}")
     return world.now - begun
 
 
@@ -139,7 +140,7 @@
 
 
 def main() -> None:
-    parser = argparse.ArgumentParser(description="Fail-over times in the simulated world.")
+    parser = argparse.ArgumentParser(description="Measures fail-over times in simulation.")
     parser.add_argument("--seeds", type=int, default=60)
     seeds = range(parser.parse_args().seeds)
     for count, tolerance in ((3, 1), (5, 2), (8, 2)):
--- a/tests/system/replica_world.py
+++ b/tests/system/replica_world.py
@@ -1,8 +1,8 @@
-"""A seeded world of replicas: their network, disks, processes and clients on one simulated clock.
+"""Seeded simulation of replicas: their network, disks, processes and clients on one simulated clock.
 
-Everything that a day may bring is here: messages late, lost or cut off one way or both, disks that are slow,
-stall, fill up or lose what was not synced, processes killed, frozen and started again, disks wiped, machines
-replaced. The world checks at every step what must hold whatever happens; see `Ledger`.
+Faults: messages late, lost, duplicated or partitioned in one or both directions; disks that are slow, stall,
+fill up or lose what was not synced; processes killed, frozen and restarted; disks wiped; machines replaced.
+Invariants are checked at every step; see `Ledger`.
 """
 
 from __future__ import annotations
@@ -43,19 +43,19 @@
 TICK_S = 0.05
 DISCOVERY_S = 0.4
 FILE_BYTES = 8 * 1024 * 1024
-STALL_LOOK_S = 0.02  # how often a write looks whether its disk still stalls
+STALL_LOOK_S = 0.02  # interval at which a write checks whether its disk still stalls
 KEPT_DIGESTS = 64
-LEAST_LEAVE_S = 0.3  # a process that was told to end looks so long whether anything is left to do,
-MOST_LEAVE_S = 7.3  # and ends then in any case
+LEAST_LEAVE_S = 0.3  # a process that was told to exit runs at least this long,
+MOST_LEAVE_S = 7.3  # and at most this long
 ZONES = ("east", "north", "west")
 
 
 class Violation(AssertionError):
-    """Something that must always hold did not."""
+    """An invariant was broken."""
 
 
 class Register:
-    """The state machine of the tests: a value, its version, and the orders that led there."""
+    """The state machine of the tests: a value, its version, and the versions of recent commands by their id."""
 
     kept_digests = KEPT_DIGESTS
 
@@ -97,20 +97,21 @@
 
 @attrs.define
 class Ledger:
-    """What must hold in the whole world.
+    """Checks the invariants of the whole simulation.
 
-    - One order: an update's number has one content, at all replicas, for ever.
+    - An update's sequence number has one content, at all replicas, for ever.
     - Nothing acknowledged is lost, and it is on enough disks when it is acknowledged.
     - Two views in force never have the same epoch and different content.
-    - A replica's committed state goes forward only, without gaps, during its process's life.
-    - A read tells nothing older than what was acknowledged before it began.
-    - No two replicas are sure at the same time that no other is head.
+    - A replica's committed state only moves forward, without gaps, while its process runs.
+    - A read returns nothing older than what was acknowledged before it started.
+    - No two replicas hold a lease as head at the same time.
     """
 
-    log: dict[int, bytes] = attrs.Factory(dict)  # committed updates
-    orders: dict[int, str] = attrs.Factory(dict)  # the order behind each, also those seen in states only
-    states: dict[int, bytes] = attrs.Factory(dict)  # committed states, by the same numbers
-    acknowledged: int = 0  # newest update that a client knows of
+    log: dict[int, bytes] = attrs.Factory(dict)  # committed updates by sequence number
+    # command id by sequence number, also of those seen in states only
+    orders: dict[int, str] = attrs.Factory(dict)
+    states: dict[int, bytes] = attrs.Factory(dict)  # committed states by sequence number
+    acknowledged: int = 0  # newest update acknowledged to a client
     active: dict[int, View] = attrs.Factory(dict)
 
     def committed(self, seq: int, update: bytes) -> None:
@@ -120,17 +121,17 @@
         self.order(seq, self.order_of(update))
 
     def order_of(self, update: bytes) -> str:
-        """The order behind an update."""
+        """Returns the id of an update's command."""
         return str(json.loads(update)["id"])
 
     def orders_of(self, state: bytes) -> dict[str, int]:
-        """The orders that led to a state, with the numbers of their updates."""
+        """Returns the command ids in a state, with the sequence numbers of their updates."""
         return dict(json.loads(state)[2])
 
     def order(self, seq: int, order: str) -> None:
         known = self.orders.setdefault(seq, order)
         if known != order:
-            raise Violation(f"update {seq} is of order {order} and of {known}")
+            raise Violation(f"update {seq} belongs to command {order} and to {known}")
 
     def state(self, seq: int, state: bytes) -> None:
         known = self.states.setdefault(seq, state)
@@ -140,10 +141,10 @@
             self.order(number, order)
 
     def lead(self, now: float, untils: dict[str, float]) -> None:
-        """Until when each node says that surely no other is head."""
+        """Checks the leases, which are given by node name."""
         sure = [name for name, until in untils.items() if until > now]
         if len(sure) > 1:
-            raise Violation(f"{' and '.join(sure)} are both sure to be the only head")
+            raise Violation(f"{' and '.join(sure)} both hold a lease as head")
 
     def view_in_force(self, view: Any) -> None:
         chain = tuple(member.identity for member in view.chain)
@@ -153,7 +154,7 @@
 
 
 class Disk:
-    """A disk: what is synced, and its troubles."""
+    """A simulated disk: what is synced, and its faults."""
 
     def __init__(self, adoptable: bool, random: Random) -> None:
         self.random = random
@@ -162,35 +163,36 @@
         self.stalled_until = 0.0
         self.full = False
         self.slowness = 1.0
-        self.since = 0.0  # when it was put in
-        self.syncs = True  # False: a fault on purpose, of a store that does not sync
-        self.held: dict[int, bytes] = {}  # updates that were ever durable here
+        self.since = 0.0  # time of installation
+        self.syncs = True  # False: injected fault of a store that does not sync
+        self.held: dict[int, bytes] = {}  # all updates that have ever been durable here
         self.file: ReplicaStore | None = None
         self._unsynced: StoredReplica | None = None
 
     def sync_s(self) -> float:
-        """How long a write takes while the disk does not stall."""
+        """Returns the duration of a write while the disk does not stall."""
         return self.random.uniform(0.001, 0.004) * self.slowness
 
     def keep_in(self, directory: Path, max_bytes: int) -> None:
-        """Keep what is stored in a real file, too, and read it from there at each start."""
+        """Keeps what is stored in a real file as well, which each start reads."""
         self.file = ReplicaStore.open(directory, max_bytes)
         identity = self.file.load(self.stored.meta.adoptable).identity
         self.file.write(Record(meta=self.stored.meta))
         self.stored = attrs.evolve(self.stored, identity=identity)
 
     def load(self) -> StoredReplica:
-        """What a process finds at its start."""
+        """Returns what a process finds when it starts. Raises Violation if the file differs from what was
+        written."""
         if self.file is None:
             return self.stored
         self.file.close()
         found = attrs.evolve(self.file.load(), fresh=False)
         if found != self.stored:
-            raise Violation("the file holds something else than was written")
+            raise Violation("the file differs from what was written")
         return found
 
     def store(self, record: Record) -> None:
-        """A write is done."""
+        """Completes a write."""
         if self.file is not None:
             self.file.write(record)
         before = self._unsynced or self.stored
@@ -203,17 +205,17 @@
             self._unsynced = after
 
     def lose_power(self) -> None:
-        """What was not synced is gone."""
+        """Drops what was not synced."""
         self._unsynced = None
 
     def end_process(self) -> None:
-        """What the machine has in memory survives its process."""
+        """Ends the process; what is in the machine's page cache survives."""
         if self._unsynced is not None:
             self.stored = self._unsynced
 
 
 def write_record(stored: StoredReplica, record: Record) -> StoredReplica:
-    """What a disk holds after a record."""
+    """Returns what a disk holds after a record. Raises Violation if its updates are not consecutive."""
     changes: dict[str, Any] = {}
     if record.meta is not None:
         changes["meta"] = record.meta
@@ -242,10 +244,10 @@
     zone: str
     disk: Disk
     replica: Replica | None = None
-    life: int = 0  # of its process
+    life: int = 0  # incremented with each start or end of its process
     frozen_until: float = 0.0
-    committed: int = 0  # in this life
-    held_back: list[Callable[[], None]] = attrs.Factory(list)  # what came while it was frozen
+    committed: int = 0  # newest committed update in the current process
+    held_back: list[Callable[[], None]] = attrs.Factory(list)  # events that arrived while it was frozen
     removed: bool = False
 
     @property
@@ -255,7 +257,7 @@
 
 @attrs.define(eq=False)
 class Call:
-    """A client's call at one node."""
+    """A client's pending call at one node."""
 
     ticket: int
     node: Node
@@ -264,17 +266,17 @@
 
 @attrs.frozen
 class Weather:
-    """The network's figures."""
+    """Delays and fault rates of the network."""
 
     least_delay_s: float = 0.0008
     most_delay_s: float = 0.0015
     loss: float = 0.0
-    late: float = 0.0  # share of messages that come about a third of a second late
-    twice: float = 0.0  # share of messages that come twice
+    late: float = 0.0  # share of messages that arrive about a third of a second late
+    twice: float = 0.0  # share of messages that arrive twice
 
 
 class World:
-    """The world. `run_until` moves its clock."""
+    """The simulation. `run_until` advances its clock."""
 
     def __init__(
         self,
@@ -291,9 +293,9 @@
         start_within_s: float = 0.0,
         directory: Path | None = None,
     ) -> None:
-        """`genesis`: from empty disks; else the first view is on the disks already. `wire`: messages go
-        through their encoding. `seeds`: addresses, if not those of the first three machines; those without
-        a disk run as well. `directory`: what the first disks hold is in files there, too."""
+        """`genesis`: bootstraps from empty disks; otherwise the initial view is already on the disks. `wire`:
+        messages are encoded and decoded. `seeds`: addresses, if not those of the first three machines; seeds
+        without a disk take part as well. `directory`: the first disks are backed by files in it."""
         self.random = Random(seed)
         self.now = 100.0
         self.tolerance = tolerance
@@ -307,12 +309,14 @@
         self.buried: list[Disk] = []
         self.cuts: set[tuple[str, str]] = set()
         self.proposers: dict[str, GenesisProposer] = {}
-        self.ballots: dict[str, Ballot] = {}  # of seeds without a disk
+        self.ballots: dict[str, Ballot] = {}  # acceptors of seeds without a disk
         self.messages = 0
-        self.healed_s: float | None = None  # how long it took after the last trouble
+        # time from the last fault until commands and reads worked, in seconds
+        self.healed_s: float | None = None
         self.messages_by_type: dict[str, int] = {}
         self.trace: Callable[[str], None] | None = None
-        self.nemesis: Callable[[Node, Send], float] | None = None  # delays a message, or does worse
+        # hook for each message: returns an extra delay, and may inject faults
+        self.nemesis: Callable[[Node, Send], float] | None = None
         self._queue: list[tuple[float, int, Callable[[], None]]] = []
         self._order = 0
         self._tickets = 0
@@ -388,7 +392,7 @@
         self.run_until(self.now + seconds)
 
     def run_while(self, condition: Callable[[], bool], most_s: float) -> bool:
-        """Run until the condition is false; gives whether that came in time."""
+        """Runs until the condition is false; returns whether that happened in time."""
         end = self.now + most_s
         while condition():
             if not self._queue or self._queue[0][0] > end:
@@ -405,15 +409,15 @@
     # -- processes --
 
     def new_ledger(self) -> Ledger:
-        """What must hold, for the state machine of this world."""
+        """Returns the invariant checks for this world's state machine."""
         return Ledger()
 
     def new_machine(self) -> StateMachine:
-        """The state machine of a process that starts."""
+        """Returns the state machine for a new process."""
         return Register()
 
     def start(self, node: Node, delay_s: float = 0.0) -> None:
-        """Start a node's process."""
+        """Starts a node's process."""
         node.life += 1
         life = node.life
         node.committed = 0
@@ -445,7 +449,7 @@
         self.at(self.now + wait, lambda: self._tick(node, life))
 
     def _when_awake(self, node: Node, event: Callable[[], list[Effect]]) -> None:
-        """Let the node's process take an event, once it is not frozen."""
+        """Passes an event to the node's process, once it is not frozen."""
         life = node.life
 
         def take() -> None:
@@ -458,7 +462,7 @@
             take()
 
     def kill(self, node: Node, power: bool = False) -> None:
-        """End a node's process, or cut its power."""
+        """Kills a node's process, or cuts the machine's power."""
         self.say(f"{node.name} is killed{' (power)' if power else ''}")
         node.life += 1
         node.replica = None
@@ -471,7 +475,7 @@
             del self._calls[ticket]
 
     def wipe(self, node: Node) -> None:
-        """Replace a node's disk by an empty one. Its process must be ended."""
+        """Replaces a node's disk by an empty one. Its process must have ended."""
         assert node.replica is None
         self.say(f"{node.name} is wiped")
         self.buried.append(node.disk)
@@ -479,17 +483,17 @@
         node.disk.since = self.now
 
     def remove(self, node: Node) -> None:
-        """Take a machine away for good."""
+        """Removes a machine for good."""
         if node.replica is not None:
             self.kill(node, power=True)
         node.removed = True
         self.buried.append(node.disk)
 
     def leave(self, node: Node) -> None:
-        """Tell a node's process to end (SIGTERM): it resigns, and ends when it may, as `Node._drain` does."""
+        """Tells a node's process to exit (SIGTERM): it resigns, and ends when it may, as `Node._drain` does."""
         replica, life = node.replica, node.life
         assert replica is not None
-        self.say(f"{node.name} is told to end")
+        self.say(f"{node.name} is told to exit")
         self.carry_out(node, replica.resign(self.now))
         begun = self.now
 
@@ -504,7 +508,7 @@
         self.at(self.now + LEAST_LEAVE_S, look)
 
     def freeze(self, node: Node, seconds: float) -> None:
-        """Stop a process for a while; what comes meanwhile waits."""
+        """Freezes a process for a while; events that arrive meanwhile wait."""
         self.say(f"{node.name} freezes for {seconds:.2f}")
         node.frozen_until = self.now + seconds
         life = node.life
@@ -536,13 +540,13 @@
         return (one.ip, other.ip) not in self.cuts and (other.ip, one.ip) not in self.cuts
 
     def running(self) -> list[Node]:
-        """Nodes whose process runs and isn't frozen."""
+        """Returns the nodes whose process runs and is not frozen."""
         return [node for node in self.nodes if node.replica is not None and self.now >= node.frozen_until]
 
     # -- effects --
 
     def carry_out(self, node: Node, effects: Iterable[Effect]) -> None:
-        """Carry out what a replica asks for."""
+        """Carries out a replica's effects."""
         for effect in effects:
             if isinstance(effect, Send):
                 self._send(node.ip, effect, self.nemesis(node, effect) if self.nemesis is not None else 0.0)
@@ -600,7 +604,7 @@
 
         def write() -> None:
             if node.disk is not disk or node.life != life:
-                return  # the process ended before its write was done
+                return  # the process ended before its write completed
             if self.now < disk.stalled_until:
                 self.at(self.now + STALL_LOOK_S, write)
                 return
@@ -633,7 +637,7 @@
             self.check_lead()
 
     def check_lead(self) -> None:
-        """No two are sure to be the only head."""
+        """Checks that no two replicas hold a lease as head."""
         untils: dict[str, float] = {}
         for node in self.nodes:
             until = node.replica.lead_until if node.replica is not None else None
@@ -644,7 +648,7 @@
     # -- clients --
 
     def submit(self, node: Node, command: bytes, done: Callable[[Answer], None]) -> None:
-        """Send a command to a node. If its process ends, no answer comes."""
+        """Sends a command to a node. If its process ends, no answer arrives."""
         replica = node.replica
         if replica is None:
             return
@@ -654,7 +658,7 @@
         self._when_awake(node, lambda: replica.submit(self.now, ticket, command))
 
     def read(self, node: Node, done: Callable[[Answer], None]) -> None:
-        """Ask a node for the committed state."""
+        """Requests the committed state from a node."""
         replica = node.replica
         if replica is None:
             return
@@ -669,14 +673,14 @@
             call.done(answer)
 
     def check_acknowledged(self, seq: int, order: str) -> None:
-        """A client hears that its order was done as update `seq`."""
+        """Checks an acknowledgement to a client: its command was executed as update `seq`."""
         if seq not in self.ledger.orders:
-            raise Violation(f"update {seq} is acknowledged and not committed")
+            raise Violation(f"update {seq} is acknowledged but not committed")
         self.ledger.order(seq, order)
         disks = [node.disk for node in self.nodes] + self.buried
         holders = sum(1 for disk in disks if self._holds(disk, seq, order))
         if holders < self.tolerance + 1:
-            raise Violation(f"update {seq} is acknowledged and on {holders} disks")
+            raise Violation(f"update {seq} is acknowledged but only on {holders} disks")
         self.ledger.acknowledged = max(self.ledger.acknowledged, seq)
 
     def _holds(self, disk: Disk, seq: int, order: str) -> bool:
@@ -687,13 +691,13 @@
         return snapshot is not None and self.ledger.orders_of(snapshot.data).get(order) == seq
 
     def check_read(self, answer: Answer, least: int) -> None:
-        """A client has read; `least` was acknowledged before it asked."""
+        """Checks a read by a client; `least` was acknowledged before the read started."""
         if answer.seq < least:
-            raise Violation(f"a read tells {answer.seq}, and {least} was acknowledged before")
+            raise Violation(f"a read returns state {answer.seq}, but {least} was acknowledged before")
         self.ledger.state(answer.seq, answer.reply)
 
     def head(self) -> Node | None:
-        """The node that leads with the highest epoch in force."""
+        """Returns the head of the highest epoch in force."""
         heads = []
         for node in self.running():
             view = node.replica.view_info if node.replica is not None else None
@@ -703,7 +707,7 @@
 
 
 class Client:
-    """An operator that sends orders on top of the version it knows, again until it hears, and reads back."""
+    """An operator that sends commands based on the version it knows, retries until answered, and reads back."""
 
     def __init__(
         self,
@@ -715,12 +719,12 @@
         astray: float = 0.1,
         wary: bool = False,
     ) -> None:
-        """`astray`: share of calls that go to any node. `wary`: frozen ones are not called."""
+        """`astray`: share of calls to a random node instead of the head. `wary`: frozen nodes are not called."""
         self.world = world
         self.name = name
         self.version = 0
         self.sent = 0
-        self.done: list[tuple[str, float]] = []  # orders and how long they took
+        self.done: list[tuple[str, float]] = []  # acknowledged commands and their latencies in seconds
         self.reads = 0
         self.stopped = False
         self._pause_s = pause_s
@@ -730,7 +734,7 @@
         self._wary = wary
         self._order: dict[str, Any] | None = None
         self._begun = 0.0
-        self._least = 0  # acknowledged before the last try
+        self._least = 0  # acknowledged before the last attempt
         self._try = 0
         world.at(world.now + world.random.uniform(0, pause_s), self._next)
 
@@ -792,16 +796,16 @@
             self.done.append((self._order["id"], self.world.now - self._begun))
         elif version < self._least:
             raise Violation(
-                f"an order is refused on version {version}, and {self._least} was acknowledged before"
+                f"a command is refused at version {version}, but {self._least} was acknowledged before"
             )
         self.version = max(self.version, version)
         self._finish()
 
     def _note_late(self, answer: Answer) -> None:
-        """An answer to an earlier try is as true as the last."""
+        """Checks an answer to an earlier attempt, which must be as correct as one to the last."""
         version = json.loads(answer.reply)[1]
         if version not in self.world.ledger.orders:
-            raise Violation(f"update {version} is acknowledged and not committed")
+            raise Violation(f"update {version} is acknowledged but not committed")
 
     def _finish(self) -> None:
         self._order = None
@@ -834,7 +838,7 @@
 
 
 class Crowd:
-    """Clients that send several orders at once on top of whatever there is, and ask nothing again."""
+    """Clients that send several commands at once without an expected version, and never retry."""
 
     def __init__(self, world: World, pause_s: float, most: int) -> None:
         self.world = world
@@ -868,7 +872,7 @@
 
 
 class Reader:
-    """Asks one node for the committed state, again and again, whatever it takes itself for."""
+    """Reads the committed state from one node again and again, whether or not it is the head."""
 
     def __init__(self, world: World, node: Node, pause_s: float = 0.05) -> None:
         self.world = world
--- a/tests/system/slow_links.py
+++ b/tests/system/slow_links.py
@@ -1,4 +1,4 @@
-"""A world of replicas whose links carry so many bytes a second, in order, and whose states are long."""
+"""Simulation of replicas with links of limited bandwidth, in-order delivery, and large states."""
 
 from __future__ import annotations
 
@@ -11,12 +11,12 @@
 from tests.system.replica_world import Node, Register, World
 
 SMALL_BYTES = 100
-SPACING_S = 0.0008  # more than the links' jitter, so that nothing overtakes
-RATE = 1_250_000  # bytes a second
+SPACING_S = 0.0008  # exceeds the links' jitter, so that messages are not reordered
+RATE = 1_250_000  # bytes per second
 
 
 class LongRegister(Register):
-    """A register whose state is blown up by blanks."""
+    """A register whose state is padded with blanks."""
 
     def __init__(self, blanks: int) -> None:
         super().__init__()
@@ -27,7 +27,7 @@
 
 
 class SlowWorld(World):
-    """`state_s`: how long a whole state takes on a link."""
+    """`state_s`: transfer time of a whole state on a link."""
 
     def __init__(self, seed: int, count: int, tolerance: int, state_s: float, **options: Any) -> None:
         self._blanks = int(state_s * RATE)
@@ -39,14 +39,14 @@
         return LongRegister(self._blanks)
 
     def _held_s(self, node: Node, effect: Send) -> float:
-        """How long a message waits until the link has carried it and all before it."""
+        """Returns the delay until the link has carried a message and all before it."""
         link = (node.ip, effect.ip)
         begins = max(self.now, self._free.get(link, 0.0) + SPACING_S)
         self._free[link] = begins + size_of(effect.message) / RATE
         return self._free[link] - self.now
 
     def put(self, name: str, done: Callable[[bool], None]) -> None:
-        """Send an order to the head, again until it is taken."""
+        """Sends a command to the head, and again until it is done."""
         head = self.head()
         if head is None:
             self.at(self.now + 0.05, lambda: self.put(name, done))
@@ -74,7 +74,7 @@
 
 
 def size_of(message: object) -> int:
-    """About how many bytes a message takes."""
+    """Returns the approximate size of a message in bytes."""
     snapshot = getattr(message, "snapshot", None) or b""
     updates = getattr(message, "updates", ())
     part = getattr(message, "data", b"")
--- a/tests/system/test_catch_up.py
+++ b/tests/system/test_catch_up.py
@@ -1,4 +1,4 @@
-"""Long states go to members in parts while orders are taken: how long these wait, and parts that are none."""
+"""Chunked transfer of large states: how long commands wait meanwhile, and the handling of invalid chunks."""
 
 from __future__ import annotations
 
@@ -40,7 +40,8 @@
 
 
 def away_for_many_changes(catch_up_bytes: int) -> tuple[SlowWorld, Node]:
-    """A member comes back that lacks more than the others still have as updates."""
+    """Returns a world in which a member returns that lacks more updates than the others hold in memory, and
+    the member's node."""
     config = {"catch_up_bytes": catch_up_bytes, "compact_bytes": 1}
     world = SlowWorld(6, 3, 1, state_s=STATE_S, config=config)
     world.run(8.0)
@@ -62,8 +63,8 @@
 
 
 def longest_pause(world: SlowWorld, node: Node, seconds: float) -> float:
-    """Orders each 0.05 s until a member has been in the chain for a while: the longest time in which none was
-    acknowledged."""
+    """Sends a command every 0.05 s until a member has been in the chain for 2 s. Returns the longest time
+    without an acknowledgement, in seconds."""
     taken_at = [world.now]
     until = world.now + seconds
     joined_at = float("inf")
@@ -83,7 +84,7 @@
 
 
 def test_without_parts_they_wait_until_the_member_is_given_up() -> None:
-    """Its answers stand behind the state for longer than a member may be silent."""
+    """The member's replies queue behind the state for longer than a member may be silent."""
     assert longest_pause(*away_for_many_changes(NEVER), seconds=30.0) > ReplicaConfig(1).failure_timeout_s
 
 
@@ -126,7 +127,7 @@
 
 
 def told(made: Context) -> list[int]:
-    """How much the member said to have, each time."""
+    """Returns the byte counts that the member has acknowledged, and clears the effects."""
     found = [effect.message for effect in made.effects if isinstance(effect, Send)]
     made.effects.clear()
     return [message.taken for message in found if isinstance(message, CatchUpTaken)]
@@ -195,7 +196,7 @@
 
 
 def sent(made: Context) -> list[int]:
-    """Where the parts that went out begin."""
+    """Returns the offsets of the chunks sent, and clears the effects."""
     found = [effect.message for effect in made.effects if isinstance(effect, Send)]
     made.effects.clear()
     return [message.offset for message in found if isinstance(message, CatchUpPart)]
--- a/tests/system/test_cut_off_heartbeats.py
+++ b/tests/system/test_cut_off_heartbeats.py
@@ -1,15 +1,15 @@
-"""Heartbeats at a machine that is cut off: the server has to learn of it, and call another one."""
+"""Heartbeats of a server at a partitioned machine: the server must notice and switch to another machine."""
 
 from __future__ import annotations
 
 from tests.system.lossy_world import World
 from tests.system.registry_fleet import RegistryFleet
 
-LONG_CUT_S = 5.0  # longer than heartbeats may be missed
+LONG_CUT_S = 5.0  # longer than heartbeats may be missing
 
 
 def fleet() -> RegistryFleet:
-    """Eleven machines, of which the first three vote; a server is known everywhere."""
+    """Returns eleven machines, of which the first three vote, with one server registered everywhere."""
     world = World(1)
     made = RegistryFleet(world, 11, 3)
     world.run(1)
@@ -19,7 +19,8 @@
 
 
 def test_a_machine_cut_off_from_all_voters_does_not_acknowledge_a_heartbeat() -> None:
-    """Acknowledged, the server keeps to this machine, and all others take it for silent."""
+    """If the heartbeat were acknowledged, the server would stay with this machine while all others consider
+    it silent."""
     made = fleet()
     made.world.cut([made.ips[7]], made.voters)
     made.world.run(made.world.now + LONG_CUT_S)
--- a/tests/system/test_leaving_replica.py
+++ b/tests/system/test_leaving_replica.py
@@ -1,4 +1,4 @@
-"""A process that was told to end stays while its vote is needed."""
+"""A process that was told to exit keeps running while its vote is needed."""
 
 from __future__ import annotations
 
--- a/tests/system/test_loss_table.py
+++ b/tests/system/test_loss_table.py
@@ -1,4 +1,4 @@
-"""Losses at every step of a planned exchange: what may be lost at once is borne, whichever disks it is."""
+"""Disk losses at every step of a planned replacement of a voter: tolerable losses never stop commands."""
 
 from __future__ import annotations
 
--- a/tests/system/test_replica.py
+++ b/tests/system/test_replica.py
@@ -1,4 +1,4 @@
-"""The chain of replicas in a calm world, and through the seeds of a troubled one."""
+"""The chain of replicas in simulation: without faults, with random faults, and in scripted races."""
 
 from __future__ import annotations
 
@@ -64,7 +64,7 @@
 
 
 def test_real_files_hold_what_the_replicas_wrote(tmp_path: Path) -> None:
-    """Kills, starts and a lost disk, each start from lmdb's file; updates are folded many times."""
+    """Kills and restarts, each restart from lmdb's file; updates are compacted many times."""
     world = World(5, 3, 1, config={"compact_bytes": 500}, directory=tmp_path)
     clients = [Client(world, f"client{number}", pause_s=0.02) for number in range(2)]
     for number in range(12):
@@ -78,7 +78,8 @@
 
 @pytest.mark.parametrize("seed", range(5))
 def test_after_all_lost_power_the_head_of_before_leads_at_once(seed: int) -> None:
-    """Voters that start again hold back promises, but not to the only one that may still count on them."""
+    """Restarted voters withhold promises for a while, but not from the one replica whose lease may rest on
+    their promise: it must lead at once."""
     world = World(seed, 3, 1, genesis=True, wire=True)
     assert world.run_while(lambda: world.head() is None, 5)
     before = world.head()
--- a/tests/system/test_replica_answers.py
+++ b/tests/system/test_replica_answers.py
@@ -1,5 +1,5 @@
-"""Messages between replicas count only where they belong: for this disk, this epoch, this try, from whom was
-asked. Those of another life of a process, or of a machine whose disk was lost, come late and are dropped."""
+"""Messages between replicas count only for the right disk, epoch and election, and from the right sender.
+Messages from an earlier process, or for a machine whose disk was lost, may arrive late and are dropped."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 class Chain:
-    """Three replicas with a head, in a calm world."""
+    """Three replicas with a head, without faults."""
 
     def __init__(self) -> None:
         self.world = World(1, 3, 1)
@@ -45,11 +45,11 @@
         return next(node for node in self.world.nodes if node.member.identity == identity)
 
     def tell(self, to: Node, sender: Node, message: object) -> list[object]:
-        """The effects of a message."""
+        """Delivers a message; returns its effects."""
         return list(replica_of(to).receive(self.world.now, sender.ip, message))
 
     def proposer(self, phase: Phase) -> tuple[Node, Proposal]:
-        """Another than the head, with a try that has come so far."""
+        """Returns a node other than the head with an election in this phase."""
         self.world.kill(self.head)
         found: list[tuple[Node, Proposal]] = []
 
@@ -79,8 +79,8 @@
 
 
 def test_what_was_meant_for_a_lost_disk_is_not_taken_by_the_next_one(chain: Chain) -> None:
-    """A promise of the old disk is asked for: the one that is there now does not answer. Asked itself, it
-    refuses, as its head is well."""
+    """A prepare request to the old disk's identity is not answered by the new disk. One to its own identity
+    is refused, as the head is healthy."""
     for receiver, is_answered in ((OTHER_DISK, False), (name(chain.middle), True)):
         propose = Propose(name(chain.tail), receiver, chain.view.epoch + FAR)
         effects = chain.tell(chain.middle, chain.tail, propose)
@@ -135,7 +135,7 @@
 
 
 def test_promises_of_another_epoch_do_not_count(chain: Chain) -> None:
-    """Of an earlier try of this process, or of the process before."""
+    """Such promises belong to an earlier election, of this process or the one before."""
     node, proposal = chain.proposer(Phase.COLLECTING)
     other = chain.middle if node is chain.tail else chain.tail
     proposal.promises.pop(name(other), None)
@@ -158,7 +158,7 @@
 def test_a_state_is_taken_from_whom_it_was_asked_of_in_this_try(chain: Chain, what: str) -> None:
     node, proposal = chain.proposer(Phase.COLLECTING)
     other = chain.middle if node is chain.tail else chain.tail
-    synced = proposal.promises[name(node)].synced + 1  # newer than what this one holds
+    synced = proposal.promises[name(node)].synced + 1  # newer than this replica's own
     promise = Promise(name(other), name(node), proposal.epoch, synced, 7, None, True)
     proposal.phase, proposal._source = Phase.FETCHING, promise
     proposal.promises[name(other)] = promise
--- a/tests/system/test_replica_faults.py
+++ b/tests/system/test_replica_faults.py
@@ -1,4 +1,4 @@
-"""The world of replicas finds each fault that is put into them on purpose."""
+"""The simulation of replicas detects each fault that is injected into them."""
 
 from __future__ import annotations
 
--- a/tests/system/test_replica_messages.py
+++ b/tests/system/test_replica_messages.py
@@ -1,4 +1,4 @@
-"""Single messages at one replica: what is late, or doesn't fit what is there, is not taken."""
+"""Single messages at one replica: those that are late, or do not match its state, are not accepted."""
 
 from __future__ import annotations
 
@@ -33,12 +33,12 @@
 
 
 def view(epoch: int, head: Member) -> View:
-    """All five vote; the chain is the head and this replica."""
+    """Returns a view in which all five vote, and the chain is the head and this replica."""
     return View(epoch, MEMBERS, (head.identity, ME.identity), ())
 
 
 class Driven:
-    """One replica, whose writes are done at once."""
+    """One replica whose writes complete at once."""
 
     def __init__(self, meta: Meta, updates: tuple[Update, ...] = ()) -> None:
         stored = StoredReplica(ME.identity, meta, None, updates)
@@ -47,7 +47,7 @@
         self._take(0.0, self.replica.start(0.0))
 
     def receive(self, now: float, message: Any) -> list[Any]:
-        """The messages that follow."""
+        """Delivers a message; returns the messages sent in response."""
         self.sent.clear()
         sender = next(member for member in MEMBERS if member.identity == message.sender)
         self._take(now, self.replica.receive(now, sender.ip, message))
@@ -83,12 +83,12 @@
 
 
 def following(head: Member, epoch: int, **facts: Any) -> Meta:
-    """What a voter has on its disk that follows a head."""
+    """Returns the durable facts of a voter that follows a head."""
     return Meta(promised=epoch, promised_to=head.identity, synced=epoch, **known(epoch, head), **facts)
 
 
 def test_a_late_heartbeat_frees_nobody_from_a_head_that_is_well() -> None:
-    """Heartbeats on two connections may pass each other: the older one said that the head leaves."""
+    """Heartbeats on two connections may be reordered: the older one said that the head leaves."""
     driven = Driven(following(FIRST, LOW))
     driven.receive(1.0, heartbeat(FIRST, LOW, 6))
     (report,) = driven.receive(1.01, heartbeat(FIRST, LOW, 5, resigning=True))
@@ -98,7 +98,8 @@
 
 
 def test_a_heartbeat_of_the_head_before_frees_nobody() -> None:
-    """The view of the head that this voter has answered is still on its way to it."""
+    """The voter has promised a newer head whose view has not arrived yet; a heartbeat of the head before must
+    not release it from that."""
     driven = Driven(attrs.evolve(following(FIRST, LOW), promised=HIGH, promised_to=SECOND.identity))
     driven.receive(1.0, heartbeat(SECOND, HIGH, 1))
     driven.receive(1.01, heartbeat(FIRST, LOW, 40, resigning=True))
@@ -108,8 +109,8 @@
 
 @pytest.mark.parametrize("is_asked_first", [False, True])
 def test_a_voter_that_starts_again_holds_to_its_promise_whoever_is_heard(is_asked_first: bool) -> None:
-    """It may have answered the one that it promised last in the life before, and that one may be sure by it;
-    the head before that one does not know."""
+    """Before the restart the voter may have answered the head that it promised last, whose lease may rest on
+    that reply; the previous head does not know of it."""
     driven = Driven(attrs.evolve(following(FIRST, LOW), promised=HIGH, promised_to=SECOND.identity))
     driven.receive(0.01, heartbeat(FIRST, LOW, 40))
     if is_asked_first:
@@ -122,7 +123,7 @@
 
 
 def test_a_round_is_answered_only_to_the_one_that_has_the_promise() -> None:
-    """Of two proposers of one epoch one has no majority: it must not be sure by this vote."""
+    """Of two proposers of one epoch one has no majority: it must not get a lease through this vote."""
     driven = Driven(Meta(promised=LOW, promised_to=FIRST.identity))
     (report,) = driven.receive(1.0, heartbeat(SECOND, LOW, 3))
     assert isinstance(report, Report) and report.round == 0
