--- a/cloverrouter/coordination/head.py
+++ b/cloverrouter/coordination/head.py
@@ -214,8 +214,7 @@
 
     @property
     def lead_until(self) -> float | None:
-        """Time until which no other replica can become head, see `Rounds.lead_until`; None without a lease.
-        """
+        """Time until which no other replica can become head, see `Rounds.lead_until`; None without a lease."""
         return self.rounds.lead_until if self.active else None
 
     # -- commands --
--- a/tests/system/replica_world.py
+++ b/tests/system/replica_world.py
@@ -490,7 +490,7 @@
         self.buried.append(node.disk)
 
     def leave(self, node: Node) -> None:
-        """Tells a node's process to exit (SIGTERM): it resigns, and ends when allowed, as in `Node._drain`."""
+        """Tells a node's process to exit (SIGTERM): it resigns, then ends once allowed, as `Node._drain`."""
         replica, life = node.replica, node.life
         assert replica is not None
         self.say(f"{node.name} is told to exit")
