--- a/cloverrouter/coordination/catch_up.py
+++ b/cloverrouter/coordination/catch_up.py
@@ -23,8 +23,8 @@
 PART_BYTES = 64 * 1024
 PARTS_IN_FLIGHT = 2  # limits how much data delays a command on a slow link
 RESEND_S = 0.5
-MOST_ROUNDS = 3  # transfers per member; after these it joins the chain, and commands wait for its state
-LONGEST_STATE_BYTES = 64 * 1024 * 1024
+MAX_TRANSFERS = 3  # transfers per member; after these it joins the chain, and commands wait for its state
+MAX_STATE_BYTES = 64 * 1024 * 1024
 
 
 @attrs.define(slots=True)
@@ -57,7 +57,7 @@
         self._context = context
         self._epoch = epoch
         self._transfer: _Transfer | None = None
-        self._rounds: dict[str, int] = {}
+        self._transfer_counts: dict[str, int] = {}
 
     @property
     def progress(self) -> Progress | None:
@@ -66,12 +66,12 @@
         if found is None:
             return None
         name, length = found.member.name, len(found.state.data)
-        return Progress(name, found.taken, length, self._rounds[found.member.identity])
+        return Progress(name, found.taken, length, self._transfer_counts[found.member.identity])
 
-    def may_wait(self, identity: str) -> bool:
+    def has_transfers_left(self, identity: str) -> bool:
         """Returns whether the member should get its state in chunks. The number of transfers is limited, as
         updates may arrive faster than a transfer completes."""
-        return self._rounds.get(identity, 0) <= MOST_ROUNDS
+        return self._transfer_counts.get(identity, 0) <= MAX_TRANSFERS
 
     def tick(self, now: float, wanted: list[Member]) -> None:
         """Starts, resumes or cancels a transfer. `wanted`: the members that lack the whole state and should
@@ -83,9 +83,9 @@
             if wanted:
                 self._begin(now, wanted[0])
         elif now - transfer.progress_at >= RESEND_S:
-            self._go_on(now, transfer)
+            self._resume_transfer(now, transfer)
 
-    def _go_on(self, now: float, transfer: _Transfer) -> None:
+    def _resume_transfer(self, now: float, transfer: _Transfer) -> None:
         """Resends after `RESEND_S` without progress: chunks were lost, or the member is complete but lacks
         too many newer updates."""
         if transfer.taken == len(transfer.state.data):
@@ -97,24 +97,24 @@
 
     def _begin(self, now: float, member: Member) -> None:
         self._transfer = None
-        self._rounds[member.identity] = self._rounds.get(member.identity, 0) + 1
-        if not self.may_wait(member.identity):
+        self._transfer_counts[member.identity] = self._transfer_counts.get(member.identity, 0) + 1
+        if not self.has_transfers_left(member.identity):
             return
         state = self._context.history.snapshot()
         self._transfer = _Transfer(member, state, zlib.crc32(state.data), progress_at=now)
         self._send(self._transfer)
 
-    def taken(self, now: float, message: CatchUpTaken) -> None:
+    def on_taken(self, now: float, message: CatchUpTaken) -> None:
         """Handles an acknowledgement."""
         transfer = self._transfer
         if transfer is None or message.epoch != self._epoch:
             return
-        is_of_this = (message.sender, message.seq, message.checksum) == (
+        is_current = (message.sender, message.seq, message.checksum) == (
             transfer.member.identity,
             transfer.state.seq,
             transfer.checksum,
         )
-        if not is_of_this or not 0 <= message.taken <= len(transfer.state.data):
+        if not is_current or not 0 <= message.taken <= len(transfer.state.data):
             return
         if message.taken != transfer.taken:
             transfer.progress_at = now
@@ -150,7 +150,7 @@
     checksum: int
     data: bytearray = attrs.Factory(bytearray)
 
-    def is_of(self, part: CatchUpPart) -> bool:
+    def matches(self, part: CatchUpPart) -> bool:
         return (self.seq, self.length, self.checksum) == (part.seq, part.length, part.checksum)
 
 
@@ -166,10 +166,10 @@
         """Handles a chunk at a member outside the chain that lacks the state. Returns whether the state is
         now complete and installed."""
         context = self._context
-        has_it = (context.synced, context.history.newest) >= (part.epoch, part.seq)
-        if has_it or self._is_in_chain_of(part.epoch):
+        has_state = (context.synced, context.history.newest) >= (part.epoch, part.seq)
+        if has_state or self._is_in_chain_of(part.epoch):
             return False
-        state = self.take(ip, part)
+        state = self.add_part(ip, part)
         if state is None:
             return False
         context.history.replace(state.seq, state.data)
@@ -181,33 +181,33 @@
         view = self._context.view
         return view is not None and view.epoch == epoch and self._context.me.identity in view.chain
 
-    def take(self, ip: str, part: CatchUpPart) -> Snapshot | None:
+    def add_part(self, ip: str, part: CatchUpPart) -> Snapshot | None:
         """Adds a chunk and acknowledges it. Returns the state once it is complete."""
-        if not self._is_sensible(part):
+        if not self._is_valid(part):
             self.refused += 1
             return None
-        if self._assembly is None or not self._assembly.is_of(part):
+        if self._assembly is None or not self._assembly.matches(part):
             self._assembly = _Assembly(part.seq, part.length, part.checksum)
         data = self._assembly.data
         if part.offset == len(data):
             data += part.data
-        self._tell(ip, part, len(data))
-        return self._whole(self._assembly) if len(data) == part.length else None
+        self._acknowledge(ip, part, len(data))
+        return self._completed(self._assembly) if len(data) == part.length else None
 
-    def _is_sensible(self, part: CatchUpPart) -> bool:
+    def _is_valid(self, part: CatchUpPart) -> bool:
         context = self._context
-        if part.epoch < context.epoch or part.seq < 0 or not 0 < part.length <= LONGEST_STATE_BYTES:
+        if part.epoch < context.epoch or part.seq < 0 or not 0 < part.length <= MAX_STATE_BYTES:
             return False
         return bool(part.data) and 0 <= part.offset <= part.length - len(part.data)
 
-    def _whole(self, assembly: _Assembly) -> Snapshot | None:
+    def _completed(self, assembly: _Assembly) -> Snapshot | None:
         self._assembly = None
         if zlib.crc32(assembly.data) != assembly.checksum:
             self.refused += 1
             return None
         return Snapshot(assembly.seq, bytes(assembly.data))
 
-    def _tell(self, ip: str, part: CatchUpPart, taken: int) -> None:
+    def _acknowledge(self, ip: str, part: CatchUpPart, taken: int) -> None:
         answer = CatchUpTaken(
             sender=self._context.me.identity,
             receiver=part.sender,
--- a/cloverrouter/coordination/context.py
+++ b/cloverrouter/coordination/context.py
@@ -64,11 +64,13 @@
         if view.epoch > known:
             self.view = view
             facts = {"view": encode_view(view), "view_epoch": view.epoch}
-            self.disk.note(now, **facts, settled=settled or self._is_in_force(view), adoptable=False)
+            self.disk.set_meta_later(
+                now, **facts, settled=settled or self._is_in_force(view), adoptable=False
+            )
         elif view.epoch == known and settled and not self.settled:
-            self.disk.note(now, settled=True)
+            self.disk.set_meta_later(now, settled=True)
 
-    def take_view(self, view: View, proposer: str, synced: bool) -> None:
+    def adopt_view(self, view: View, proposer: str, synced: bool) -> None:
         """Adopts a view sent by its head, and records its state as received if `synced`. To be stored at
         once."""
         self.seen_epoch = max(self.seen_epoch, view.epoch)
--- a/cloverrouter/coordination/desk.py
+++ b/cloverrouter/coordination/desk.py
@@ -10,7 +10,7 @@
 
 
 @attrs.frozen(slots=True)
-class Waiting:
+class QueuedCommand:
     """A queued command that was not evaluated yet."""
 
     ticket: int
@@ -19,7 +19,7 @@
 
 
 @attrs.frozen(slots=True)
-class Flying:
+class UncommittedCommand:
     """A command whose update is not committed yet."""
 
     ticket: int
@@ -44,11 +44,11 @@
     """All commands and reads without an answer."""
 
     def __init__(self) -> None:
-        self.waiting: deque[Waiting] = deque()
-        self.flying: deque[Flying] = deque()
+        self.queued: deque[QueuedCommand] = deque()
+        self.flying: deque[UncommittedCommand] = deque()
         self.asked: list[Asked] = []
 
-    def is_read_before(self, since: float) -> bool:
+    def has_read_before(self, since: float) -> bool:
         """Returns whether a read of the committed state that arrived before `since` is pending."""
         return any(entry.reply is None and entry.since < since for entry in self.asked)
 
@@ -63,10 +63,10 @@
     def give_up(self) -> list[Answer]:
         """Fails everything that is pending, as this replica is not the head any more."""
         tickets = [entry.ticket for entry in self.flying]
-        tickets += [entry.ticket for entry in self.waiting]
+        tickets += [entry.ticket for entry in self.queued]
         tickets += [entry.ticket for entry in self.asked]
         self.flying.clear()
-        self.waiting.clear()
+        self.queued.clear()
         self.asked.clear()
         return [Answer(ticket, Outcome.UNAVAILABLE) for ticket in tickets]
 
@@ -74,8 +74,8 @@
         """Fails queued commands and unconfirmed reads that arrived before `before`."""
         late = [entry.ticket for entry in self.asked if entry.since < before]
         self.asked = [entry for entry in self.asked if entry.since >= before]
-        while self.waiting and self.waiting[0].since < before:
-            late.append(self.waiting.popleft().ticket)
+        while self.queued and self.queued[0].since < before:
+            late.append(self.queued.popleft().ticket)
         return [Answer(ticket, Outcome.UNAVAILABLE) for ticket in late]
 
     def new_rounds(self) -> None:
--- a/cloverrouter/coordination/disk.py
+++ b/cloverrouter/coordination/disk.py
@@ -45,7 +45,7 @@
         self._newest = newest
         self._retry_s = retry_s
         self._slow_s = slow_s
-        self._took_s = 0.0  # duration of the last write
+        self._last_write_s = 0.0  # duration of the last write
         self._compact_bytes = compact_bytes
         self._snapshot: Snapshot | None = None
         self._updates: list[Update] = []
@@ -69,7 +69,7 @@
         self.meta = attrs.evolve(self.meta, **facts)
         self._dirty = True
 
-    def note(self, now: float, **facts: Any) -> None:
+    def set_meta_later(self, now: float, **facts: Any) -> None:
         """Changes fields of `Meta`; written with the next record, or after the delay that `next` is given."""
         self.meta = attrs.evolve(self.meta, **facts)
         if self._lazy_since is None:
@@ -96,13 +96,13 @@
         if self._failing_since is not None:
             return FAILING_S + now - self._failing_since
         busy_s = now - self._begun if self._flying is not None else 0.0
-        return max(busy_s, self._took_s) if self._took_s >= self._slow_s else busy_s
+        return max(busy_s, self._last_write_s) if self._last_write_s >= self._slow_s else busy_s
 
     @property
-    def _is_doubtful(self) -> bool:
-        return self._failing_since is not None or self._took_s >= self._slow_s
+    def _needs_probe(self) -> bool:
+        return self._failing_since is not None or self._last_write_s >= self._slow_s
 
-    def forgive(self, now: float) -> None:
+    def reset_timeouts(self, now: float) -> None:
         """Restarts the timing of the write in progress after a freeze of this process."""
         self._begun = now
 
@@ -112,7 +112,7 @@
         if self._flying is not None or now < self._retry_at:
             return None
         lazy_due = self._lazy_since is not None and now - self._lazy_since >= lazy_s
-        if not self._dirty and not lazy_due and not self._is_doubtful:
+        if not self._dirty and not lazy_due and not self._needs_probe:
             return None
         self._compact()
         record = Record(meta=self.meta, snapshot=self._snapshot, updates=tuple(self._updates))
@@ -123,16 +123,16 @@
         self._token += 1
         return self._token, record
 
-    def done(self, now: float, token: int, error: str | None) -> None:
+    def on_written(self, now: float, token: int, error: str | None) -> None:
         """Handles the end of the write in progress; `error` is set if it was refused."""
         if self._flying is None or token != self._token:
             return
         (record, durable), self._flying = self._flying, None
-        self._took_s = now - self._begun
+        self._last_write_s = now - self._begun
         if error is None:
             self.durable = durable
             self._failing_since = None
-            if self._is_doubtful and not self._dirty:
+            if self._needs_probe and not self._dirty:
                 self._retry_at = now + self._retry_s
             return
         if self._failing_since is None:
--- a/cloverrouter/coordination/effects.py
+++ b/cloverrouter/coordination/effects.py
@@ -66,8 +66,8 @@
     rejoin_s: float = 0.3  # a returning member must be healthy this long to rejoin; doubles with each relapse
     disk_retry_s: float = 0.5
     settle_s: float = 0.3  # maximum delay of writes that are not urgent
-    in_flight: int = 32  # maximum number of uncommitted updates
-    waiting: int = 256  # maximum number of queued commands, and of pending reads
+    max_in_flight: int = 32  # maximum number of uncommitted updates
+    max_queued: int = 256  # maximum number of queued commands, and of pending reads
     wait_s: float = 2.5  # after this time a queued command or a pending read fails
     max_state_bytes: int = 12 * 1024 * 1024
     # a state of this size is sent in chunks before its receiver joins the chain
--- a/cloverrouter/coordination/follower.py
+++ b/cloverrouter/coordination/follower.py
@@ -41,7 +41,7 @@
         """Handles a pre-vote request."""
         context = self._context
         known = context.view.epoch if context.view is not None else 0
-        granted = not self.contact.is_bound(now, message.sender) and message.view_epoch >= known
+        granted = not self.contact.must_withhold_promise(now, message.sender) and message.view_epoch >= known
         reply = Support(
             sender=context.me.identity,
             receiver=message.sender,
@@ -61,16 +61,18 @@
         context = self._context
         context.seen_epoch = max(context.seen_epoch, message.epoch)
         meta = context.disk.meta
-        same = message.epoch == meta.promised and message.sender == meta.promised_to
-        if not same and (message.epoch <= meta.promised or self.contact.is_bound(now, message.sender)):
+        is_repeated = message.epoch == meta.promised and message.sender == meta.promised_to
+        if not is_repeated and (
+            message.epoch <= meta.promised or self.contact.must_withhold_promise(now, message.sender)
+        ):
             refused = Refused(context.me.identity, message.sender, message.epoch, meta.promised)
             context.send(ip, refused)
             return False
-        if not same:
+        if not is_repeated:
             context.disk.change(promised=message.epoch, promised_to=message.sender)
-            self.contact.hear(now, message.sender)
+            self.contact.record_contact(now, message.sender)
         self._promise_due = (message.epoch, message.sender, ip)
-        return not same
+        return not is_repeated
 
     def on_fetch(self, now: float, ip: str, message: Fetch) -> None:
         """Sends the state to the proposer that holds this replica's promise. The transfer of a large state
@@ -79,7 +81,7 @@
         meta = context.disk.meta
         if message.epoch != meta.promised or message.sender != meta.promised_to:
             return
-        self.contact.hear(now, message.sender)
+        self.contact.record_contact(now, message.sender)
         newest = context.history.snapshot()
         reply = State(
             sender=context.me.identity,
@@ -97,9 +99,9 @@
         """Handles a view and state from a head. Returns whether they were installed by this message."""
         context = self._context
         view = message.view
-        if not self._may_take(now, ip, message.sender, view.epoch):
+        if not self._may_adopt(now, ip, message.sender, view.epoch):
             return False
-        self.contact.hear(now, message.sender)
+        self.contact.record_contact(now, message.sender)
         self._report_due = (view.epoch, message.sender, ip)
         if context.synced == view.epoch:
             return False
@@ -111,7 +113,7 @@
                 context.disk.append(context.history.append(update), update)
         else:
             return False
-        context.take_view(view, message.sender, synced=True)
+        context.adopt_view(view, message.sender, synced=True)
         return True
 
     def on_announce(self, now: float, ip: str, message: Announce) -> bool:
@@ -119,16 +121,16 @@
         this message."""
         context = self._context
         epoch = message.view.epoch
-        if not self._may_take(now, ip, message.sender, epoch):
+        if not self._may_adopt(now, ip, message.sender, epoch):
             return False
-        self.contact.hear(now, message.sender)
+        self.contact.record_contact(now, message.sender)
         self._report_due = (epoch, message.sender, ip)
         if context.disk.durable.meta.view_epoch == epoch == context.epoch:
             return False
-        context.take_view(message.view, message.sender, synced=False)
+        context.adopt_view(message.view, message.sender, synced=False)
         return True
 
-    def _may_take(self, now: float, ip: str, sender: str, epoch: int) -> bool:
+    def _may_adopt(self, now: float, ip: str, sender: str, epoch: int) -> bool:
         """Returns whether a view of this epoch from this head may be adopted; if a higher epoch was promised,
         reports that to the sender."""
         meta = self._context.disk.meta
@@ -151,7 +153,7 @@
             for update in fresh:
                 context.disk.append(history.append(update), update)
             self._pass_on(message, first, fresh)
-        self._take_upstream(message.epoch, message.sender, message.stored)
+        self._record_upstream_stored(message.epoch, message.sender, message.stored)
         return self._commit(message.committed)
 
     def _pass_on(self, message: Forward, first: int, updates: tuple[bytes, ...]) -> None:
@@ -173,7 +175,7 @@
     def on_stored(self, message: Stored) -> None:
         """Handles the acknowledgement of the predecessor and all members before it."""
         if self._is_in_chain(message.epoch):
-            self._take_upstream(message.epoch, message.sender, message.seq)
+            self._record_upstream_stored(message.epoch, message.sender, message.seq)
 
     def on_commit(self, message: Commit) -> list[Committed | Restored]:
         """Handles a commit: the whole chain has stored these updates. Returns the commits that follow."""
@@ -187,16 +189,16 @@
         """Returns whether this replica holds the state of that epoch and has promised no higher one."""
         return epoch == self._context.epoch == self._context.synced
 
-    def _take_upstream(self, epoch: int, sender: str, seq: int) -> None:
-        self._enter_link(epoch)
+    def _record_upstream_stored(self, epoch: int, sender: str, seq: int) -> None:
+        self._reset_link(epoch)
         view = self._context.view
         if view is None or view.epoch != epoch or self._context.me.identity not in view.chain:
             return
-        place = view.chain.index(self._context.me.identity)
-        if place > 0 and view.chain[place - 1] == sender:
+        index = view.chain.index(self._context.me.identity)
+        if index > 0 and view.chain[index - 1] == sender:
             self._upstream = max(self._upstream, seq)
 
-    def _enter_link(self, epoch: int) -> None:
+    def _reset_link(self, epoch: int) -> None:
         if epoch != self._link_epoch:
             self._link_epoch, self._upstream, self._told = epoch, 0, 0
 
@@ -211,8 +213,8 @@
         view = self._context.view
         if view is None or self._context.me.identity not in view.chain:
             return None
-        place = view.chain.index(self._context.me.identity) + 1
-        return view.chain[place] if place < len(view.chain) else None
+        index = view.chain.index(self._context.me.identity) + 1
+        return view.chain[index] if index < len(view.chain) else None
 
     def _send_to(self, identity: str, message: object) -> None:
         view = self._context.view
@@ -231,7 +233,7 @@
         if message.epoch < known or is_late:
             context.report(now, ip, message.sender)
             return []
-        self.contact.judge(now, message)
+        self.contact.on_heartbeat(now, message)
         # A head's lease must rest only on voters that still know of their promise after a power loss.
         promise = context.disk.durable.meta
         is_promised = message.epoch == context.epoch == promise.promised
@@ -241,7 +243,7 @@
         if message.active:
             context.active_epoch = max(context.active_epoch, message.epoch)
             if message.epoch == known and not context.settled:
-                context.disk.note(now, settled=True)
+                context.disk.set_meta_later(now, settled=True)
         if not self._is_in_chain(message.epoch):
             return []
         return self._commit(message.committed)
@@ -294,7 +296,7 @@
         view = context.view
         if view is None or not self._is_in_chain(view.epoch) or view.head == context.me.identity:
             return
-        self._enter_link(view.epoch)
+        self._reset_link(view.epoch)
         seq = self._stored()
         if seq <= self._told:
             return
--- a/cloverrouter/coordination/head.py
+++ b/cloverrouter/coordination/head.py
@@ -4,7 +4,7 @@
 
 from cloverrouter.coordination.catch_up import CatchUpSender, Progress
 from cloverrouter.coordination.context import Context, view_info
-from cloverrouter.coordination.desk import Asked, Desk, Flying
+from cloverrouter.coordination.desk import Asked, Desk, UncommittedCommand
 from cloverrouter.coordination.effects import Answer, Outcome, ViewInfo
 from cloverrouter.coordination.messages import (
     Announce,
@@ -23,7 +23,7 @@
 from cloverrouter.coordination.views import Member, View, is_majority
 
 # The view and the state are sent again after this long without an acknowledgement.
-HAND_AGAIN_S = 0.5
+VIEW_RESEND_S = 0.5
 REPAIR_AFTER_S = 0.2
 # Maximum total size of the updates in one message, unless a single update exceeds it.
 FORWARD_BYTES = 1024 * 1024
@@ -39,11 +39,11 @@
         desk: Desk,
         view: View,
         promises: dict[str, Promise],
-        lineage: dict[int, int],
+        prefix_seqs: dict[int, int],
         now: float,
         follows: int,
     ) -> None:
-        """`lineage`: maps an epoch to the newest update up to which states received in it are prefixes of
+        """`prefix_seqs`: maps an epoch to the newest update up to which states received in it are prefixes of
         this head's state.
         `follows`: see `Replica.follows`."""
         self.view = view
@@ -53,18 +53,18 @@
         self._roster = roster
         self._desk = desk
         self._promises = promises
-        self._lineage = lineage
-        self._base = context.history.newest
+        self._lineage = prefix_seqs
+        self._base_seq = context.history.newest
         self.rounds = Rounds(context.me.identity, view, context.config, now)
-        self._beat_at = now
-        self._sent_at = now  # when updates were last sent
+        self._last_round_at = now
+        self._last_forward_at = now  # when updates were last sent
         self._catch_up = CatchUpSender(context, view.epoch)
-        self._tail_stored = 0
-        self._told_stored = 0
-        context.take_view(view, context.me.identity, synced=True)
+        self._tail_stored_seq = 0
+        self._last_stored_sent = 0
+        context.adopt_view(view, context.me.identity, synced=True)
         roster.begin(now, view)
         desk.new_rounds()
-        self._hand_out(now)
+        self._send_view_to_all(now)
         self.beat(now)
 
     # -- bringing the view into force --
@@ -74,15 +74,15 @@
         me = self._context.me.identity
         return [member for member in self.view.electorate(settled=False) if member.identity != me]
 
-    def _hand_out(self, now: float) -> None:
+    def _send_view_to_all(self, now: float) -> None:
         for member in self._others:
             peer = self._roster.peers.get(member.identity)
             if peer is not None:
-                self._hand(now, peer)
+                self._send_view(now, peer)
 
-    def _hand(self, now: float, peer: Peer) -> None:
+    def _send_view(self, now: float, peer: Peer) -> None:
         """Sends the view and the state to a chain member, or the view only to another replica."""
-        if peer.handed_at and now - peer.handed_at < HAND_AGAIN_S:
+        if peer.handed_at and now - peer.handed_at < VIEW_RESEND_S:
             return
         peer.handed_at = now
         me, identity = self._context.me.identity, peer.member.identity
@@ -105,14 +105,14 @@
         if promise is not None:
             synced, seq = promise.synced, promise.seq
             updates = self._updates_from(synced, seq)
-        if updates is not None and self._context.history.newest != self._base:
-            updates = updates[: self._base - seq]
+        if updates is not None and self._context.history.newest != self._base_seq:
+            updates = updates[: self._base_seq - seq]
         state = self._context.history.snapshot() if updates is None else None
         return Install(
             sender=self._context.me.identity,
             receiver=identity,
             view=self.view,
-            seq=state.seq if state is not None else self._base,
+            seq=state.seq if state is not None else self._base_seq,
             snapshot=state.data if state is not None else None,
             from_synced=synced,
             from_seq=seq,
@@ -126,7 +126,7 @@
         """Returns whether the whole chain has stored the view and the state, and a majority of the old voters
         the view."""
         epoch = self.view.epoch
-        if not self._own_is_stored():
+        if not self._is_own_state_stored():
             return False
         for identity in self.view.chain[1:]:
             report = self._report(identity)
@@ -141,7 +141,7 @@
                 holders.add(member.identity)
         return is_majority(self.view.old_voters, holders)
 
-    def _own_is_stored(self) -> bool:
+    def _is_own_state_stored(self) -> bool:
         return self._context.disk.durable.meta.synced == self.view.epoch
 
     def _report(self, identity: str) -> Report | None:
@@ -159,19 +159,19 @@
 
     def _lacks_long_state(self, peer: Peer) -> bool:
         """Returns whether a member needs a chunked state transfer before it joins the chain."""
-        if not self._context.has_long_state or not self._catch_up.may_wait(peer.member.identity):
+        if not self._context.has_long_state or not self._catch_up.has_transfers_left(peer.member.identity):
             return False
         report = peer.report
         return report is None or self._updates_from(report.synced, report.seq) is None
 
-    def caught_up(self, now: float, message: CatchUpTaken) -> None:
+    def on_catch_up_taken(self, now: float, message: CatchUpTaken) -> None:
         """Handles the acknowledgement of state chunks."""
-        self._catch_up.taken(now, message)
+        self._catch_up.on_taken(now, message)
 
     def _tick_catch_up(self, now: float) -> None:
         if not self.active:
             return
-        wanted = self._roster.well_outside(now, self.view)
+        wanted = self._roster.healthy_outside_chain(now, self.view)
         self._catch_up.tick(now, [peer.member for peer in wanted if self._lacks_long_state(peer)])
 
     # -- heartbeats and confirmation --
@@ -179,7 +179,7 @@
     def beat(self, now: float) -> int:
         """Starts a heartbeat round and returns its number."""
         context = self._context
-        self._beat_at = now
+        self._last_round_at = now
         trouble_s = context.disk.trouble_s(now)
         is_fit = not context.resigning and trouble_s < context.config.failure_timeout_s
         number = self.rounds.begin(now, is_fit)
@@ -199,22 +199,22 @@
 
     def on_report(self, now: float, report: Report) -> None:
         """Handles a report; sends again what the member lacks."""
-        peer = self._roster.heard(now, report, self.view.epoch)
+        peer = self._roster.on_report(now, report, self.view.epoch)
         self._context.seen_epoch = max(self._context.seen_epoch, report.promised)
         if peer is None or report.promised > self.view.epoch:
             return
         if report.round_epoch == self.view.epoch:
-            self.rounds.answered(report.sender, report.round)
+            self.rounds.on_answer(report.sender, report.round)
         in_chain = report.sender in self.view.chain
         behind = report.synced != self.view.epoch if in_chain else report.view_epoch != self.view.epoch
         if behind:
-            self._hand(now, peer)
+            self._send_view(now, peer)
         elif in_chain and self.active:
             self._repair(now, peer, report)
 
     @property
     def lead_until(self) -> float | None:
-        """Time until which no other replica can become head, see `Rounds.lead_until`; None without a lease."""
+        """End of the lease; None without one, or while the view is not in force. See `Rounds.lead_until`."""
         return self.rounds.lead_until if self.active else None
 
     # -- commands --
@@ -223,11 +223,11 @@
         """Evaluates queued commands up to the limit of uncommitted updates."""
         config = self._context.config
         desk = self._desk
-        while self.active and desk.waiting and len(desk.flying) < config.in_flight:
-            if desk.is_read_before(desk.waiting[0].since):
-                # the read needs a moment without uncommitted updates; commands that arrived after it wait
+        while self.active and desk.queued and len(desk.flying) < config.max_in_flight:
+            if desk.has_read_before(desk.queued[0].since):
+                # A pending read needs a moment without uncommitted updates; commands that arrived after it wait.
                 return
-            entry = desk.waiting.popleft()
+            entry = desk.queued.popleft()
             self._decide(now, entry.ticket, entry.command)
 
     def _decide(self, now: float, ticket: int, command: bytes) -> None:
@@ -243,7 +243,7 @@
             return
         seq = context.history.append(decision.update)
         context.disk.append(seq, decision.update)
-        desk.flying.append(Flying(ticket, seq, decision.reply))
+        desk.flying.append(UncommittedCommand(ticket, seq, decision.reply))
 
     def _has_room(self, update_bytes: int) -> bool:
         """Returns whether the state has room for an update of that size, if needed after compaction."""
@@ -290,7 +290,7 @@
         successor = self.view.voter(self.view.chain[1])
         if successor is not None:
             self._send_updates(successor, sent + 1, updates)
-        self._sent_at = now
+        self._last_forward_at = now
         return history.newest
 
     def _send_updates(self, member: Member, first: int, updates: tuple[bytes, ...]) -> None:
@@ -313,7 +313,7 @@
     def _repair(self, now: float, peer: Peer, report: Report) -> None:
         """Resends the updates that a member lacks, unless they were sent a moment ago."""
         history = self._context.history
-        if report.received_seq >= history.newest or now - self._sent_at < REPAIR_AFTER_S:
+        if report.received_seq >= history.newest or now - self._last_forward_at < REPAIR_AFTER_S:
             return
         if now - peer.repaired_at < REPAIR_AFTER_S:
             return
@@ -325,17 +325,17 @@
     def on_stored(self, message: Stored) -> None:
         """Handles the tail's acknowledgement, which covers all members before it."""
         if message.epoch == self.view.epoch and message.sender == self.view.chain[-1]:
-            self._tail_stored = max(self._tail_stored, message.seq)
+            self._tail_stored_seq = max(self._tail_stored_seq, message.seq)
 
     def _stored_by_all(self) -> int:
         """Returns the newest update that the whole chain has stored, from the tail's acknowledgement or the
         members' reports."""
-        least = self._own_stored()
+        stored_seq = self._own_stored()
         for identity in self.view.chain[1:]:
             report = self._report(identity)
             known = report.seq if report is not None and report.synced == self.view.epoch else 0
-            least = min(least, known)
-        return max(least, min(self._tail_stored, self._own_stored()))
+            stored_seq = min(stored_seq, known)
+        return max(stored_seq, min(self._tail_stored_seq, self._own_stored()))
 
     def flush(self, now: float) -> bool:
         """Commits and acknowledges after completed writes and received reports. Returns whether the view has
@@ -343,10 +343,10 @@
         begins = not self.active and self._is_in_force()
         if begins:
             self.active = True
-            self._context.disk.note(now, settled=True)
+            self._context.disk.set_meta_later(now, settled=True)
         if not self.active:
             return False
-        self._tell_stored()
+        self._send_stored()
         seq = self._stored_by_all()
         if seq > self._context.history.committed or begins:
             self._commit(now, seq)
@@ -354,11 +354,11 @@
             self.beat(now)
         return begins
 
-    def _tell_stored(self) -> None:
+    def _send_stored(self) -> None:
         seq = self._own_stored()
-        if len(self.view.chain) < 2 or seq <= max(self._told_stored, self._base):
+        if len(self.view.chain) < 2 or seq <= max(self._last_stored_sent, self._base_seq):
             return
-        self._told_stored = seq
+        self._last_stored_sent = seq
         successor = self.view.voter(self.view.chain[1])
         if successor is not None:
             me = self._context.me.identity
@@ -367,7 +367,7 @@
     def _commit(self, now: float, seq: int) -> None:
         context = self._context
         context.effects += context.history.commit(seq)
-        context.disk.note(now, committed=context.history.committed)
+        context.disk.set_meta_later(now, committed=context.history.committed)
         context.effects += self._desk.committed(context.history.committed)
         for identity in self.view.chain[1:]:
             member = self.view.voter(identity)
@@ -378,9 +378,9 @@
 
     def tick(self, now: float) -> None:
         """Sends heartbeats that are due, updates the members' health and continues state transfers."""
-        if now - self._beat_at >= self._context.config.heartbeat_s:
+        if now - self._last_round_at >= self._context.config.heartbeat_s:
             self.beat(now)
-        self._roster.mark(now)
+        self._roster.update_health(now)
         self._tick_catch_up(now)
 
     def plan(self, now: float) -> Plan | None:
--- a/cloverrouter/coordination/history.py
+++ b/cloverrouter/coordination/history.py
@@ -7,8 +7,8 @@
 from cloverrouter.store import Snapshot, StoredReplica
 
 # Limits of committed updates that stay in memory for members that lack them.
-KEPT_BYTES = 512 * 1024
-KEPT_UPDATES = 256
+MAX_RETAINED_BYTES = 512 * 1024
+MAX_RETAINED_UPDATES = 256
 
 
 class History:
@@ -99,6 +99,6 @@
 
     def _trim(self) -> None:
         while self._updates and self.newest - len(self._updates) < self.committed:
-            if self._bytes <= KEPT_BYTES and len(self._updates) <= KEPT_UPDATES:
+            if self._bytes <= MAX_RETAINED_BYTES and len(self._updates) <= MAX_RETAINED_UPDATES:
                 return
             self._bytes -= len(self._updates.pop(0))
--- a/cloverrouter/coordination/proposal.py
+++ b/cloverrouter/coordination/proposal.py
@@ -2,10 +2,9 @@
 
 | phase | left when |
 | --- | --- |
-| CANVASSING | pre-vote: a quorum would promise. Only then is an epoch used, so a head that others hear is not
-disturbed |
+| PRE_VOTE | a quorum would promise; an epoch is used only then, so that a head others hear is not disturbed |
 | RESERVING | the own promise is durable: the epoch is never used a second time |
-| COLLECTING | a quorum has promised, and the slower voters had `gather_s` |
+| COLLECTING | a quorum has promised, and the slower voters had `gather_s` to answer |
 | FETCHING | the newest state among the promises has arrived |
 | READY | the replica makes it the head |
 | DEAD | a higher epoch was seen, or this replica is no voter |
@@ -26,7 +25,7 @@
 class Phase(Enum):
     """Phase of an election; see the table above."""
 
-    CANVASSING = "canvassing"
+    PRE_VOTE = "canvassing"
     RESERVING = "reserving"
     COLLECTING = "collecting"
     FETCHING = "fetching"
@@ -51,23 +50,23 @@
         """With the plan of an active head there is no pre-vote."""
         self._context = context
         self.plan = plan
-        self.phase = Phase.CANVASSING
+        self.phase = Phase.PRE_VOTE
         self.epoch = 0
-        self.fetched = False
+        self.has_fetched_state = False
         self.promises: dict[str, Promise] = {}
         self._attempt = attempt
         self._supporters = {context.me.identity}
-        self._asked_at = now
+        self._requested_at = now
         self._retry_s = context.config.retry_s
         self._quorum_at: float | None = None
         self._source: Promise | None = None  # promise of the replica that the state was requested from
-        self._fetch_until = 0.0
+        self._fetch_deadline = 0.0
         # how long one source may take; grows, as states may be large
-        self._patience_s = context.config.failure_timeout_s
+        self._source_timeout_s = context.config.failure_timeout_s
         if plan is not None:
             self._reserve()
         else:
-            self._ask(now)
+            self._send_requests(now)
             self._count_supporters()
 
     def receive(self, now: float, message: object) -> None:
@@ -87,15 +86,15 @@
         """Repeats requests and handles timeouts."""
         if self.phase is Phase.COLLECTING:
             self._choose(now)
-        if self.phase is Phase.FETCHING and now >= self._fetch_until:
-            self._do_without(now)
-        elif now - self._asked_at >= self._retry_s:
-            self._ask(now)
+        if self.phase is Phase.FETCHING and now >= self._fetch_deadline:
+            self._abandon_source(now)
+        elif now - self._requested_at >= self._retry_s:
+            self._send_requests(now)
 
-    def _ask(self, now: float) -> None:
+    def _send_requests(self, now: float) -> None:
         """Sends the current phase's request to all that have not answered."""
-        self._asked_at = now
-        if self.phase is Phase.CANVASSING:
+        self._requested_at = now
+        if self.phase is Phase.PRE_VOTE:
             known = self._view.epoch
             for member in self._others(self._supporters):
                 question = Canvass(self._context.me.identity, member.identity, self._attempt, known)
@@ -118,7 +117,7 @@
         electorate = self._view.electorate(self._context.settled)
         return [member for member in electorate if member.identity not in known]
 
-    def _still_votes(self) -> bool:
+    def _check_is_voter(self) -> bool:
         if self._view.voter(self._context.me.identity) is not None:
             return True
         self.phase = Phase.DEAD
@@ -129,15 +128,15 @@
     def on_support(self, now: float, message: Support) -> None:
         """Handles a pre-vote reply."""
         self._context.seen_epoch = max(self._context.seen_epoch, message.promised)
-        if self.phase is not Phase.CANVASSING or message.attempt != self._attempt:
+        if self.phase is not Phase.PRE_VOTE or message.attempt != self._attempt:
             return
         known = self._view.epoch
         self._context.learn_view(now, message.view, message.settled)
-        if not self._still_votes():
+        if not self._check_is_voter():
             return
         if self._view.epoch > known:
             self._supporters = {self._context.me.identity}
-            self._ask(now)
+            self._send_requests(now)
         elif message.granted:
             self._supporters.add(message.sender)
             self._count_supporters()
@@ -173,7 +172,7 @@
             settled=context.settled,
         )
         self.promises[context.me.identity] = own
-        self._ask(now)
+        self._send_requests(now)
         self._choose(now)
 
     def on_promise(self, now: float, message: Promise) -> None:
@@ -185,11 +184,11 @@
             return
         known = self._view.epoch
         self._context.learn_view(now, message.view, message.settled)
-        if not self._still_votes():
+        if not self._check_is_voter():
             return
         self.promises[message.sender] = message
         if self._view.epoch > known:
-            self._ask(now)
+            self._send_requests(now)
         self._choose(now)
 
     def on_refused(self, message: Refused) -> None:
@@ -199,15 +198,15 @@
             self.phase = Phase.DEAD
 
     def _choose(self, now: float) -> None:
-        """Selects the newest state once a quorum has promised and the slower voters had `gather_s`."""
+        """Selects the newest state once a quorum has promised and the slower voters had time to answer."""
         if not self._has_quorum():
             return
         if self._quorum_at is None:
             self._quorum_at = now
-        is_over = now - self._quorum_at >= self._gather_s()
-        if not is_over and not self._all_answered():
+        is_over = now - self._quorum_at >= self._promise_wait_s()
+        if not is_over and not self._have_all_answered():
             return
-        if not self._has_chain():
+        if not self._has_min_chain():
             return
         best = max(self.promises.values(), key=lambda promise: (promise.synced, promise.seq))
         own = self.promises[self._context.me.identity]
@@ -219,17 +218,17 @@
     def _has_quorum(self) -> bool:
         return self._view.has_quorum(self.promises, self._context.settled)
 
-    def _has_chain(self) -> bool:
-        return len(self._chain_members()) >= self._least_chain()
+    def _has_min_chain(self) -> bool:
+        return len(self._chain_members()) >= self._min_chain_length()
 
-    def _gather_s(self) -> float:
+    def _promise_wait_s(self) -> float:
         """Returns how long further promises are awaited: longer with a plan, whose members were healthy a
         moment ago."""
         config = self._context.config
         return config.gather_s if self.plan is None else max(config.gather_s, config.failure_timeout_s / 2)
 
-    def _all_answered(self) -> bool:
-        if self.plan is not None and self._plan_holds():
+    def _have_all_answered(self) -> bool:
+        if self.plan is not None and self._is_plan_current():
             voters = {member.identity for member in self._view.voters}
             return all(identity in self.promises for identity in self.plan.chain & voters)
         return not self._others(self.promises)
@@ -239,9 +238,9 @@
     def _fetch(self, now: float, source: Promise) -> None:
         self.phase = Phase.FETCHING
         self._source = source
-        self._fetch_until = now + self._patience_s
+        self._fetch_deadline = now + self._source_timeout_s
         self._retry_s = self._context.config.retry_s
-        self._asked_at = now
+        self._requested_at = now
         self._ask_state()
 
     def _ask_state(self) -> None:
@@ -256,15 +255,15 @@
         question = Fetch(context.me.identity, members[0].identity, self.epoch)
         context.send(context.address(members[0]), question)
 
-    def _do_without(self, now: float) -> None:
+    def _abandon_source(self, now: float) -> None:
         """Continues without the source, which does not answer. Its state still counts if it arrives later."""
         if self._source is not None:
             self.promises.pop(self._source.sender, None)
-        self._patience_s *= 2
+        self._source_timeout_s *= 2
         self._quorum_at = None
         self._retry_s = self._context.config.retry_s
         self.phase = Phase.COLLECTING
-        self._ask(now)
+        self._send_requests(now)
 
     def on_state(self, message: State) -> None:
         """Handles a state."""
@@ -280,25 +279,25 @@
             return
         # still valid, even if the election went on without it meanwhile
         self.promises[promise.sender] = promise
-        if not self._has_quorum() or not self._has_chain():
+        if not self._has_quorum() or not self._has_min_chain():
             return
         context.history.replace(message.seq, message.snapshot)
         context.disk.replace(message.seq, message.snapshot)
         context.disk.change(synced=message.synced)
-        self.fetched = True
+        self.has_fetched_state = True
         self.phase = Phase.READY
 
     # -- the new view --
 
-    def _plan_holds(self) -> bool:
+    def _is_plan_current(self) -> bool:
         return self.plan is not None and self._view.epoch == self.plan.base_epoch
 
     def _voters(self) -> tuple[Member, ...]:
-        if self.plan is not None and self._plan_holds():
+        if self.plan is not None and self._is_plan_current():
             return self.plan.voters
         return self._view.voters
 
-    def _least_chain(self) -> int:
+    def _min_chain_length(self) -> int:
         return least_chain(len(self._voters()), self._context.config.tolerance)
 
     def _chain_members(self) -> list[Member]:
@@ -306,16 +305,16 @@
         of them and the new voter."""
         voters = self._voters()
         present = set(self.promises)
-        if self.plan is not None and self._plan_holds():
+        if self.plan is not None and self._is_plan_current():
             present |= self.plan.chain - {member.identity for member in self._view.voters}
             planned = [member for member in voters if member.identity in self.plan.chain & present]
-            if len(planned) >= self._least_chain():
+            if len(planned) >= self._min_chain_length():
                 return planned
         members = [member for member in voters if member.identity in present]
         if not self._context.has_long_state:
             return members
         ready = [member for member in members if not self._lacks_state(member)]
-        return ready if len(ready) >= self._least_chain() else members
+        return ready if len(ready) >= self._min_chain_length() else members
 
     def _lacks_state(self, member: Member) -> bool:
         """Returns whether a member can only be brought up to date with the whole state; it then joins the
--- a/cloverrouter/coordination/replica.py
+++ b/cloverrouter/coordination/replica.py
@@ -13,7 +13,7 @@
 
 from cloverrouter.coordination.catch_up import CatchUpReceiver, Progress
 from cloverrouter.coordination.context import Context, view_info
-from cloverrouter.coordination.desk import Asked, Desk, Waiting
+from cloverrouter.coordination.desk import Asked, Desk, QueuedCommand
 from cloverrouter.coordination.disk import DiskQueue
 from cloverrouter.coordination.effects import (
     Answer,
@@ -89,7 +89,7 @@
         self._proposal: Proposal | None = None
         self._is_reviewing = False  # the election is that of a head that changes its own view
         self._lineage: dict[int, int] = {0: 0}
-        self._sent = 0  # newest update sent down the chain
+        self._forwarded_seq = 0  # newest update sent down the chain
         self._attempts = 0
         self._jitter = 0.0
         self._not_before = 0.0  # no election starts before this time
@@ -116,7 +116,7 @@
         if view is None:
             return None
         contact = self._follower.contact
-        is_heard = self._now - contact.heard_at < self._config.failure_timeout_s
+        is_heard = self._now - contact.last_contact_at < self._config.failure_timeout_s
         return view_info(self._context, view, is_heard and contact.is_active and contact.head == view.head)
 
     @property
@@ -158,7 +158,7 @@
     def remember_fleet_size(self, now: float, size: int) -> None:
         """Stores the fleet size for the next start, when no other replica may know it."""
         if size != self.fleet_size:
-            self._context.disk.note(now, fleet_size=size)
+            self._context.disk.set_meta_later(now, fleet_size=size)
 
     @property
     def note(self) -> bytes:
@@ -194,35 +194,35 @@
         self._follower = Follower(self._context, now)
         self._draw_jitter()
         self._context.effects += self._context.history.start(self._stored)
-        self._sent = self._context.history.newest
+        self._forwarded_seq = self._context.history.newest
         # release the memory; history and disk hold the content
         self._stored = StoredReplica(self._stored.identity)
         return self._finish(now)
 
     def tick(self, now: float) -> list[Effect]:
         """Handles the passing of time; to be called every 50 ms."""
-        self._look_at_clock(now)
+        self._detect_freeze(now)
         if self._head is not None:
             self._tick_head(now, self._head)
         elif self._proposal is not None:
             self._proposal.tick(now)
         else:
-            self._stand_up(now)
+            self._start_election_if_due(now)
         self._context.effects += self._desk.expire(now - self._config.wait_s)
         return self._finish(now)
 
     def receive(self, now: float, sender_ip: str, message: object) -> list[Effect]:
         """Handles a message; drops those for another disk identity."""
-        self._look_at_clock(now)
+        self._detect_freeze(now)
         if getattr(message, "receiver", self.me.identity) == self.me.identity:
-            self._take(now, sender_ip, message)
+            self._dispatch(now, sender_ip, message)
         return self._finish(now)
 
     def persisted(self, now: float, token: int, error: str | None = None) -> list[Effect]:
         """Reports that the outstanding record is durable, or was refused with `error`."""
-        self._look_at_clock(now)
+        self._detect_freeze(now)
         before = self.note
-        self._context.disk.done(now, token, error)
+        self._context.disk.on_written(now, token, error)
         if self.note != before:
             self._context.effects.append(NoteKept(self.note))
         return self._finish(now)
@@ -237,18 +237,18 @@
 
     def submit(self, now: float, ticket: int, command: bytes) -> list[Effect]:
         """Submits a command; its `Answer` carries the ticket."""
-        if not self._leads_or_will():
+        if not self._accepts_calls():
             return self._answer(now, ticket, Outcome.NOT_HEAD)
-        if len(self._desk.waiting) >= self._config.waiting:
+        if len(self._desk.queued) >= self._config.max_queued:
             return self._answer(now, ticket, Outcome.UNAVAILABLE)
-        self._desk.waiting.append(Waiting(ticket, command, now))
+        self._desk.queued.append(QueuedCommand(ticket, command, now))
         return self._finish(now)
 
     def read(self, now: float, ticket: int) -> list[Effect]:
         """Requests the committed state; its `Answer` carries the ticket."""
-        if not self._leads_or_will():
+        if not self._accepts_calls():
             return self._answer(now, ticket, Outcome.NOT_HEAD)
-        if len(self._desk.asked) >= self._config.waiting:
+        if len(self._desk.asked) >= self._config.max_queued:
             return self._answer(now, ticket, Outcome.UNAVAILABLE)
         self._desk.asked.append(Asked(ticket, 0, None, now))
         return self._finish(now)
@@ -265,20 +265,20 @@
         self._context.effects.append(Answer(ticket, outcome))
         return self._finish(now)
 
-    def _leads_or_will(self) -> bool:
+    def _accepts_calls(self) -> bool:
         return self._head is not None or self._is_reviewing
 
     # -- time --
 
-    def _look_at_clock(self, now: float) -> None:
+    def _detect_freeze(self, now: float) -> None:
         """Detects a freeze of this process by the time since the last event, and restarts the timeouts on
         others' silence."""
         if now - self._now > self._config.failure_timeout_s / 2:
-            self._follower.contact.forgive(now)
-            self._roster.forgive(now)
-            self._context.disk.forgive(now)
+            self._follower.contact.reset_timeouts(now)
+            self._roster.reset_timeouts(now)
+            self._context.disk.reset_timeouts(now)
             if self._head is not None:
-                self._head.rounds.forgive(now)
+                self._head.rounds.reset_timeouts(now)
         self._now = now
 
     def _tick_head(self, now: float, head: Head) -> None:
@@ -288,30 +288,30 @@
             return
         plan = head.plan(now)
         if plan is not None:
-            self._review(now, head, plan)
+            self._start_view_change(now, head, plan)
 
-    def _stand_up(self, now: float) -> None:
-        due = self._follower.contact.stands_up_at(self._jitter)
+    def _start_election_if_due(self, now: float) -> None:
+        due = self._follower.contact.election_due_at(self._jitter)
         if due is None or now < due or now < self._not_before:
             return
         if self._context.disk.trouble_s(now) >= self._config.failure_timeout_s / 2:
             return
         self._attempts += 1
-        self._note_silent_head()
+        self._record_silent_head()
         self._proposal = Proposal(self._context, now, self._attempts)
 
-    def _note_silent_head(self) -> None:
+    def _record_silent_head(self) -> None:
         view, contact = self._context.view, self._follower.contact
         member = view.voter(contact.head) if view is not None and contact.head is not None else None
         if member is not None and member.identity != self.me.identity:
-            self._roster.was_silent(member, contact.heard_at)
+            self._roster.record_silence(member, contact.last_contact_at)
 
     def _draw_jitter(self) -> None:
         self._jitter = self._random.uniform(0, self._config.jitter_s)
 
     # -- roles --
 
-    def _review(self, now: float, head: Head, plan: Plan) -> None:
+    def _start_view_change(self, now: float, head: Head, plan: Plan) -> None:
         """Ends the head's epoch and starts the election of its next view."""
         if head.active:
             self._lineage[head.view.epoch] = self._context.history.newest
@@ -322,15 +322,15 @@
 
     def _become_head(self, now: float, proposal: Proposal) -> None:
         context = self._context
-        if proposal.fetched:
+        if proposal.has_fetched_state:
             self._lineage = {0: 0}
             context.effects += self._desk.give_up()
         # Any state received in the same epoch is a prefix of the state that continues here.
         self._lineage[context.synced] = context.history.newest
         follows, view = context.synced, proposal.new_view()
         self._proposal, self._is_reviewing = None, False
-        self._sent = context.history.newest
-        self._follower.contact.hear(now, context.me.identity)
+        self._forwarded_seq = context.history.newest
+        self._follower.contact.record_contact(now, context.me.identity)
         self._head = Head(
             context, self._roster, self._desk, view, proposal.promises, self._lineage, now, follows
         )
@@ -341,7 +341,7 @@
         self._proposal = None
         self._is_reviewing = False
         self._lineage = {0: 0}
-        self._roster.forget()
+        self._roster.clear()
         self._draw_jitter()
         self._not_before = now + self._config.retry_s + self._jitter
         self._context.effects += self._desk.give_up()
@@ -350,7 +350,7 @@
         """Steps down if another replica has, or is about to have, this higher epoch."""
         if self._head is not None:
             own = self._head.view.epoch
-        elif self._proposal is not None and self._proposal.phase is not Phase.CANVASSING:
+        elif self._proposal is not None and self._proposal.phase is not Phase.PRE_VOTE:
             own = self._proposal.epoch
         else:
             return
@@ -359,7 +359,7 @@
 
     # -- messages --
 
-    def _take(self, now: float, ip: str, message: object) -> None:
+    def _dispatch(self, now: float, ip: str, message: object) -> None:
         handler = self._handlers.get(type(message))
         if handler is not None:
             handler(now, ip, message)
@@ -392,11 +392,11 @@
     def _on_catch_up_part(self, now: float, ip: str, message: CatchUpPart) -> None:
         if self._head is None and self._catch_up.receive(ip, message):
             self._lineage = {0: 0}
-            self._sent = self._context.history.newest
+            self._forwarded_seq = self._context.history.newest
 
     def _on_catch_up_taken(self, now: float, ip: str, message: CatchUpTaken) -> None:
         if self._head is not None:
-            self._head.caught_up(now, message)
+            self._head.on_catch_up_taken(now, message)
 
     def _on_commit(self, now: float, ip: str, message: Commit) -> None:
         self._context.effects += self._follower.on_commit(message)
@@ -407,8 +407,8 @@
     def _on_heartbeat(self, now: float, ip: str, message: Heartbeat) -> None:
         self._yield_to(now, message.epoch)
         self._context.effects += self._follower.on_heartbeat(now, ip, message)
-        if self._follower.contact.is_well(now):
-            self._end_canvass()
+        if self._follower.contact.is_healthy(now):
+            self._cancel_pre_vote()
 
     def _on_report(self, now: float, ip: str, message: Report) -> None:
         if self._head is not None:
@@ -427,25 +427,25 @@
             self._follower.on_announce(now, ip, message)
         elif self._follower.on_install(now, ip, message):
             self._lineage = {0: 0}
-            self._sent = self._context.history.newest
+            self._forwarded_seq = self._context.history.newest
 
     def _on_canvass(self, now: float, ip: str, message: Canvass) -> None:
-        if self._is_well_followed(now):
+        if self._is_followed_head(now):
             return
         self._follower.on_canvass(now, ip, message)
 
     def _on_propose(self, now: float, ip: str, message: Propose) -> None:
-        if self._is_well_followed(now):
+        if self._is_followed_head(now):
             return
         if self._follower.on_propose(now, ip, message):
             self._yield_to(now, message.epoch)
-            self._end_canvass()
+            self._cancel_pre_vote()
 
-    def _end_canvass(self) -> None:
-        if self._proposal is not None and self._proposal.phase is Phase.CANVASSING:
+    def _cancel_pre_vote(self) -> None:
+        if self._proposal is not None and self._proposal.phase is Phase.PRE_VOTE:
             self._proposal = None
 
-    def _is_well_followed(self, now: float) -> bool:
+    def _is_followed_head(self, now: float) -> bool:
         """Returns whether this replica is a healthy head that a majority has answered within `sticky_s`."""
         if self._head is None or self._context.resigning:
             return False
@@ -457,7 +457,7 @@
 
     def _on_genesis(self, now: float, ip: str, message: Genesis | GenesisQuery) -> None:
         if self._seed_disk.told(now, ip, message):
-            self._follower.contact.heard_at = now
+            self._follower.contact.last_contact_at = now
 
     def _on_ballot(self, now: float, ip: str, message: SeedPrepare | SeedAccept) -> None:
         self._seed_disk.asked(ip, message)
@@ -471,33 +471,33 @@
         self._seed_disk.flush()
         if self._proposal is not None:
             self._proposal.flush(now)
-            self._look_at_proposal(now, self._proposal)
+            self._advance_proposal(now, self._proposal)
         if self._head is not None:
-            self._work(now, self._head)
+            self._advance_head(now, self._head)
         following = context.disk.next(now, self._config.settle_s)
         if following is not None:
             context.effects.append(Persist(*following))
-        self._tell_view()
+        self._publish_view()
         effects, context.effects = context.effects, []
         return effects
 
-    def _look_at_proposal(self, now: float, proposal: Proposal) -> None:
+    def _advance_proposal(self, now: float, proposal: Proposal) -> None:
         if proposal.phase is Phase.READY:
             self._become_head(now, proposal)
         elif proposal.phase is Phase.DEAD:
             self._step_down(now)
 
-    def _work(self, now: float, head: Head) -> None:
+    def _advance_head(self, now: float, head: Head) -> None:
         """Advances the head's commands, reads and updates as far as possible."""
         head.flush(now)
         head.work(now)
-        self._sent = head.forward(now, self._sent)
+        self._forwarded_seq = head.forward(now, self._forwarded_seq)
         head.ask_rounds(now)
         head.answer_asked()
         head.work(now)
-        self._sent = head.forward(now, self._sent)
+        self._forwarded_seq = head.forward(now, self._forwarded_seq)
 
-    def _tell_view(self) -> None:
+    def _publish_view(self) -> None:
         info = self.view_info
         if info is not None and info != self._told:
             self._told = info
--- a/cloverrouter/coordination/roster.py
+++ b/cloverrouter/coordination/roster.py
@@ -13,12 +13,12 @@
 from cloverrouter.coordination.views import Member, View, least_chain
 
 # A spare that discovery has not reported for this long is dropped.
-SPARE_SEEN_S = 6.0
+SPARE_TTL_S = 6.0
 # A head that sees a higher promise waits this long for the proposer that holds it.
 FENCED_WAIT_S = 0.3
-MOST_RELAPSES = 5
+MAX_RELAPSES = 5
 # Relapses are forgotten after this time of good health.
-CLEAN_AFTER_S = 20.0
+RELAPSE_RESET_S = 20.0
 
 
 @attrs.define(slots=True)
@@ -26,18 +26,18 @@
     """One other disk, as seen by the head."""
 
     member: Member
-    heard: float  # time of its last answer, or of this object's creation
+    last_heard_at: float  # time of its last answer, or of this object's creation
     report: Report | None = None  # newest report in this head's epoch
-    well_since: float | None = None
+    healthy_since: float | None = None
     in_chain: bool = False  # in the chain of the last view that this replica led
     relapses: int = 0  # how often it has recently left the chain
     fenced_since: float | None = None  # since when its reports show a promise of a higher epoch
     handed_at: float = 0.0  # when the view or the state was last sent to it
     repaired_at: float = 0.0  # when updates were last resent to it
 
-    def is_well(self, now: float, config: ReplicaConfig) -> bool:
+    def is_healthy(self, now: float, config: ReplicaConfig) -> bool:
         """Returns whether it answers and its disk works, as far as is known."""
-        if now - self.heard >= config.failure_timeout_s:
+        if now - self.last_heard_at >= config.failure_timeout_s:
             return False
         report = self.report
         return report is None or not (
@@ -65,47 +65,49 @@
         for member in view.electorate(settled=False):
             if member.identity != self._me.identity:
                 peer = self._peer(now, member)
-                peer.heard = max(peer.heard, now) if member.identity in view.chain else peer.heard
+                peer.last_heard_at = (
+                    max(peer.last_heard_at, now) if member.identity in view.chain else peer.last_heard_at
+                )
         for peer in self.peers.values():
-            self._enter_view(peer, view)
+            self._update_for_view(peer, view)
             peer.report = None
             peer.fenced_since = None
             peer.handed_at = peer.repaired_at = 0.0
 
-    def _enter_view(self, peer: Peer, view: View) -> None:
+    def _update_for_view(self, peer: Peer, view: View) -> None:
         """Updates a peer for the new view: outside the chain it must be healthy for a while before it joins,
         longer after each relapse."""
         was_in_chain, peer.in_chain = peer.in_chain, peer.member.identity in view.chain
         if peer.in_chain:
             return
-        peer.well_since = None
+        peer.healthy_since = None
         if was_in_chain:
-            peer.relapses = min(MOST_RELAPSES, peer.relapses + 1)
+            peer.relapses = min(MAX_RELAPSES, peer.relapses + 1)
 
     def _peer(self, now: float, member: Member) -> Peer:
         peer = self.peers.get(member.identity)
         if peer is None:
-            peer = self.peers[member.identity] = Peer(member, heard=now)
+            peer = self.peers[member.identity] = Peer(member, last_heard_at=now)
         return peer
 
-    def forget(self) -> None:
+    def clear(self) -> None:
         """Drops all peers, as this replica is not the head any more."""
         self.peers.clear()
 
-    def was_silent(self, member: Member, since: float) -> None:
+    def record_silence(self, member: Member, since: float) -> None:
         """Records that the previous head has been silent since then."""
-        self.peers[member.identity] = Peer(member, heard=since)
+        self.peers[member.identity] = Peer(member, last_heard_at=since)
 
-    def forgive(self, now: float) -> None:
+    def reset_timeouts(self, now: float) -> None:
         """Restarts the silence timeouts after a freeze of this process, during which nothing could be
         received."""
         for peer in self.peers.values():
-            peer.heard = max(peer.heard, now)
+            peer.last_heard_at = max(peer.last_heard_at, now)
 
     def spares(self, now: float, view: View) -> list[Member]:
         """Returns the recently discovered disks without a vote."""
         for identity, (_, seen) in list(self._spares.items()):
-            if now - seen > SPARE_SEEN_S:
+            if now - seen > SPARE_TTL_S:
                 del self._spares[identity]
         voters = {member.identity for member in view.voters}
         return [member for identity, (member, _) in self._spares.items() if identity not in voters]
@@ -114,8 +116,8 @@
         """Returns the spares that may be needed, whose health the head should therefore know."""
         spares = self.spares(now, view)
         is_vacant = any(self._is_vacant(now, member) for member in view.voters)
-        places = {member.ip for member in view.voters} | {member.name for member in view.voters}
-        wanted = [spare for spare in spares if is_vacant or spare.ip in places or spare.name in places]
+        machines = {member.ip for member in view.voters} | {member.name for member in view.voters}
+        wanted = [spare for spare in spares if is_vacant or spare.ip in machines or spare.name in machines]
         for member in wanted:
             self._peer(now, member)
         return wanted
@@ -141,29 +143,29 @@
     def silent_s(self, now: float, member: Member) -> float:
         """Returns for how long a member has not answered."""
         peer = self.peers.get(member.identity)
-        return now - peer.heard if peer is not None else 0.0
+        return now - peer.last_heard_at if peer is not None else 0.0
 
-    def heard(self, now: float, report: Report, epoch: int) -> Peer | None:
+    def on_report(self, now: float, report: Report, epoch: int) -> Peer | None:
         """Records a report; returns its peer, if known."""
         peer = self.peers.get(report.sender)
         if peer is None:
             return None
-        peer.heard = now
+        peer.last_heard_at = now
         peer.report = report
         if report.promised > epoch:
             peer.fenced_since = now if peer.fenced_since is None else peer.fenced_since
         else:
             peer.fenced_since = None
-        if peer.well_since is None and peer.is_well(now, self._config):
-            peer.well_since = now
+        if peer.healthy_since is None and peer.is_healthy(now, self._config):
+            peer.healthy_since = now
         return peer
 
-    def mark(self, now: float) -> None:
+    def update_health(self, now: float) -> None:
         """Updates since when each peer has been healthy."""
         for peer in self.peers.values():
-            if not peer.is_well(now, self._config):
-                peer.well_since = None
-            elif peer.well_since is not None and now - peer.well_since > CLEAN_AFTER_S:
+            if not peer.is_healthy(now, self._config):
+                peer.healthy_since = None
+            elif peer.healthy_since is not None and now - peer.healthy_since > RELAPSE_RESET_S:
                 peer.relapses = 0
 
     # -- the next view --
@@ -174,12 +176,12 @@
         """Returns the next view if another one than this is needed. `lacks_state`: whether a peer needs a
         chunked state transfer before it joins the chain."""
         if settled:
-            exchange = self._exchange(now, view, lacks_state)
+            exchange = self._replacement_plan(now, view, lacks_state)
             if exchange is not None:
                 return exchange
-        return self._regroup(now, view, lacks_state)
+        return self._chain_plan(now, view, lacks_state)
 
-    def well_outside(self, now: float, view: View) -> list[Peer]:
+    def healthy_outside_chain(self, now: float, view: View) -> list[Peer]:
         """Returns the voters outside the chain that answer and whose disks work."""
         outside = (self.peers.get(member.identity) for member in view.voters)
         return [
@@ -188,10 +190,10 @@
             if peer is not None
             and peer.member.identity not in view.chain
             and peer.report is not None
-            and peer.is_well(now, self._config)
+            and peer.is_healthy(now, self._config)
         ]
 
-    def _regroup(self, now: float, view: View, lacks_state: Callable[[Peer], bool]) -> Plan | None:
+    def _chain_plan(self, now: float, view: View, lacks_state: Callable[[Peer], bool]) -> Plan | None:
         """Returns a plan with the same voters and another chain, if needed."""
         present = {self._me.identity}
         reasons: list[str] = []
@@ -201,7 +203,7 @@
             if peer is None:
                 continue
             in_chain = member.identity in view.chain
-            is_fit = peer.is_well(now, self._config)
+            is_fit = peer.is_healthy(now, self._config)
             if not in_chain:
                 is_fit = self._may_join(now, peer, view) and not lacks_state(peer)
             if is_fit:
@@ -213,12 +215,12 @@
                 reasons.append(f"{member.name} has promised more")
         if not reasons:
             return None
-        chain = self._long_enough(now, view, present)
+        chain = self._padded_chain(now, view, present)
         if chain is None or (chain == set(view.chain) and not is_fenced):
             return None
         return Plan(view.epoch, view.voters, frozenset(chain), ", ".join(reasons))
 
-    def _long_enough(self, now: float, view: View, fit: set[str], gone: str = "") -> set[str] | None:
+    def _padded_chain(self, now: float, view: View, fit: set[str], replaced: str = "") -> set[str] | None:
         """Returns a chain of the fit members, padded to the minimum length with others that answer and whose
         disks work, though they are leaving or have not been healthy long enough. None if there are too few.
         """
@@ -227,13 +229,13 @@
         for member in view.voters:
             if len(chain) >= least:
                 break
-            if member.identity != gone and self._may_help(now, member, view):
+            if member.identity != replaced and self._may_pad_chain(now, member, view):
                 chain.add(member.identity)
         return chain if len(chain) >= least else None
 
-    def _may_help(self, now: float, member: Member, view: View) -> bool:
+    def _may_pad_chain(self, now: float, member: Member, view: View) -> bool:
         peer = self.peers.get(member.identity)
-        if peer is None or peer.report is None or now - peer.heard >= self._config.failure_timeout_s:
+        if peer is None or peer.report is None or now - peer.last_heard_at >= self._config.failure_timeout_s:
             return False
         if peer.report.trouble_ms >= self._config.failure_timeout_s * 500:
             return False
@@ -243,18 +245,18 @@
         """Returns whether a voter outside the chain may join: it has been healthy for a while, and its disk
         holds this view."""
         report = peer.report
-        if report is None or peer.well_since is None or not peer.is_well(now, self._config):
+        if report is None or peer.healthy_since is None or not peer.is_healthy(now, self._config):
             return False
         if report.trouble_ms >= self._config.failure_timeout_s * 500:
             return False  # its slow disk would delay all commands, and it would soon leave again
-        if now - peer.well_since < self._config.rejoin_s * 2 ** max(0, peer.relapses - 1):
+        if now - peer.healthy_since < self._config.rejoin_s * 2 ** max(0, peer.relapses - 1):
             return False
         return report.view_epoch == view.epoch or self._is_fenced(now, peer)
 
     def _is_fenced(self, now: float, peer: Peer) -> bool:
         return peer.fenced_since is not None and now - peer.fenced_since >= FENCED_WAIT_S
 
-    def _exchange(self, now: float, view: View, lacks_state: Callable[[Peer], bool]) -> Plan | None:
+    def _replacement_plan(self, now: float, view: View, lacks_state: Callable[[Peer], bool]) -> Plan | None:
         """Returns a plan that replaces one lost or leaving voter by a spare, if needed.
 
         A leaving voter is replaced while it still answers: its promise may be needed for that if another disk
@@ -267,60 +269,60 @@
         lost = [member for member in view.voters if self._seems_lost(now, member)]
         leaving = [member for member in view.voters if self._is_leaving(member)]
         pair = (
-            self._same_place(fit, lost)
-            or self._longest_silent(now, fit, lost)
-            or self._same_place(fit, leaving)
-            or self._nearest(fit, leaving)
-            or self._nearest(fit, [member for member in view.voters if self._is_stalled(member)])
+            self._same_machine_pair(fit, lost)
+            or self._longest_silent_pair(now, fit, lost)
+            or self._same_machine_pair(fit, leaving)
+            or self._nearest_pair(fit, leaving)
+            or self._nearest_pair(fit, [member for member in view.voters if self._is_stalled(member)])
         )
         if pair is None:
             return None
-        gone, spare = pair
-        voters = tuple(spare if member == gone else member for member in view.voters)
-        fit_ones = {self._me.identity, spare.identity}
+        replaced, spare = pair
+        voters = tuple(spare if member == replaced else member for member in view.voters)
+        fit_identities = {self._me.identity, spare.identity}
         for identity in view.chain:
             peer = self.peers.get(identity)
-            if peer is not None and identity != gone.identity and peer.is_well(now, config):
-                fit_ones.add(identity)
-        chain = self._long_enough(now, view, fit_ones, gone.identity)
+            if peer is not None and identity != replaced.identity and peer.is_healthy(now, config):
+                fit_identities.add(identity)
+        chain = self._padded_chain(now, view, fit_identities, replaced.identity)
         if chain is None:
             return None
         is_long_enough = len(chain) > least_chain(len(voters), config.tolerance)
         if is_long_enough and lacks_state(self.peers[spare.identity]):
             chain.discard(spare.identity)  # it votes at once, and joins the chain when it has the state
-        return Plan(view.epoch, voters, frozenset(chain), f"{spare.name} in the place of {gone.name}")
+        return Plan(view.epoch, voters, frozenset(chain), f"{spare.name} in the place of {replaced.name}")
 
     def _spare_is_fit(self, now: float, spare: Member) -> bool:
         peer = self.peers.get(spare.identity)
-        return peer is not None and peer.report is not None and peer.is_well(now, self._config)
+        return peer is not None and peer.report is not None and peer.is_healthy(now, self._config)
 
     def _seems_lost(self, now: float, member: Member) -> bool:
         if member.identity == self._me.identity:
             return False
         return self.silent_s(now, member) >= 2 * self._config.heartbeat_s
 
-    def _same_place(self, fit: list[Member], lost: list[Member]) -> tuple[Member, Member] | None:
+    def _same_machine_pair(self, fit: list[Member], lost: list[Member]) -> tuple[Member, Member] | None:
         """Returns a pair of a lost voter and a spare in the same machine with another disk, or in another
         machine under the same name."""
-        for gone in lost:
+        for replaced in lost:
             for spare in fit:
-                if spare.ip == gone.ip or spare.name == gone.name:
-                    return gone, spare
+                if spare.ip == replaced.ip or spare.name == replaced.name:
+                    return replaced, spare
         return None
 
-    def _longest_silent(
+    def _longest_silent_pair(
         self, now: float, fit: list[Member], lost: list[Member]
     ) -> tuple[Member, Member] | None:
         silent = [member for member in lost if self.silent_s(now, member) >= self._config.exchange_after_s]
         if not silent:
             return None
-        gone = max(silent, key=lambda member: (self.silent_s(now, member), member.identity))
-        return self._nearest(fit, [gone])
+        replaced = max(silent, key=lambda member: (self.silent_s(now, member), member.identity))
+        return self._nearest_pair(fit, [replaced])
 
     @staticmethod
-    def _nearest(fit: list[Member], gone: list[Member]) -> tuple[Member, Member] | None:
+    def _nearest_pair(fit: list[Member], replaced: list[Member]) -> tuple[Member, Member] | None:
         """Returns the first voter to replace with a spare, of the same zone if possible."""
-        if not gone:
+        if not replaced:
             return None
-        spare = min(fit, key=lambda member: (member.zone != gone[0].zone, member.identity))
-        return gone[0], spare
+        spare = min(fit, key=lambda member: (member.zone != replaced[0].zone, member.identity))
+        return replaced[0], spare
--- a/cloverrouter/coordination/rounds.py
+++ b/cloverrouter/coordination/rounds.py
@@ -6,7 +6,7 @@
 from cloverrouter.coordination.views import View, majority
 
 # Start times of older rounds are dropped: replies to those come too late to extend the lease.
-KEPT_ROUNDS = 64
+MAX_TRACKED_ROUNDS = 64
 
 
 class Rounds:
@@ -30,14 +30,14 @@
         """Starts the next round and returns its number. `is_fit`: the round extends the head's lease."""
         self.newest += 1
         self._begun[self.newest] = now
-        self._begun.pop(self.newest - KEPT_ROUNDS, None)
+        self._begun.pop(self.newest - MAX_TRACKED_ROUNDS, None)
         if not is_fit:
             self._no_lead_round = self.newest
             self._lead_from = None
         self._confirm()
         return self.newest
 
-    def answered(self, identity: str, number: int) -> None:
+    def on_answer(self, identity: str, number: int) -> None:
         """Records that a voter has answered a round, and thereby all rounds before it."""
         self._answered[identity] = max(number, self._answered.get(identity, 0))
         self._confirm()
@@ -67,7 +67,7 @@
         """Returns whether no majority has answered for `lost_quorum_s`."""
         return now - self._heard_at > self._config.lost_quorum_s
 
-    def forgive(self, now: float) -> None:
+    def reset_timeouts(self, now: float) -> None:
         """Restarts the lost quorum timeout after a freeze of this process, during which no reply could
         arrive."""
         self._heard_at = max(self._heard_at, now)
--- a/cloverrouter/coordination/views.py
+++ b/cloverrouter/coordination/views.py
@@ -90,7 +90,7 @@
     return (head.identity, *(member.identity for member in ordered if member.identity != head.identity))
 
 
-def standing_order(view: View) -> tuple[str, ...]:
+def election_order(view: View) -> tuple[str, ...]:
     """Returns the identities of the voters in the order in which they start elections when the head is
     silent."""
     others = sorted(
--- a/tests/system/loss_table.py
+++ b/tests/system/loss_table.py
@@ -22,11 +22,11 @@
 from tests.system.replica_scenarios import COUNTS_AFTER_S, leader, order, run_to
 from tests.system.replica_world import Node, World
 
-MOST_LOST = 3
-BACK_AFTER_S = 1.0
-GOES_ON_WITHIN_S = 8.0
-STEP_WITHIN_S = 3.0
-LOOK_S = 0.25
+MAX_LOST = 3
+RESTART_AFTER_S = 1.0
+RECOVERY_LIMIT_S = 8.0
+STEP_LIMIT_S = 3.0
+POLL_S = 0.25
 
 STEPS = (
     "before it is told",
@@ -55,7 +55,7 @@
     """Result of a case."""
 
     case: Case
-    goes_on: bool
+    has_recovered: bool
     count: int
     """Number of lost machines that count; the leaving one counts only until its process has ended.
 
@@ -65,7 +65,7 @@
     """
 
     @property
-    def is_borne(self) -> bool:
+    def is_tolerable(self) -> bool:
         """Returns whether the losses that count are within the tolerance."""
         return self.count <= self.case.tolerance
 
@@ -73,31 +73,31 @@
 def cases(voters: int, tolerance: int, head_leaves: bool = False) -> Iterator[Case]:
     """Yields all sets of one to three losses at all steps."""
     for step in STEPS:
-        for many in range(1, MOST_LOST + 1):
+        for many in range(1, MAX_LOST + 1):
             for lost in itertools.combinations(range(voters + 1), many):
                 yield Case(voters, tolerance, step, lost, head_leaves)
 
 
 @attrs.define
-class _Scene:
+class _Replacement:
     """A replacement in progress."""
 
     world: World
     head: Node
     leaver: Node
-    newcomer: Node
+    spare: Node
     epoch: int
 
     def has_reached(self, step: str) -> bool:
         disks = [node.disk.stored.meta for node in self.world.nodes]
         newer = [meta for meta in disks if meta.promised > self.epoch]
-        state = self.newcomer.disk.stored.meta.synced > self.epoch
+        state = self.spare.disk.stored.meta.synced > self.epoch
         views = [
             node.replica.view_info
             for node in self.world.nodes
             if node.replica is not None and node.replica.view_info is not None
         ]
-        knowing = sum(view.active and self.newcomer.member in view.voters for view in views)
+        knowing = sum(view.active and self.spare.member in view.voters for view in views)
         conditions: dict[str, Callable[[], bool]] = {
             "before it is told": lambda: True,
             "the head is told": lambda: True,
@@ -110,48 +110,48 @@
         return conditions[step]()
 
 
-def exchange_at(case: Case) -> _Scene:
-    """Returns a world in which a replacement has reached the case's step. Raises Unmet if it does not get
-    there."""
+def replacement_at(case: Case) -> _Replacement:
+    """Returns a world in which a replacement has reached the case's step. Raises SituationNotReached
+    otherwise."""
     world = World(1, case.voters, case.tolerance)
     world.run(2.0)
     head = leader(world)
     run_to(world, order(world, head, "first"), 2.0, "an order")
     others = [node for node in world.nodes if node is not head]
     leaver = head if case.head_leaves else others[0]
-    newcomer = world.add_node(place=world.nodes.index(leaver))
+    spare = world.add_node(place=world.nodes.index(leaver))
     world.run(COUNTS_AFTER_S)
     epoch = max(node.disk.stored.meta.promised for node in world.nodes)
-    scene = _Scene(world, head, leaver, newcomer, epoch)
+    replacement = _Replacement(world, head, leaver, spare, epoch)
     if case.step != STEPS[0]:
         world.leave(leaver)
         if case.step == STEPS[1]:
             world.run(0.02)
-        run_to(world, lambda: scene.has_reached(case.step), STEP_WITHIN_S, case.step)
-    return scene
+        run_to(world, lambda: replacement.has_reached(case.step), STEP_LIMIT_S, case.step)
+    return replacement
 
 
 def play(case: Case) -> Outcome:
     """Loses the disks at that step, and checks whether commands are acknowledged again."""
-    scene = exchange_at(case)
-    world = scene.world
+    replacement = replacement_at(case)
+    world = replacement.world
     # The spare's index follows those of the initial voters.
     lost = [world.nodes[place] for place in case.lost]
-    count = sum(node is not scene.leaver or node.replica is not None for node in lost)
+    count = sum(node is not replacement.leaver or node.replica is not None for node in lost)
     for node in lost:
         if node.replica is not None:
             world.kill(node, power=True)
         world.wipe(node)
-        if node is not scene.leaver:
-            world.start(node, BACK_AFTER_S)
+        if node is not replacement.leaver:
+            world.start(node, RESTART_AFTER_S)
     acknowledged: list[Callable[[], bool]] = []
-    until = world.now + GOES_ON_WITHIN_S
+    until = world.now + RECOVERY_LIMIT_S
     number = 0
     while world.now < until and not any(done() for done in acknowledged):
         for node in world.running():
             number += 1
             acknowledged.append(order(world, node, f"after-{number}"))
-        world.run(LOOK_S)
+        world.run(POLL_S)
     return Outcome(case, any(done() for done in acknowledged), count)
 
 
@@ -160,10 +160,10 @@
     lines = ["| step | machines lost that count | sets | go on | wait |", "| --- | --- | --- | --- | --- |"]
     for step in STEPS:
         found = [outcome for outcome in outcomes if outcome.case.step == step]
-        by_count = Counter((outcome.count, outcome.goes_on) for outcome in found)
+        by_count = Counter((outcome.count, outcome.has_recovered) for outcome in found)
         for many in sorted({outcome.count for outcome in found}):
-            goes_on, waits = by_count[many, True], by_count[many, False]
-            lines.append(f"| {step} | {many} | {goes_on + waits} | {goes_on} | {waits} |")
+            has_recovered, waits = by_count[many, True], by_count[many, False]
+            lines.append(f"| {step} | {many} | {has_recovered + waits} | {has_recovered} | {waits} |")
     return "\n".join(lines)
 
 
@@ -173,11 +173,11 @@
 @app.default
 def main(voters: int = 3, tolerance: int = 1, jobs: int = 4, head_leaves: bool = False) -> int:
     """Plays all cases and prints the table. Returns 1 if commands stop after a tolerable loss."""
-    drawn = list(cases(voters, tolerance, head_leaves))
+    cases_to_play = list(cases(voters, tolerance, head_leaves))
     with ProcessPoolExecutor(jobs) as pool:
-        outcomes = list(pool.map(play, drawn, chunksize=8))
+        outcomes = list(pool.map(play, cases_to_play, chunksize=8))
     print(table(outcomes))
-    wrong = [outcome.case for outcome in outcomes if outcome.is_borne and not outcome.goes_on]
+    wrong = [outcome.case for outcome in outcomes if outcome.is_tolerable and not outcome.has_recovered]
     for case in wrong:
         print("not borne:", case)
     return 1 if wrong else 0
--- a/tests/system/lossy_world.py
+++ b/tests/system/lossy_world.py
@@ -13,7 +13,7 @@
 from cloverrouter.messages import encode
 from cloverrouter.messages.sending import Send
 
-TICK = 0.05
+TICK_S = 0.05
 
 
 class Core(Protocol):
@@ -65,7 +65,7 @@
                 return
             self.cores[ip] = core
             self.take(ip, core.start(self.now))
-            self.at(self.now + self.random.uniform(0, TICK), lambda: self._tick(ip, life))
+            self.at(self.now + self.random.uniform(0, TICK_S), lambda: self._tick(ip, life))
 
         self.at(self.now + after, start)
 
@@ -128,7 +128,7 @@
             return
         if ip not in self._frozen:
             self.take(ip, self.cores[ip].tick(self.now))
-        self.at(self.now + TICK, lambda: self._tick(ip, life))
+        self.at(self.now + TICK_S, lambda: self._tick(ip, life))
 
     def _send(self, ip: str, send: Send) -> None:
         self.messages[ip] += 1
--- a/tests/system/replica_chaos.py
+++ b/tests/system/replica_chaos.py
@@ -15,20 +15,20 @@
 
 from cloverrouter.coordination.messages import Heartbeat, Report
 from cloverrouter.messages.sending import Send
-from tests.system.replica_world import Client, Crowd, Node, Reader, Violation, Weather, World
+from tests.system.replica_world import BurstClients, Client, Node, Reader, Violation, Weather, World
 
 SIZES = (
     *((1, 0), (2, 0), (2, 1), (3, 1), (3, 1), (3, 1), (3, 1)),
     *((4, 1), (5, 2), (5, 2), (6, 1), (6, 2), (8, 2)),
 )
-TROUBLED_S = 9.0
+FAULTS_S = 9.0
 STORM_S = 3.0
 # After the last fault commands must be acknowledged again within this time.
-HEALED_S = 6.0
+RECOVERY_LIMIT_S = 6.0
 
 
 @attrs.define
-class Day:
+class ChaosRun:
     """One simulation with the faults injected into it."""
 
     world: World
@@ -36,17 +36,17 @@
     clients: list[Client]
     count: int
     tolerance: int
-    haste: float = 1.0  # factor on the duration of faults
-    meanness: float = 0.0  # share of messages that trigger a fault
-    kinds: list[Callable[[], None]] = attrs.Factory(list)  # faults enabled in this run
+    duration_factor: float = 1.0  # factor on the duration of faults
+    message_fault_share: float = 0.0  # share of messages that trigger a fault
+    faults: list[Callable[[], None]] = attrs.Factory(list)  # faults enabled in this run
 
-    def trouble(self) -> None:
+    def inject_fault(self) -> None:
         """Injects a random fault."""
-        if not self.kinds:
-            self.kinds = self.all_kinds()
-        self.random.choice(self.kinds)()
+        if not self.faults:
+            self.faults = self.all_faults()
+        self.random.choice(self.faults)()
 
-    def all_kinds(self) -> list[Callable[[], None]]:
+    def all_faults(self) -> list[Callable[[], None]]:
         """Returns all faults; likelier ones occur more than once."""
         return [
             self.kill,
@@ -72,9 +72,9 @@
             self.resign,
         ]
 
-    def spite(self, node: Node, effect: Send) -> float:
+    def inject_on_send(self, node: Node, effect: Send) -> float:
         """Hook for each message sent: may return a delay for it, or crash one of its ends at that moment."""
-        if isinstance(effect.message, Heartbeat | Report) or self.random.random() >= self.meanness:
+        if isinstance(effect.message, Heartbeat | Report) or self.random.random() >= self.message_fault_share:
             return 0.0
         kind = self.random.random()
         if kind < 0.6:
@@ -82,10 +82,10 @@
         ends = [other for other in self.world.nodes if other.ip == effect.ip] if kind < 0.8 else [node]
         for end in ends:
             if end.replica is not None:
-                self.world.at(self.world.now, partial(self._strike, end))
+                self.world.at(self.world.now, partial(self._crash, end))
         return 0.0
 
-    def _strike(self, node: Node) -> None:
+    def _crash(self, node: Node) -> None:
         if node.replica is not None:
             self.world.kill(node, power=True)
             self.world.start(node, self.random.uniform(0.0, 0.05))
@@ -97,7 +97,7 @@
         return self.random.choice(running) if running else None
 
     def _restart(self, node: Node, most_s: float = 1.5) -> None:
-        self.world.start(node, self.haste * self.random.uniform(0.05, most_s))
+        self.world.start(node, self.duration_factor * self.random.uniform(0.05, most_s))
 
     def kill(self) -> None:
         node = self._any_running()
@@ -136,24 +136,24 @@
                 self.world.kill(node)
                 self._restart(node)
 
-        self.world.at(self.world.now + self.haste * self.random.uniform(0.2, 1.5), end)
+        self.world.at(self.world.now + self.duration_factor * self.random.uniform(0.2, 1.5), end)
 
     def freeze(self) -> None:
         node = self._any_running()
         if node is not None:
-            self.world.freeze(node, self.haste * self.random.uniform(0.1, 3.0))
+            self.world.freeze(node, self.duration_factor * self.random.uniform(0.1, 3.0))
 
     def freeze_head(self) -> None:
         node = self.world.head()
         if node is not None:
-            self.world.freeze(node, self.haste * self.random.uniform(0.3, 3.0))
+            self.world.freeze(node, self.duration_factor * self.random.uniform(0.3, 3.0))
 
     # -- lost disks --
 
     def _lost_now(self) -> int:
         """Returns the number of lost disks that are still voters in any disk's view."""
         known: set[str] = set()
-        lost = {disk.stored.identity for disk in self.world.buried}
+        lost = {disk.stored.identity for disk in self.world.lost_disks}
         for node in self.world.nodes:
             if not node.removed:
                 known |= known_voters(node)
@@ -188,7 +188,7 @@
         def add() -> None:
             self.world.add_node(name=name, place=self.world.nodes.index(node))
 
-        self.world.at(self.world.now + self.haste * self.random.uniform(0.0, 1.0), add)
+        self.world.at(self.world.now + self.duration_factor * self.random.uniform(0.0, 1.0), add)
 
     # -- links --
 
@@ -238,7 +238,7 @@
 
     def _stall(self, node: Node | None) -> None:
         if node is not None:
-            node.disk.stalled_until = self.world.now + self.haste * self.random.uniform(0.3, 4.0)
+            node.disk.stalled_until = self.world.now + self.duration_factor * self.random.uniform(0.3, 4.0)
             self.world.say(f"{node.name}'s disk stalls until {node.disk.stalled_until:.2f}")
 
     def slow(self) -> None:
@@ -253,7 +253,7 @@
             node.disk.full = not node.disk.full
             self.world.say(f"{node.name}'s disk is {'full' if node.disk.full else 'not full'}")
 
-    def mend(self) -> None:
+    def repair_disks(self) -> None:
         for node in self.world.nodes:
             node.disk.stalled_until = 0.0
             node.disk.slowness = 1.0
@@ -262,17 +262,17 @@
 
     # -- the end --
 
-    def heal(self) -> None:
+    def end_faults(self) -> None:
         """Ends all faults."""
         self.world.say("all faults end")
         self.join()
-        self.mend()
+        self.repair_disks()
         self.world.weather = Weather()
-        self.meanness = 0.0
+        self.message_fault_share = 0.0
         for node in self.world.nodes:
             if node.frozen_until > self.world.now:
                 node.frozen_until = self.world.now
-                held, node.held_back = node.held_back, []
+                held, node.deferred_events = node.deferred_events, []
                 for action in held:
                     action()
 
@@ -289,10 +289,10 @@
 
 def play(seed: int, trace: Callable[[str], None] | None = None, storm: bool = False) -> World:
     """Runs the simulation of a seed. Raises Violation."""
-    return play_storm(seed, trace) if storm else play_day(seed, trace)
+    return run_storm(seed, trace) if storm else run_day(seed, trace)
 
 
-def play_storm(seed: int, trace: Callable[[str], None] | None = None) -> World:
+def run_storm(seed: int, trace: Callable[[str], None] | None = None) -> World:
     """Runs a simulation with frequent faults and view changes, and with timeouts too short for correctness to
     rest on timing alone. Raises Violation."""
     random = Random(f"storm {seed}")
@@ -326,30 +326,32 @@
     world.trace = trace
     client_pause_s = random.choice([0.03, 0.3])
     clients = [
-        Client(world, f"client{number}", client_pause_s, patience_s=0.2, read_share=0.4, astray=0.4)
+        Client(
+            world, f"client{number}", client_pause_s, patience_s=0.2, read_share=0.4, random_node_share=0.4
+        )
         for number in range(random.choice([1, 3]))
     ]
-    day = Day(world, random, clients, count, tolerance, haste=0.2)
-    crowd = Crowd(world, random.choice([0.02, 0.1, 10.0, 10.0]), random.choice([1, 6]))
+    chaos = ChaosRun(world, random, clients, count, tolerance, duration_factor=0.2)
+    burst_clients = BurstClients(world, random.choice([0.02, 0.1, 10.0, 10.0]), random.choice([1, 6]))
     readers = [Reader(world, node) for node in world.nodes]
-    day.meanness = random.choice([0.0, 0.01, 0.03, 0.1])
+    chaos.message_fault_share = random.choice([0.0, 0.01, 0.03, 0.1])
     # Only a few kinds of fault per run, so that rare combinations, and faults that others would undo, occur.
-    day.kinds = [*random.sample(day.all_kinds(), random.randint(2, 6)), day.join, day.mend]
+    chaos.faults = [*random.sample(chaos.all_faults(), random.randint(2, 6)), chaos.join, chaos.repair_disks]
     pause_s = random.choice([0.1, 0.3, 0.6])
-    world.nemesis = day.spite
+    world.nemesis = chaos.inject_on_send
     end = world.now + STORM_S
     while world.now < end:
         world.run(random.expovariate(1 / pause_s))
-        day.trouble()
-    crowd.stopped = True
+        chaos.inject_fault()
+    burst_clients.stopped = True
     for reader in readers:
         reader.stopped = True
-    day.heal()
+    chaos.end_faults()
     check_healed(world, clients)
     return world
 
 
-def play_day(seed: int, trace: Callable[[str], None] | None = None) -> World:
+def run_day(seed: int, trace: Callable[[str], None] | None = None) -> World:
     """Runs a simulation with the default configuration and occasional faults. Raises Violation."""
     random = Random(f"day {seed}")
     count, tolerance = random.choice(SIZES)
@@ -359,15 +361,15 @@
     world = World(seed, count, tolerance, weather, genesis, wire=seed % 16 == 0)
     world.trace = trace
     clients = [Client(world, f"client{number}") for number in range(random.choice([1, 2, 3]))]
-    day = Day(world, random, clients, count, tolerance)
+    chaos = ChaosRun(world, random, clients, count, tolerance)
     if genesis:
         world.run(2.5)
-    end = world.now + TROUBLED_S
+    end = world.now + FAULTS_S
     pause_s = random.choice([0.3, 0.8, 1.5])
     while world.now < end:
         world.run(random.expovariate(1 / pause_s))
-        day.trouble()
-    day.heal()
+        chaos.inject_fault()
+    chaos.end_faults()
     check_healed(world, clients)
     return world
 
@@ -379,11 +381,11 @@
         client.stopped = True
     healed_at = world.now
     probe = Client(world, "probe", pause_s=0.05)
-    if not world.run_while(lambda: not probe.done, HEALED_S):
-        raise Violation(f"no command is acknowledged within {HEALED_S} s after the last fault")
-    if not world.run_while(lambda: not probe.reads, HEALED_S):
+    if not world.run_while(lambda: not probe.done, RECOVERY_LIMIT_S):
+        raise Violation(f"no command is acknowledged within {RECOVERY_LIMIT_S} s after the last fault")
+    if not world.run_while(lambda: not probe.reads, RECOVERY_LIMIT_S):
         raise Violation("no read is answered after the last fault")
-    world.healed_s = world.now - healed_at
+    world.recovery_s = world.now - healed_at
     probe.stopped = True
     world.run(4.0)
     head = world.head()
@@ -394,8 +396,8 @@
     if len(view.chain) != len(view.voters):
         missing = {member.name for member in view.voters} - {member.name for member in view.chain}
         raise Violation(f"{missing} did not come back into the chain")
-    buried = {disk.stored.identity for disk in world.buried}
-    if buried & {member.identity for member in view.voters}:
+    lost_disks = {disk.stored.identity for disk in world.lost_disks}
+    if lost_disks & {member.identity for member in view.voters}:
         raise Violation("a lost disk is still a voter")
 
 
--- a/tests/system/replica_faults.py
+++ b/tests/system/replica_faults.py
@@ -30,7 +30,7 @@
 from cloverrouter.coordination.rounds import Rounds
 from cloverrouter.coordination.views import Member, View
 from tests.system.replica_chaos import play
-from tests.system.replica_scenarios import SCENARIOS, Unmet
+from tests.system.replica_scenarios import SCENARIOS, SituationNotReached
 from tests.system.replica_world import Disk, Violation, World
 
 _evolve: Any = (
@@ -131,7 +131,7 @@
     def keeping(self: World, node: Any) -> None:
         identity = node.disk.stored.identity
         original(self, node)
-        self.buried.pop()
+        self.lost_disks.pop()
         node.disk.stored = attrs.evolve(node.disk.stored, identity=identity)
 
     with patch.object(World, "wipe", keeping):
@@ -162,7 +162,7 @@
 @fault
 @contextmanager
 def lower_epochs_may_install() -> Iterator[None]:
-    with whole_states(), patch.object(Follower, "_may_take", lambda *_: True):
+    with whole_states(), patch.object(Follower, "_may_adopt", lambda *_: True):
         yield
 
 
@@ -241,7 +241,7 @@
     def careless(self: Head, identity: str) -> Any:
         promise = self._promises.get(identity)
         if promise is not None:
-            self._lineage[promise.synced] = self._base
+            self._lineage[promise.synced] = self._base_seq
         return original(self, identity)
 
     with patch.object(Head, "_install_for", careless):
@@ -294,10 +294,10 @@
 @contextmanager
 def a_new_head_commits_before_its_view_is_in_force() -> Iterator[None]:
     def hopeful(self: Head) -> int:
-        return max(_stored_by_all(self), self._base)
+        return max(_stored_by_all(self), self._base_seq)
 
     with (
-        patch.object(Head, "_is_in_force", Head._own_is_stored),
+        patch.object(Head, "_is_in_force", Head._is_own_state_stored),
         patch.object(Head, "_stored_by_all", hopeful),
     ):
         yield
@@ -386,20 +386,20 @@
 @fault
 @contextmanager
 def a_machine_answers_for_the_disk_that_it_has_lost() -> Iterator[None]:
-    original = Replica._take
+    original = Replica._dispatch
 
     def any_receiver(self: Replica, now: float, ip: str, message: object) -> None:
         original(self, now, ip, message)
 
     def receive(self: Replica, now: float, sender_ip: str, message: Any) -> Any:
-        self._look_at_clock(now)
+        self._detect_freeze(now)
         old = getattr(message, "receiver", self.me.identity)
-        self._take(now, sender_ip, message)
+        self._dispatch(now, sender_ip, message)
         if old != self.me.identity:
             self._context.effects = [_as(effect, self.me.identity, old) for effect in self._context.effects]
         return self._finish(now)
 
-    with patch.object(Replica, "_take", any_receiver), patch.object(Replica, "receive", receive):
+    with patch.object(Replica, "_dispatch", any_receiver), patch.object(Replica, "receive", receive):
         yield
 
 
@@ -414,8 +414,8 @@
 @contextmanager
 def nobody_holds_to_a_head_that_is_well() -> Iterator[None]:
     with (
-        patch.object(HeadContact, "is_bound", lambda *_: False),
-        patch.object(Replica, "_is_well_followed", lambda *_: False),
+        patch.object(HeadContact, "must_withhold_promise", lambda *_: False),
+        patch.object(Replica, "_is_followed_head", lambda *_: False),
     ):
         yield
 
@@ -466,7 +466,7 @@
 @fault
 @contextmanager
 def only_members_that_stay_make_a_chain() -> Iterator[None]:
-    with patch.object(Roster, "_may_help", lambda *_: False):
+    with patch.object(Roster, "_may_pad_chain", lambda *_: False):
         yield
 
 
@@ -510,7 +510,7 @@
 @fault
 @contextmanager
 def a_voter_that_starts_again_promises_at_once() -> Iterator[None]:
-    with patch.object(HeadContact, "_is_bound_by_last_life", lambda *_: False):
+    with patch.object(HeadContact, "_must_withhold_after_restart", lambda *_: False):
         yield
 
 
@@ -535,7 +535,7 @@
     original = Replica._become_head
 
     def careless(self: Replica, now: float, proposal: Proposal) -> None:
-        proposal.fetched = False
+        proposal.has_fetched_state = False
         original(self, now, proposal)
 
     with patch.object(Replica, "_become_head", careless):
@@ -555,28 +555,28 @@
     def blind(self: Replica, now: float) -> None:
         self._now = now
 
-    with patch.object(Replica, "_look_at_clock", blind):
+    with patch.object(Replica, "_detect_freeze", blind):
         yield
 
 
 SCENARIO_SEEDS = (1, 3)
-FOUND = (Violation, AssertionError, ValueError, IndexError, KeyError)
+DETECTIONS = (Violation, AssertionError, ValueError, IndexError, KeyError)
 
 
-def find(name: str, seeds: Iterable[int]) -> str | None:
+def detect(name: str, seeds: Iterable[int]) -> str | None:
     """Returns what detects a fault first, a scripted race or a storm; None if nothing does."""
     with FAULTS[name]():
         for scenario, seed in itertools.product(SCENARIOS, SCENARIO_SEEDS):
             try:
                 scenario(seed)
-            except Unmet:
+            except SituationNotReached:
                 continue
-            except FOUND as error:
+            except DETECTIONS as error:
                 return f"{scenario.__name__}: {error}"
         for seed in seeds:
             try:
                 play(seed, storm=True)
-            except FOUND as error:
+            except DETECTIONS as error:
                 return f"storm {seed}: {error}"
     return None
 
@@ -587,7 +587,7 @@
     parser.add_argument("--seeds", type=int, default=400)
     arguments = parser.parse_args()
     for name in arguments.names or FAULTS:
-        print(f"{name:55} {find(name, range(1, arguments.seeds + 1))}", flush=True)
+        print(f"{name:55} {detect(name, range(1, arguments.seeds + 1))}", flush=True)
 
 
 if __name__ == "__main__":
--- a/tests/system/replica_scenarios.py
+++ b/tests/system/replica_scenarios.py
@@ -15,7 +15,7 @@
 
 # Members that cannot hear the head start an election early, and no promise is withheld for a head heard
 # recently.
-RASH = {
+EAGER_ELECTIONS = {
     "sticky_s": 0.0,
     "failure_timeout_s": 0.3,
     "heartbeat_s": 0.05,
@@ -29,15 +29,15 @@
 LEAVES_WITHIN_S = 4.0
 
 
-class Unmet(AssertionError):
+class SituationNotReached(AssertionError):
     """The situation of a race did not arise, so the run shows nothing."""
 
 
 def leader(world: World) -> Node:
-    """Returns the head's node. Raises Unmet if there is none."""
+    """Returns the head's node. Raises SituationNotReached if there is none."""
     head = world.head()
     if head is None:
-        raise Unmet("there is no head")
+        raise SituationNotReached("there is no head")
     return head
 
 
@@ -63,9 +63,9 @@
 
 
 def run_to(world: World, condition: Callable[[], bool], most_s: float, what: str) -> None:
-    """Runs until a condition holds. Raises Unmet if it does not in time."""
+    """Runs until a condition holds. Raises SituationNotReached if it does not in time."""
     if not world.run_while(lambda: not condition(), most_s):
-        raise Unmet(f"{what} not within {most_s} s")
+        raise SituationNotReached(f"{what} not within {most_s} s")
 
 
 def settle(world: World) -> None:
@@ -77,7 +77,7 @@
     check_healed(world, [])
 
 
-def two_and_an_excluded(world: World) -> tuple[Node, Node, Node]:
+def head_follower_and_excluded(world: World) -> tuple[Node, Node, Node]:
     """Returns the head, a follower, and a third node that is outside the chain and cannot hear the head."""
     world.run(2.0)
     head = leader(world)
@@ -86,7 +86,7 @@
     run_to(world, order(world, head, "first"), 5.0, "a command without the third")
     view = head.replica.view_info if head.replica is not None else None
     if view is None or third.member in view.chain:
-        raise Unmet("the third is still in the chain")
+        raise SituationNotReached("the third is still in the chain")
     cut(world, [head], [third])
     return head, follower, third
 
@@ -94,8 +94,8 @@
 def an_order_reaches_a_member_that_has_promised_more(seed: int) -> None:
     """The head forwards to a member that has just promised a higher epoch to another replica and sent it its
     state; the other's view is delayed."""
-    world = World(seed, 3, 1, config=RASH)
-    head, follower, third = two_and_an_excluded(world)
+    world = World(seed, 3, 1, config=EAGER_ELECTIONS)
+    head, follower, third = head_follower_and_excluded(world)
     handed: list[float] = []
 
     def watch(node: Node, effect: Send) -> float:
@@ -112,8 +112,8 @@
 
 def a_member_loses_power_when_it_has_promised(seed: int) -> None:
     """As above, but the member, whose disk is slow, loses power at that moment and restarts at once."""
-    world = World(seed, 3, 1, config=RASH)
-    head, follower, third = two_and_an_excluded(world)
+    world = World(seed, 3, 1, config=EAGER_ELECTIONS)
+    head, follower, third = head_follower_and_excluded(world)
     follower.disk.slowness = 20.0
     handed: list[float] = []
 
@@ -163,7 +163,7 @@
 
 def a_second_proposer_in_the_same_moment(seed: int) -> None:
     """Several followers start an election at once when the head is lost, and their requests cross."""
-    world = World(seed, 5, 2, config=RASH | {"rank_delay_s": 0.0, "jitter_s": 0.001})
+    world = World(seed, 5, 2, config=EAGER_ELECTIONS | {"rank_delay_s": 0.0, "jitter_s": 0.001})
     world.run(2.0)
     client = Client(world, "operator", pause_s=0.02)
     for _ in range(4):
@@ -448,7 +448,7 @@
         world.start(voter)
         world.run(0.5)
         if voter.replica is None:
-            raise Unmet("the voter does not run")
+            raise SituationNotReached("the voter does not run")
     settle(world)
 
 
--- a/tests/system/replica_times.py
+++ b/tests/system/replica_times.py
@@ -87,7 +87,7 @@
     world.start(head, 0.5)
 
 
-TROUBLES: dict[str, Callable[[World], None]] = {
+FAULTS: dict[str, Callable[[World], None]] = {
     "head loses power": kill_head,
     "follower loses power": kill_other,
     "head's process is started again": restart_head,
@@ -103,19 +103,19 @@
 }
 
 
-def time_of(trouble: Callable[[World], None], seed: int, count: int, tolerance: int) -> float:
+def recovery_s(fault: Callable[[World], None], seed: int, count: int, tolerance: int) -> float:
     """Returns the seconds from a fault to the acknowledgement of a command sent at that moment."""
     world = World(seed, count, tolerance)
     world.run(3.0 + world.random.random())
-    trouble(world)
+    fault(world)
     begun = world.now
-    client = Client(world, "operator", pause_s=0.001, patience_s=0.5, read_share=0.0, wary=True)
+    client = Client(world, "operator", pause_s=0.001, patience_s=0.5, read_share=0.0, skips_frozen=True)
     if not world.run_while(lambda: not client.done, 20.0):
         raise TimeoutError(f"no command was acknowledged within 20 s, seed {seed}")
     return world.now - begun
 
 
-def exchange_time(seed: int, count: int, tolerance: int, head: bool, same_name: bool) -> float:
+def replacement_s(seed: int, count: int, tolerance: int, head: bool, same_name: bool) -> float:
     """Returns the seconds from the removal of a machine, with another started at once, to the view whose
     chain has the new one."""
     world = World(seed, count, tolerance)
@@ -135,7 +135,7 @@
     return world.now - begun
 
 
-def figures(times: list[float]) -> str:
+def format_s(times: list[float]) -> str:
     return f"{statistics.median(times):6.2f} {max(times):6.2f}"
 
 
@@ -145,14 +145,14 @@
     seeds = range(parser.parse_args().seeds)
     for count, tolerance in ((3, 1), (5, 2), (8, 2)):
         print(f"{count} voters, {tolerance} may be lost: median, worst (s)")
-        for name, trouble in TROUBLES.items():
-            print(f"  {name:40} {figures([time_of(trouble, seed, count, tolerance) for seed in seeds])}")
+        for name, fault in FAULTS.items():
+            print(f"  {name:40} {format_s([recovery_s(fault, seed, count, tolerance) for seed in seeds])}")
         for head in (False, True):
             for same_name in (True, False):
-                times = [exchange_time(seed, count, tolerance, head, same_name) for seed in seeds]
+                times = [replacement_s(seed, count, tolerance, head, same_name) for seed in seeds]
                 who = "head" if head else "follower"
                 name = "same name" if same_name else "another name"
-                print(f"  {f'{who} replaced at once, {name}':40} {figures(times)}")
+                print(f"  {f'{who} replaced at once, {name}':40} {format_s(times)}")
 
 
 if __name__ == "__main__":
--- a/tests/system/replica_world.py
+++ b/tests/system/replica_world.py
@@ -43,10 +43,10 @@
 TICK_S = 0.05
 DISCOVERY_S = 0.4
 FILE_BYTES = 8 * 1024 * 1024
-STALL_LOOK_S = 0.02  # interval at which a write checks whether its disk still stalls
+STALL_POLL_S = 0.02  # interval at which a write checks whether its disk still stalls
 KEPT_DIGESTS = 64
-LEAST_LEAVE_S = 0.3  # a process that was told to exit runs at least this long,
-MOST_LEAVE_S = 7.3  # and at most this long
+MIN_EXIT_S = 0.3  # a process that was told to exit runs at least this long,
+MAX_EXIT_S = 7.3  # and at most this long
 ZONES = ("east", "north", "west")
 
 
@@ -247,7 +247,7 @@
     life: int = 0  # incremented with each start or end of its process
     frozen_until: float = 0.0
     committed: int = 0  # newest committed update in the current process
-    held_back: list[Callable[[], None]] = attrs.Factory(list)  # events that arrived while it was frozen
+    deferred_events: list[Callable[[], None]] = attrs.Factory(list)  # events that arrived while it was frozen
     removed: bool = False
 
     @property
@@ -306,13 +306,13 @@
         self.tick_s = tick_s
         self.ledger = self.new_ledger()
         self.nodes: list[Node] = []
-        self.buried: list[Disk] = []
+        self.lost_disks: list[Disk] = []
         self.cuts: set[tuple[str, str]] = set()
         self.proposers: dict[str, GenesisProposer] = {}
         self.ballots: dict[str, Ballot] = {}  # acceptors of seeds without a disk
         self.messages = 0
         # time from the last fault until commands and reads worked, in seconds
-        self.healed_s: float | None = None
+        self.recovery_s: float | None = None
         self.messages_by_type: dict[str, int] = {}
         self.trace: Callable[[str], None] | None = None
         # hook for each message: returns an extra delay, and may inject faults
@@ -422,7 +422,7 @@
         life = node.life
         node.committed = 0
         node.frozen_until = 0.0
-        node.held_back = []
+        node.deferred_events = []
 
         def begin() -> None:
             if node.life != life or node.removed:
@@ -457,7 +457,7 @@
                 self.carry_out(node, event())
 
         if self.now < node.frozen_until:
-            node.held_back.append(take)
+            node.deferred_events.append(take)
         else:
             take()
 
@@ -478,7 +478,7 @@
         """Replaces a node's disk by an empty one. Its process must have ended."""
         assert node.replica is None
         self.say(f"{node.name} is wiped")
-        self.buried.append(node.disk)
+        self.lost_disks.append(node.disk)
         node.disk = Disk(False, self.random)
         node.disk.since = self.now
 
@@ -487,7 +487,7 @@
         if node.replica is not None:
             self.kill(node, power=True)
         node.removed = True
-        self.buried.append(node.disk)
+        self.lost_disks.append(node.disk)
 
     def leave(self, node: Node) -> None:
         """Tells a node's process to exit (SIGTERM): it resigns, then ends once allowed, as `Node._drain`."""
@@ -500,12 +500,12 @@
         def look() -> None:
             if node.life != life:
                 return
-            if self.now - begun >= MOST_LEAVE_S or replica.may_end:
+            if self.now - begun >= MAX_EXIT_S or replica.may_end:
                 self.kill(node)
                 return
             self.at(self.now + self.tick_s, look)
 
-        self.at(self.now + LEAST_LEAVE_S, look)
+        self.at(self.now + MIN_EXIT_S, look)
 
     def freeze(self, node: Node, seconds: float) -> None:
         """Freezes a process for a while; events that arrive meanwhile wait."""
@@ -516,7 +516,7 @@
         def wake() -> None:
             if node.life != life or self.now < node.frozen_until:
                 return
-            held, node.held_back = node.held_back, []
+            held, node.deferred_events = node.deferred_events, []
             self.random.shuffle(held)
             for action in held:
                 action()
@@ -593,9 +593,9 @@
             return
         for node in self.nodes:
             if node.ip == to_ip and node.replica is not None:
-                self._hand(node, node.replica, from_ip, message)
+                self._receive(node, node.replica, from_ip, message)
 
-    def _hand(self, node: Node, replica: Replica, from_ip: str, message: object) -> None:
+    def _receive(self, node: Node, replica: Replica, from_ip: str, message: object) -> None:
         self._when_awake(node, lambda: replica.receive(self.now, from_ip, message))
 
     def _persist(self, node: Node, effect: Persist) -> None:
@@ -606,7 +606,7 @@
             if node.disk is not disk or node.life != life:
                 return  # the process ended before its write completed
             if self.now < disk.stalled_until:
-                self.at(self.now + STALL_LOOK_S, write)
+                self.at(self.now + STALL_POLL_S, write)
                 return
             error = "no space left" if disk.full else None
             if error is None:
@@ -677,13 +677,13 @@
         if seq not in self.ledger.orders:
             raise Violation(f"update {seq} is acknowledged but not committed")
         self.ledger.order(seq, order)
-        disks = [node.disk for node in self.nodes] + self.buried
-        holders = sum(1 for disk in disks if self._holds(disk, seq, order))
+        disks = [node.disk for node in self.nodes] + self.lost_disks
+        holders = sum(1 for disk in disks if self._has_update(disk, seq, order))
         if holders < self.tolerance + 1:
             raise Violation(f"update {seq} is acknowledged but only on {holders} disks")
         self.ledger.acknowledged = max(self.ledger.acknowledged, seq)
 
-    def _holds(self, disk: Disk, seq: int, order: str) -> bool:
+    def _has_update(self, disk: Disk, seq: int, order: str) -> bool:
         held = disk.held.get(seq)
         if held is not None and self.ledger.order_of(held) == order:
             return True
@@ -716,10 +716,11 @@
         pause_s: float = 0.3,
         patience_s: float = 0.6,
         read_share: float = 0.25,
-        astray: float = 0.1,
-        wary: bool = False,
+        random_node_share: float = 0.1,
+        skips_frozen: bool = False,
     ) -> None:
-        """`astray`: share of calls to a random node, not the head. `wary`: frozen nodes are not called."""
+        """`random_node_share`: share of calls to a random node, not the head.
+        `skips_frozen`: frozen nodes are not called."""
         self.world = world
         self.name = name
         self.version = 0
@@ -730,8 +731,8 @@
         self._pause_s = pause_s
         self._patience_s = patience_s
         self._read_share = read_share
-        self._astray = astray
-        self._wary = wary
+        self._random_node_share = random_node_share
+        self._skips_frozen = skips_frozen
         self._order: dict[str, Any] | None = None
         self._begun = 0.0
         self._least = 0  # acknowledged before the last attempt
@@ -764,13 +765,13 @@
 
     def _choose(self) -> Node | None:
         running = [node for node in self.world.nodes if node.replica is not None]
-        if self._wary:
+        if self._skips_frozen:
             running = self.world.running()
         if not running:
             return None
         node = self.world.random.choice(running)
         view = node.replica.view_info if node.replica is not None else None
-        if view is not None and self.world.random.random() >= self._astray:
+        if view is not None and self.world.random.random() >= self._random_node_share:
             for other in running:
                 if other.ip == view.head_ip:
                     return other
@@ -837,14 +838,14 @@
         world.at(world.now + self._patience_s, on_silence)
 
 
-class Crowd:
+class BurstClients:
     """Clients that send several commands at once without an expected version, and never retry."""
 
     def __init__(self, world: World, pause_s: float, most: int) -> None:
         self.world = world
         self.stopped = False
         self._pause_s = pause_s
-        self._most = most
+        self._max_burst = most
         self._sent = 0
         self._next()
 
@@ -855,7 +856,7 @@
         running = world.running()
         if running:
             node = world.random.choice(running)
-            for _ in range(world.random.randint(1, self._most)):
+            for _ in range(world.random.randint(1, self._max_burst)):
                 self._send(node)
         world.at(world.now + world.random.expovariate(1 / self._pause_s), self._next)
 
--- a/tests/system/slow_links.py
+++ b/tests/system/slow_links.py
@@ -10,39 +10,39 @@
 from cloverrouter.messages.sending import Send
 from tests.system.replica_world import Node, Register, World
 
-SMALL_BYTES = 100
+MESSAGE_OVERHEAD_BYTES = 100
 SPACING_S = 0.0008  # exceeds the links' jitter, so that messages are not reordered
-RATE = 1_250_000  # bytes per second
+BYTES_PER_S = 1_250_000  # bytes per second
 
 
 class LongRegister(Register):
     """A register whose state is padded with blanks."""
 
-    def __init__(self, blanks: int) -> None:
+    def __init__(self, padding_bytes: int) -> None:
         super().__init__()
-        self._blanks = blanks
+        self._padding_bytes = padding_bytes
 
     def snapshot(self) -> bytes:
-        return super().snapshot() + b" " * self._blanks
+        return super().snapshot() + b" " * self._padding_bytes
 
 
 class SlowWorld(World):
     """`state_s`: transfer time of a whole state on a link."""
 
     def __init__(self, seed: int, count: int, tolerance: int, state_s: float, **options: Any) -> None:
-        self._blanks = int(state_s * RATE)
+        self._padding_bytes = int(state_s * BYTES_PER_S)
         self._free: dict[tuple[str, str], float] = {}
         super().__init__(seed, count, tolerance, **options)
-        self.nemesis = self._held_s
+        self.nemesis = self._link_delay_s
 
     def new_machine(self) -> StateMachine:
-        return LongRegister(self._blanks)
+        return LongRegister(self._padding_bytes)
 
-    def _held_s(self, node: Node, effect: Send) -> float:
+    def _link_delay_s(self, node: Node, effect: Send) -> float:
         """Returns the delay until the link has carried a message and all before it."""
         link = (node.ip, effect.ip)
         begins = max(self.now, self._free.get(link, 0.0) + SPACING_S)
-        self._free[link] = begins + size_of(effect.message) / RATE
+        self._free[link] = begins + size_of(effect.message) / BYTES_PER_S
         return self._free[link] - self.now
 
     def put(self, name: str, done: Callable[[bool], None]) -> None:
@@ -78,4 +78,4 @@
     snapshot = getattr(message, "snapshot", None) or b""
     updates = getattr(message, "updates", ())
     part = getattr(message, "data", b"")
-    return SMALL_BYTES + len(snapshot) + len(part) + sum(len(update) for update in updates)
+    return MESSAGE_OVERHEAD_BYTES + len(snapshot) + len(part) + sum(len(update) for update in updates)
--- a/tests/system/test_replica_answers.py
+++ b/tests/system/test_replica_answers.py
@@ -44,7 +44,7 @@
     def of(self, identity: str) -> Node:
         return next(node for node in self.world.nodes if node.member.identity == identity)
 
-    def tell(self, to: Node, sender: Node, message: object) -> list[object]:
+    def deliver(self, to: Node, sender: Node, message: object) -> list[object]:
         """Delivers a message; returns its effects."""
         return list(replica_of(to).receive(self.world.now, sender.ip, message))
 
@@ -74,16 +74,16 @@
     return node.replica
 
 
-def name(node: Node) -> str:
+def identity_of(node: Node) -> str:
     return node.member.identity
 
 
 def test_what_was_meant_for_a_lost_disk_is_not_taken_by_the_next_one(chain: Chain) -> None:
     """A prepare request to the old disk's identity is not answered by the new disk. One to its own identity
     is refused, as the head is healthy."""
-    for receiver, is_answered in ((OTHER_DISK, False), (name(chain.middle), True)):
-        propose = Propose(name(chain.tail), receiver, chain.view.epoch + FAR)
-        effects = chain.tell(chain.middle, chain.tail, propose)
+    for receiver, is_answered in ((OTHER_DISK, False), (identity_of(chain.middle), True)):
+        propose = Propose(identity_of(chain.tail), receiver, chain.view.epoch + FAR)
+        effects = chain.deliver(chain.middle, chain.tail, propose)
         told = [effect.message for effect in effects if isinstance(effect, Send)]
         assert any(isinstance(message, Refused) for message in told) is is_answered
 
@@ -91,9 +91,17 @@
 def test_only_the_predecessor_tells_what_is_stored_before_it(chain: Chain) -> None:
     follower = replica_of(chain.middle)._follower
     before = follower._upstream
-    chain.tell(chain.middle, chain.tail, Stored(name(chain.tail), name(chain.middle), chain.view.epoch, FAR))
+    chain.deliver(
+        chain.middle,
+        chain.tail,
+        Stored(identity_of(chain.tail), identity_of(chain.middle), chain.view.epoch, FAR),
+    )
     assert follower._upstream == before
-    chain.tell(chain.middle, chain.head, Stored(name(chain.head), name(chain.middle), chain.view.epoch, FAR))
+    chain.deliver(
+        chain.middle,
+        chain.head,
+        Stored(identity_of(chain.head), identity_of(chain.middle), chain.view.epoch, FAR),
+    )
     assert follower._upstream == FAR
 
 
@@ -103,15 +111,17 @@
     epoch = chain.view.epoch
     for told, is_taken in ((epoch - 1, False), (epoch + FAR, False), (epoch, True)):
         update = b'{"id": "x", "version": %d, "value": "v"}' % (newest + 1)
-        forward = Forward(name(chain.head), name(chain.middle), told, newest + 1, (update,), 0, 0)
-        chain.tell(chain.middle, chain.head, forward)
+        forward = Forward(
+            identity_of(chain.head), identity_of(chain.middle), told, newest + 1, (update,), 0, 0
+        )
+        chain.deliver(chain.middle, chain.head, forward)
         assert (history.newest > newest) is is_taken
 
 
 def report(chain: Chain, epoch: int, number: int) -> Report:
     return Report(
-        sender=name(chain.middle),
-        receiver=name(chain.head),
+        sender=identity_of(chain.middle),
+        receiver=identity_of(chain.head),
         round_epoch=epoch,
         round=number,
         promised=chain.view.epoch,
@@ -128,9 +138,9 @@
     head = replica_of(chain.head)._head
     assert head is not None
     number = head.rounds.begin(chain.world.now, is_fit=True)
-    chain.tell(chain.head, chain.middle, report(chain, chain.view.epoch - 1, number))
+    chain.deliver(chain.head, chain.middle, report(chain, chain.view.epoch - 1, number))
     assert head.rounds.confirmed < number
-    chain.tell(chain.head, chain.middle, report(chain, chain.view.epoch, number))
+    chain.deliver(chain.head, chain.middle, report(chain, chain.view.epoch, number))
     assert head.rounds.confirmed == number
 
 
@@ -138,36 +148,40 @@
     """Such promises belong to an earlier election, of this process or the one before."""
     node, proposal = chain.proposer(Phase.COLLECTING)
     other = chain.middle if node is chain.tail else chain.tail
-    proposal.promises.pop(name(other), None)
-    late = Promise(name(other), name(node), proposal.epoch - 1, 0, 0, None, True)
-    chain.tell(node, other, late)
-    assert name(other) not in proposal.promises
+    proposal.promises.pop(identity_of(other), None)
+    late = Promise(identity_of(other), identity_of(node), proposal.epoch - 1, 0, 0, None, True)
+    chain.deliver(node, other, late)
+    assert identity_of(other) not in proposal.promises
 
 
 def test_support_for_another_try_does_not_count(chain: Chain) -> None:
-    node, proposal = chain.proposer(Phase.CANVASSING)
+    node, proposal = chain.proposer(Phase.PRE_VOTE)
     other = chain.middle if node is chain.tail else chain.tail
-    late = Support(name(other), name(node), proposal._attempt - 1, True, 0, None, True)
-    chain.tell(node, other, late)
-    assert proposal.phase is Phase.CANVASSING
-    chain.tell(node, other, Support(name(other), name(node), proposal._attempt, True, 0, None, True))
-    assert proposal.phase is not Phase.CANVASSING
+    late = Support(identity_of(other), identity_of(node), proposal._attempt - 1, True, 0, None, True)
+    chain.deliver(node, other, late)
+    assert proposal.phase is Phase.PRE_VOTE
+    chain.deliver(
+        node, other, Support(identity_of(other), identity_of(node), proposal._attempt, True, 0, None, True)
+    )
+    assert proposal.phase is not Phase.PRE_VOTE
 
 
 @pytest.mark.parametrize("what", ["epoch", "sender"])
 def test_a_state_is_taken_from_whom_it_was_asked_of_in_this_try(chain: Chain, what: str) -> None:
     node, proposal = chain.proposer(Phase.COLLECTING)
     other = chain.middle if node is chain.tail else chain.tail
-    synced = proposal.promises[name(node)].synced + 1  # newer than this replica's own
-    promise = Promise(name(other), name(node), proposal.epoch, synced, 7, None, True)
+    synced = proposal.promises[identity_of(node)].synced + 1  # newer than this replica's own
+    promise = Promise(identity_of(other), identity_of(node), proposal.epoch, synced, 7, None, True)
     proposal.phase, proposal._source = Phase.FETCHING, promise
-    proposal.promises[name(other)] = promise
+    proposal.promises[identity_of(other)] = promise
     history = replica_of(node)._context.history
     before = history.newest
     sender = chain.head if what == "sender" else other
     epoch = proposal.epoch - (what == "epoch")
-    proposal.on_state(State(name(sender), name(node), epoch, synced, 7, b'[7, "v", {}]'))
+    proposal.on_state(State(identity_of(sender), identity_of(node), epoch, synced, 7, b'[7, "v", {}]'))
     assert proposal.phase is Phase.FETCHING
     assert history.newest == before
-    proposal.on_state(State(name(other), name(node), proposal.epoch, synced, 7, b'[7, "v", {}]'))
+    proposal.on_state(
+        State(identity_of(other), identity_of(node), proposal.epoch, synced, 7, b'[7, "v", {}]')
+    )
     assert history.newest == 7
--- a/tests/system/test_replica_faults.py
+++ b/tests/system/test_replica_faults.py
@@ -4,11 +4,11 @@
 
 import pytest
 
-from tests.system.replica_faults import FAULTS, find
+from tests.system.replica_faults import FAULTS, detect
 
-MOST_STORMS = 50
+MAX_STORMS = 50
 
 
 @pytest.mark.parametrize("name", FAULTS)
 def test_a_fault_is_found(name: str) -> None:
-    assert find(name, range(1, MOST_STORMS + 1)) is not None
+    assert detect(name, range(1, MAX_STORMS + 1)) is not None
--- a/tests/system/test_replica_messages.py
+++ b/tests/system/test_replica_messages.py
@@ -78,18 +78,18 @@
     return Propose(sender.identity, ME.identity, next_epoch(above, sender.identity))
 
 
-def known(epoch: int, head: Member) -> dict[str, Any]:
+def view_facts(epoch: int, head: Member) -> dict[str, Any]:
     return {"view": encode_view(view(epoch, head)), "view_epoch": epoch, "settled": True}
 
 
-def following(head: Member, epoch: int, **facts: Any) -> Meta:
+def follower_meta(head: Member, epoch: int, **facts: Any) -> Meta:
     """Returns the durable facts of a voter that follows a head."""
-    return Meta(promised=epoch, promised_to=head.identity, synced=epoch, **known(epoch, head), **facts)
+    return Meta(promised=epoch, promised_to=head.identity, synced=epoch, **view_facts(epoch, head), **facts)
 
 
 def test_a_late_heartbeat_frees_nobody_from_a_head_that_is_well() -> None:
     """Heartbeats on two connections may be reordered: the older one said that the head leaves."""
-    driven = Driven(following(FIRST, LOW))
+    driven = Driven(follower_meta(FIRST, LOW))
     driven.receive(1.0, heartbeat(FIRST, LOW, 6))
     (report,) = driven.receive(1.01, heartbeat(FIRST, LOW, 5, resigning=True))
     assert isinstance(report, Report) and report.round == 6
@@ -100,7 +100,7 @@
 def test_a_heartbeat_of_the_head_before_frees_nobody() -> None:
     """The voter has promised a newer head whose view has not arrived yet; a heartbeat of the head before must
     not release it from that."""
-    driven = Driven(attrs.evolve(following(FIRST, LOW), promised=HIGH, promised_to=SECOND.identity))
+    driven = Driven(attrs.evolve(follower_meta(FIRST, LOW), promised=HIGH, promised_to=SECOND.identity))
     driven.receive(1.0, heartbeat(SECOND, HIGH, 1))
     driven.receive(1.01, heartbeat(FIRST, LOW, 40, resigning=True))
     (answer,) = driven.receive(1.02, propose(THIRD, HIGH))
@@ -111,7 +111,7 @@
 def test_a_voter_that_starts_again_holds_to_its_promise_whoever_is_heard(is_asked_first: bool) -> None:
     """Before the restart the voter may have answered the head that it promised last, whose lease may rest on
     that reply; the previous head does not know of it."""
-    driven = Driven(attrs.evolve(following(FIRST, LOW), promised=HIGH, promised_to=SECOND.identity))
+    driven = Driven(attrs.evolve(follower_meta(FIRST, LOW), promised=HIGH, promised_to=SECOND.identity))
     driven.receive(0.01, heartbeat(FIRST, LOW, 40))
     if is_asked_first:
         (support,) = driven.receive(0.02, Canvass(FIRST.identity, ME.identity, 1, LOW))
@@ -134,7 +134,7 @@
 @pytest.mark.parametrize(("from_synced", "from_seq"), [(HIGH, 1), (LOW, 0), (LOW, 2)])
 def test_a_part_of_a_state_is_taken_only_where_it_fits(from_synced: int, from_seq: int) -> None:
     first = Update(1, b'{"id": "a", "version": 1, "value": "a"}')
-    driven = Driven(following(FIRST, LOW, committed=1), (first,))
+    driven = Driven(follower_meta(FIRST, LOW, committed=1), (first,))
     epoch = next_epoch(HIGH, SECOND.identity)
     part = Install(
         sender=SECOND.identity,
