--- a/cloverrouter/coordination/disk.py
+++ b/cloverrouter/coordination/disk.py
@@ -70,7 +70,7 @@
         self._dirty = True
 
     def set_meta_later(self, now: float, **facts: Any) -> None:
-        """Changes fields of `Meta`; written with the next record, or after the delay that `next` is given."""
+        """Changes fields of `Meta`; written with the next record, or after the delay given to `next`."""
         self.meta = attrs.evolve(self.meta, **facts)
         if self._lazy_since is None:
             self._lazy_since = now
--- a/cloverrouter/coordination/follower.py
+++ b/cloverrouter/coordination/follower.py
@@ -31,7 +31,7 @@
         self.contact = HeadContact(context, now)
         self._promise_due: tuple[int, str, str] | None = None  # epoch, proposer, address
         self._report_due: tuple[int, str, str] | None = None  # epoch, head, address
-        self._upstream = 0  # all from the head to the predecessor have stored the updates up to this one
+        self._upstream = 0  # newest update that all up to the predecessor have stored
         self._told = 0  # newest sequence number sent in a `Stored`
         self._link_epoch = 0  # epoch of these two numbers
 
--- a/cloverrouter/coordination/rounds.py
+++ b/cloverrouter/coordination/rounds.py
@@ -22,7 +22,7 @@
         self._config = config
         self._begun: dict[int, float] = {}
         self._answered: dict[str, int] = {}  # newest round answered by each voter
-        self._heard_at = now  # as `followed_at`, but moved forward after a freeze of this process
+        self._heard_at = now  # as `followed_at`; moved forward after a freeze
         self._lead_from: float | None = None
         self._no_lead_round = 0  # newest round that told the others not to hold to this head
 
