--- a/cloverrouter/coordination/disk.py
+++ b/cloverrouter/coordination/disk.py
@@ -70,7 +70,7 @@
         self._dirty = True
 
     def set_meta_later(self, now: float, **facts: Any) -> None:
-        """Changes fields of `Meta`; written with the next record, or after the delay given to `next`."""
+        """Changes fields of `Meta`; written with the next record, or after a delay (see `next`)."""
         self.meta = attrs.evolve(self.meta, **facts)
         if self._lazy_since is None:
             self._lazy_since = now
--- a/cloverrouter/coordination/head.py
+++ b/cloverrouter/coordination/head.py
@@ -214,7 +214,7 @@
 
     @property
     def lead_until(self) -> float | None:
-        """End of the lease (`Rounds.lead_until`); None without one, or while the view is not in force."""
+        """See `Rounds.lead_until`. None also while the view is not in force."""
         return self.rounds.lead_until if self.active else None
 
     # -- commands --
