--- a/cloverrouter/coordination/head.py
+++ b/cloverrouter/coordination/head.py
@@ -225,7 +225,7 @@
         desk = self._desk
         while self.active and desk.queued and len(desk.flying) < config.max_in_flight:
             if desk.has_read_before(desk.queued[0].since):
-                # A pending read needs a moment without uncommitted updates; later commands wait for it.
+                # A read is answered only while no update is uncommitted; later commands wait for it.
                 return
             entry = desk.queued.popleft()
             self._decide(now, entry.ticket, entry.command)
--- a/cloverrouter/coordination/roster.py
+++ b/cloverrouter/coordination/roster.py
@@ -14,7 +14,7 @@
 
 # A spare that discovery has not reported for this long is dropped.
 SPARE_TTL_S = 6.0
-# A head that sees a higher promise waits this long for the proposer that holds it.
+# A head that sees a promise of a higher epoch waits this long for a message of that proposer.
 FENCED_WAIT_S = 0.3
 MAX_RELAPSES = 5
 # Relapses are forgotten after this time of good health.
