--- a/tests/system/replica_world.py
+++ b/tests/system/replica_world.py
@@ -678,12 +678,12 @@
             raise Violation(f"update {seq} is acknowledged but not committed")
         self.ledger.order(seq, order)
         disks = [node.disk for node in self.nodes] + self.lost_disks
-        holders = sum(1 for disk in disks if self._has_update(disk, seq, order))
+        holders = sum(1 for disk in disks if self._holds(disk, seq, order))
         if holders < self.tolerance + 1:
             raise Violation(f"update {seq} is acknowledged but only on {holders} disks")
         self.ledger.acknowledged = max(self.ledger.acknowledged, seq)
 
-    def _has_update(self, disk: Disk, seq: int, order: str) -> bool:
+    def _holds(self, disk: Disk, seq: int, order: str) -> bool:
         held = disk.held.get(seq)
         if held is not None and self.ledger.order_of(held) == order:
             return True
