--- a/cloverrouter/coordination/context.py
+++ b/cloverrouter/coordination/context.py
@@ -78,7 +78,7 @@
         if self.view is not None and self.view.epoch == view.epoch:
             settled = settled or self.settled
         self.view = view
-        self.disk.change(
+        self.disk.set_meta(
             promised=view.epoch,
             promised_to=proposer,
             view=encode_view(view),
@@ -87,7 +87,7 @@
             adoptable=False,
         )
         if synced:
-            self.disk.change(synced=view.epoch)
+            self.disk.set_meta(synced=view.epoch)
 
     def _is_in_force(self, view: View) -> bool:
         """Returns whether, as far as this replica knows, the view needs no promises of its old voters."""
