--- a/cloverrouter/coordination/follower.py
+++ b/cloverrouter/coordination/follower.py
@@ -1,4 +1,5 @@
-"""The part of a replica that answers: it promises, takes views and state, stores and passes on."""
+"""The acceptor and chain member part of a replica: grants promises, installs views and states, stores updates
+and passes them on."""
 
 from __future__ import annotations
 
@@ -30,17 +31,17 @@
         self.contact = HeadContact(context, now)
         self._promise_due: tuple[int, str, str] | None = None  # epoch, proposer, address
         self._report_due: tuple[int, str, str] | None = None  # epoch, head, address
-        self._upstream = 0  # all from the head to the predecessor have stored up to this
-        self._told = 0  # of which the successor was told
-        self._link_epoch = 0  # that these two belong to
+        self._upstream_stored_seq = 0  # newest update that all up to the predecessor have stored
+        self._last_reported = 0  # newest sequence number sent in a `Stored`
+        self._link_epoch = 0  # epoch of these two numbers
 
     # -- votes --
 
     def on_canvass(self, now: float, ip: str, message: Canvass) -> None:
-        """Would this replica promise?"""
+        """Handles a pre-vote request."""
         context = self._context
         known = context.view.epoch if context.view is not None else 0
-        granted = not self.contact.is_bound(now, message.sender) and message.view_epoch >= known
+        granted = not self.contact.must_withhold_promise(now, message.sender) and message.view_epoch >= known
         reply = Support(
             sender=context.me.identity,
             receiver=message.sender,
@@ -56,28 +57,31 @@
         return self._context.disk.trouble_s(now) >= self._context.config.failure_timeout_s
 
     def on_propose(self, now: float, ip: str, message: Propose) -> bool:
-        """A promise is asked for. Gives whether a new one was made."""
+        """Handles a prepare request. Returns whether a new promise was made."""
         context = self._context
         context.seen_epoch = max(context.seen_epoch, message.epoch)
         meta = context.disk.meta
-        same = message.epoch == meta.promised and message.sender == meta.promised_to
-        if not same and (message.epoch <= meta.promised or self.contact.is_bound(now, message.sender)):
+        is_repeated = message.epoch == meta.promised and message.sender == meta.promised_to
+        if not is_repeated and (
+            message.epoch <= meta.promised or self.contact.must_withhold_promise(now, message.sender)
+        ):
             refused = Refused(context.me.identity, message.sender, message.epoch, meta.promised)
             context.send(ip, refused)
             return False
-        if not same:
-            context.disk.change(promised=message.epoch, promised_to=message.sender)
-            self.contact.hear(now, message.sender)
+        if not is_repeated:
+            context.disk.set_meta(promised=message.epoch, promised_to=message.sender)
+            self.contact.record_contact(now, message.sender)
         self._promise_due = (message.epoch, message.sender, ip)
-        return not same
+        return not is_repeated
 
     def on_fetch(self, now: float, ip: str, message: Fetch) -> None:
-        """The proposer that has the promise asks for the state. A long one takes a while to arrive."""
+        """Sends the state to the proposer that holds this replica's promise. The transfer of a large state
+        takes a while."""
         context = self._context
         meta = context.disk.meta
         if message.epoch != meta.promised or message.sender != meta.promised_to:
             return
-        self.contact.hear(now, message.sender)
+        self.contact.record_contact(now, message.sender)
         newest = context.history.snapshot()
         reply = State(
             sender=context.me.identity,
@@ -92,12 +96,12 @@
     # -- views and state --
 
     def on_install(self, now: float, ip: str, message: Install) -> bool:
-        """A head hands over its view and state. Gives whether they were taken just now."""
+        """Handles a view and state from a head. Returns whether they were installed by this message."""
         context = self._context
         view = message.view
-        if not self._may_take(now, ip, message.sender, view.epoch):
+        if not self._may_adopt(now, ip, message.sender, view.epoch):
             return False
-        self.contact.hear(now, message.sender)
+        self.contact.record_contact(now, message.sender)
         self._report_due = (view.epoch, message.sender, ip)
         if context.synced == view.epoch:
             return False
@@ -109,24 +113,26 @@
                 context.disk.append(context.history.append(update), update)
         else:
             return False
-        context.take_view(view, message.sender, synced=True)
+        context.adopt_view(view, message.sender, synced=True)
         return True
 
     def on_announce(self, now: float, ip: str, message: Announce) -> bool:
-        """A head tells its view. Gives whether it was taken just now."""
+        """Handles a view from a head whose chain this replica is not in. Returns whether it was adopted by
+        this message."""
         context = self._context
         epoch = message.view.epoch
-        if not self._may_take(now, ip, message.sender, epoch):
+        if not self._may_adopt(now, ip, message.sender, epoch):
             return False
-        self.contact.hear(now, message.sender)
+        self.contact.record_contact(now, message.sender)
         self._report_due = (epoch, message.sender, ip)
         if context.disk.durable.meta.view_epoch == epoch == context.epoch:
             return False
-        context.take_view(message.view, message.sender, synced=False)
+        context.adopt_view(message.view, message.sender, synced=False)
         return True
 
-    def _may_take(self, now: float, ip: str, sender: str, epoch: int) -> bool:
-        """Whether a view of this epoch from this head may be taken; if a higher one was promised, say so."""
+    def _may_adopt(self, now: float, ip: str, sender: str, epoch: int) -> bool:
+        """Returns whether a view of this epoch from this head may be adopted; if a higher epoch was promised,
+        reports that to the sender."""
         meta = self._context.disk.meta
         if epoch < meta.promised:
             self._context.report(now, ip, sender)
@@ -136,7 +142,7 @@
     # -- updates --
 
     def on_forward(self, message: Forward) -> list[Committed | Restored]:
-        """Updates come down the chain: stored here, and passed on at once."""
+        """Stores updates from the predecessor and passes them on at once. Returns the commits that follow."""
         context = self._context
         if not self._is_in_chain(message.epoch):
             return []
@@ -147,7 +153,7 @@
             for update in fresh:
                 context.disk.append(history.append(update), update)
             self._pass_on(message, first, fresh)
-        self._take_upstream(message.epoch, message.sender, message.stored)
+        self._record_upstream_stored(message.epoch, message.sender, message.stored)
         return self._commit(message.committed)
 
     def _pass_on(self, message: Forward, first: int, updates: tuple[bytes, ...]) -> None:
@@ -161,18 +167,18 @@
             epoch=message.epoch,
             first_seq=first,
             updates=updates,
-            stored=self._stored(),
+            stored=self._stored_seq(),
             committed=message.committed,
         )
         self._send_to(successor, passed)
 
     def on_stored(self, message: Stored) -> None:
-        """The predecessor, and all before it, have stored."""
+        """Handles the acknowledgement of the predecessor and all members before it."""
         if self._is_in_chain(message.epoch):
-            self._take_upstream(message.epoch, message.sender, message.seq)
+            self._record_upstream_stored(message.epoch, message.sender, message.seq)
 
     def on_commit(self, message: Commit) -> list[Committed | Restored]:
-        """All of the chain have stored."""
+        """Handles a commit: the whole chain has stored these updates. Returns the commits that follow."""
         return self._commit(message.seq) if self._is_in_chain(message.epoch) else []
 
     def _commit(self, seq: int) -> list[Committed | Restored]:
@@ -180,35 +186,35 @@
         return history.commit(min(seq, history.newest))
 
     def _is_in_chain(self, epoch: int) -> bool:
-        """Whether this replica holds the state of that epoch and has promised no higher one."""
+        """Returns whether this replica holds the state of that epoch and has promised no higher one."""
         return epoch == self._context.epoch == self._context.synced
 
-    def _take_upstream(self, epoch: int, sender: str, seq: int) -> None:
-        self._enter_link(epoch)
+    def _record_upstream_stored(self, epoch: int, sender: str, seq: int) -> None:
+        self._reset_link(epoch)
         view = self._context.view
         if view is None or view.epoch != epoch or self._context.me.identity not in view.chain:
             return
-        place = view.chain.index(self._context.me.identity)
-        if place > 0 and view.chain[place - 1] == sender:
-            self._upstream = max(self._upstream, seq)
+        index = view.chain.index(self._context.me.identity)
+        if index > 0 and view.chain[index - 1] == sender:
+            self._upstream_stored_seq = max(self._upstream_stored_seq, seq)
 
-    def _enter_link(self, epoch: int) -> None:
+    def _reset_link(self, epoch: int) -> None:
         if epoch != self._link_epoch:
-            self._link_epoch, self._upstream, self._told = epoch, 0, 0
+            self._link_epoch, self._upstream_stored_seq, self._last_reported = epoch, 0, 0
 
-    def _stored(self) -> int:
-        """Up to where all from the head to this replica have stored."""
+    def _stored_seq(self) -> int:
+        """Returns the newest update that all members from the head to this replica have stored."""
         durable = self._context.disk.durable
         if durable.meta.synced != self._link_epoch:
             return 0
-        return min(self._upstream, durable.seq)
+        return min(self._upstream_stored_seq, durable.seq)
 
     def _successor(self) -> str | None:
         view = self._context.view
         if view is None or self._context.me.identity not in view.chain:
             return None
-        place = view.chain.index(self._context.me.identity) + 1
-        return view.chain[place] if place < len(view.chain) else None
+        index = view.chain.index(self._context.me.identity) + 1
+        return view.chain[index] if index < len(view.chain) else None
 
     def _send_to(self, identity: str, message: object) -> None:
         view = self._context.view
@@ -219,7 +225,7 @@
     # -- heartbeats --
 
     def on_heartbeat(self, now: float, ip: str, message: Heartbeat) -> list[Committed | Restored]:
-        """The head is there, and asks how things stand."""
+        """Handles a heartbeat and replies with a report. Returns the commits that follow."""
         context = self._context
         context.seen_epoch = max(context.seen_epoch, message.epoch)
         known = context.view.epoch if context.view is not None else 0
@@ -227,8 +233,8 @@
         if message.epoch < known or is_late:
             context.report(now, ip, message.sender)
             return []
-        self.contact.judge(now, message)
-        # A head is sure by the word of those only that will know it after a loss of power.
+        self.contact.on_heartbeat(now, message)
+        # A head's lease must rest only on voters that still know of their promise after a power loss.
         promise = context.disk.durable.meta
         is_promised = message.epoch == context.epoch == promise.promised
         if is_promised and message.sender == promise.promised_to:
@@ -237,15 +243,15 @@
         if message.active:
             context.active_epoch = max(context.active_epoch, message.epoch)
             if message.epoch == known and not context.settled:
-                context.disk.note(now, settled=True)
+                context.disk.set_meta_later(now, settled=True)
         if not self._is_in_chain(message.epoch):
             return []
         return self._commit(message.committed)
 
-    # -- what follows from a write that is done --
+    # -- after a write has completed --
 
     def flush(self, now: float) -> None:
-        """Send what had to wait for the disk."""
+        """Sends the messages that were waiting for a write."""
         self._flush_promise()
         self._flush_report(now)
         self._flush_stored()
@@ -290,10 +296,10 @@
         view = context.view
         if view is None or not self._is_in_chain(view.epoch) or view.head == context.me.identity:
             return
-        self._enter_link(view.epoch)
-        seq = self._stored()
-        if seq <= self._told:
+        self._reset_link(view.epoch)
+        seq = self._stored_seq()
+        if seq <= self._last_reported:
             return
-        self._told = seq
+        self._last_reported = seq
         receiver = self._successor() or view.chain[0]
         self._send_to(receiver, Stored(context.me.identity, receiver, view.epoch, seq))
--- a/cloverrouter/coordination/head.py
+++ b/cloverrouter/coordination/head.py
@@ -1,10 +1,9 @@
-"""The head of one epoch: brings its view into force, orders updates, and watches the others."""
+"""The head of one epoch: brings its view into force, orders updates, and monitors the other members."""
 
 from __future__ import annotations
 
 from cloverrouter.coordination.catch_up import CatchUpSender, Progress
 from cloverrouter.coordination.context import Context, view_info
-from cloverrouter.coordination.desk import Asked, Desk, Flying
 from cloverrouter.coordination.effects import Answer, Outcome, ViewInfo
 from cloverrouter.coordination.messages import (
     Announce,
@@ -17,54 +16,56 @@
     Report,
     Stored,
 )
+from cloverrouter.coordination.pending_calls import PendingCalls, PendingRead, UncommittedCommand
 from cloverrouter.coordination.proposal import Plan
 from cloverrouter.coordination.roster import Peer, Roster
-from cloverrouter.coordination.rounds import Rounds
+from cloverrouter.coordination.rounds import HeartbeatRounds
 from cloverrouter.coordination.views import Member, View, is_majority
 
-# View and state are handed over again when nothing is heard of them for so long.
-HAND_AGAIN_S = 0.5
+# The view and the state are sent again after this long without an acknowledgement.
+VIEW_RESEND_S = 0.5
 REPAIR_AFTER_S = 0.2
-# One message carries updates of so many bytes, or a single one.
+# Maximum total size of the updates in one message, unless a single update exceeds it.
 FORWARD_BYTES = 1024 * 1024
 
 
 class Head:
-    """One headship: from the choice of the state to the next epoch."""
+    """The head of one epoch, from the selection of the state to the next epoch."""
 
     def __init__(
         self,
         context: Context,
         roster: Roster,
-        desk: Desk,
+        pending: PendingCalls,
         view: View,
         promises: dict[str, Promise],
-        lineage: dict[int, int],
+        prefix_seqs: dict[int, int],
         now: float,
         follows: int,
     ) -> None:
-        """`lineage`: for an epoch, up to which update states handed over in it are beginnings of this one.
+        """`prefix_seqs`: maps an epoch to the newest update up to which states received in it are prefixes of
+        this head's state.
         `follows`: see `Replica.follows`."""
         self.view = view
         self.follows = follows
         self.active = False
         self._context = context
         self._roster = roster
-        self._desk = desk
+        self._pending = pending
         self._promises = promises
-        self._lineage = lineage
-        self._base = context.history.newest
-        self.rounds = Rounds(context.me.identity, view, context.config, now)
-        self._beat_at = now
-        self._sent_at = now  # when updates were last sent
+        self._prefix_seqs = prefix_seqs
+        self._base_seq = context.history.newest
+        self.rounds = HeartbeatRounds(context.me.identity, view, context.config, now)
+        self._last_round_at = now
+        self._last_forward_at = now  # when updates were last sent
         self._catch_up = CatchUpSender(context, view.epoch)
-        self._tail_stored = 0
-        self._told_stored = 0
-        context.take_view(view, context.me.identity, synced=True)
+        self._tail_stored_seq = 0
+        self._last_stored_sent = 0
+        context.adopt_view(view, context.me.identity, synced=True)
         roster.begin(now, view)
-        desk.new_rounds()
-        self._hand_out(now)
-        self.beat(now)
+        pending.reset_rounds()
+        self._send_view_to_all(now)
+        self.start_round(now)
 
     # -- bringing the view into force --
 
@@ -73,17 +74,17 @@
         me = self._context.me.identity
         return [member for member in self.view.electorate(settled=False) if member.identity != me]
 
-    def _hand_out(self, now: float) -> None:
+    def _send_view_to_all(self, now: float) -> None:
         for member in self._others:
             peer = self._roster.peers.get(member.identity)
             if peer is not None:
-                self._hand(now, peer)
+                self._send_view(now, peer)
 
-    def _hand(self, now: float, peer: Peer) -> None:
-        """Send view and state to one of the chain, or the view to another."""
-        if peer.handed_at and now - peer.handed_at < HAND_AGAIN_S:
+    def _send_view(self, now: float, peer: Peer) -> None:
+        """Sends the view and the state to a chain member, or the view only to another replica."""
+        if peer.view_sent_at and now - peer.view_sent_at < VIEW_RESEND_S:
             return
-        peer.handed_at = now
+        peer.view_sent_at = now
         me, identity = self._context.me.identity, peer.member.identity
         if identity in self.view.chain:
             self._send(peer.member, self._install_for(identity))
@@ -91,10 +92,10 @@
             self._send(peer.member, Announce(me, identity, self.view))
 
     def _updates_from(self, synced: int, seq: int) -> tuple[bytes, ...] | None:
-        """The updates that lead here from the state `seq` of the epoch `synced`; None if only a whole state
-        does."""
+        """Returns the updates that lead to the newest state from the state `seq` of epoch `synced`; None if
+        only the whole state does."""
         history = self._context.history
-        last = history.newest if synced == self.view.epoch else self._lineage.get(synced, -1)
+        last = history.newest if synced == self.view.epoch else self._prefix_seqs.get(synced, -1)
         return history.after(seq) if seq <= last else None
 
     def _install_for(self, identity: str) -> Install:
@@ -104,14 +105,14 @@
         if promise is not None:
             synced, seq = promise.synced, promise.seq
             updates = self._updates_from(synced, seq)
-        if updates is not None and self._context.history.newest != self._base:
-            updates = updates[: self._base - seq]
+        if updates is not None and self._context.history.newest != self._base_seq:
+            updates = updates[: self._base_seq - seq]
         state = self._context.history.snapshot() if updates is None else None
         return Install(
             sender=self._context.me.identity,
             receiver=identity,
             view=self.view,
-            seq=state.seq if state is not None else self._base,
+            seq=state.seq if state is not None else self._base_seq,
             snapshot=state.data if state is not None else None,
             from_synced=synced,
             from_seq=seq,
@@ -122,9 +123,10 @@
         self._context.send(self._context.address(member), message)
 
     def _is_in_force(self) -> bool:
-        """Whether all of the chain hold view and state, and a majority of the old voters the view."""
+        """Returns whether the whole chain has stored the view and the state, and a majority of the old voters
+        the view."""
         epoch = self.view.epoch
-        if not self._own_is_stored():
+        if not self._is_own_state_stored():
             return False
         for identity in self.view.chain[1:]:
             report = self._report(identity)
@@ -139,11 +141,11 @@
                 holders.add(member.identity)
         return is_majority(self.view.old_voters, holders)
 
-    def _own_is_stored(self) -> bool:
+    def _is_own_state_stored(self) -> bool:
         return self._context.disk.durable.meta.synced == self.view.epoch
 
     def _report(self, identity: str) -> Report | None:
-        """The report of one that follows this epoch."""
+        """Returns the newest report of a member, if it has promised exactly this epoch."""
         peer = self._roster.peers.get(identity)
         report = peer.report if peer is not None else None
         return report if report is not None and report.promised == self.view.epoch else None
@@ -152,32 +154,32 @@
 
     @property
     def catch_up(self) -> Progress | None:
-        """The state that is handed over in parts, if one is."""
+        """Progress of the chunked state transfer, if one is in progress."""
         return self._catch_up.progress
 
     def _lacks_long_state(self, peer: Peer) -> bool:
-        """Whether a member is to be handed the state in parts before it joins the chain."""
-        if not self._context.has_long_state or not self._catch_up.may_wait(peer.member.identity):
+        """Returns whether a member needs a chunked state transfer before it joins the chain."""
+        if not self._context.has_long_state or not self._catch_up.has_transfers_left(peer.member.identity):
             return False
         report = peer.report
         return report is None or self._updates_from(report.synced, report.seq) is None
 
-    def caught_up(self, now: float, message: CatchUpTaken) -> None:
-        """A member tells how much of the state it has."""
-        self._catch_up.taken(now, message)
+    def on_catch_up_taken(self, now: float, message: CatchUpTaken) -> None:
+        """Handles the acknowledgement of state chunks."""
+        self._catch_up.on_taken(now, message)
 
     def _tick_catch_up(self, now: float) -> None:
         if not self.active:
             return
-        wanted = self._roster.well_outside(now, self.view)
+        wanted = self._roster.healthy_outside_chain(now, self.view)
         self._catch_up.tick(now, [peer.member for peer in wanted if self._lacks_long_state(peer)])
 
     # -- heartbeats and confirmation --
 
-    def beat(self, now: float) -> int:
-        """Begin a round of heartbeats. Gives its number."""
+    def start_round(self, now: float) -> int:
+        """Starts a heartbeat round and returns its number."""
         context = self._context
-        self._beat_at = now
+        self._last_round_at = now
         trouble_s = context.disk.trouble_s(now)
         is_fit = not context.resigning and trouble_s < context.config.failure_timeout_s
         number = self.rounds.begin(now, is_fit)
@@ -196,74 +198,75 @@
         return number
 
     def on_report(self, now: float, report: Report) -> None:
-        """A member tells how things stand."""
-        peer = self._roster.heard(now, report, self.view.epoch)
+        """Handles a report; sends again what the member lacks."""
+        peer = self._roster.on_report(now, report, self.view.epoch)
         self._context.seen_epoch = max(self._context.seen_epoch, report.promised)
         if peer is None or report.promised > self.view.epoch:
             return
         if report.round_epoch == self.view.epoch:
-            self.rounds.answered(report.sender, report.round)
+            self.rounds.on_answer(report.sender, report.round)
         in_chain = report.sender in self.view.chain
         behind = report.synced != self.view.epoch if in_chain else report.view_epoch != self.view.epoch
         if behind:
-            self._hand(now, peer)
+            self._send_view(now, peer)
         elif in_chain and self.active:
             self._repair(now, peer, report)
 
     @property
-    def lead_until(self) -> float | None:
-        """Until when no other can have become head, or None if that is not sure."""
-        return self.rounds.lead_until if self.active else None
+    def lease_until(self) -> float | None:
+        """See `HeartbeatRounds.lease_until`. None also while the view is not in force."""
+        return self.rounds.lease_until if self.active else None
 
     # -- commands --
 
-    def work(self, now: float) -> None:
-        """Decide on what waits, as far as there is room."""
+    def decide_queued(self, now: float) -> None:
+        """Evaluates queued commands up to the limit of uncommitted updates."""
         config = self._context.config
-        desk = self._desk
-        while self.active and desk.waiting and len(desk.flying) < config.in_flight:
-            if desk.is_read_before(desk.waiting[0].since):
-                return  # it needs a moment without an update under way; those that came later wait their turn
-            entry = desk.waiting.popleft()
+        pending = self._pending
+        while self.active and pending.queued and len(pending.uncommitted) < config.max_in_flight:
+            if pending.has_read_before(pending.queued[0].since):
+                # A read is answered only while no update is uncommitted; later commands wait for it.
+                return
+            entry = pending.queued.popleft()
             self._decide(now, entry.ticket, entry.command)
 
     def _decide(self, now: float, ticket: int, command: bytes) -> None:
-        context, desk = self._context, self._desk
+        context, pending = self._context, self._pending
         decision = context.history.decide(command)
         if decision.update is None:
             newest = context.history.newest
-            desk.asked.append(Asked(ticket, newest, decision.reply, now))
+            pending.reads.append(PendingRead(ticket, newest, decision.reply, now))
             return
         if not self._has_room(len(decision.update)):
-            too_large = Asked(ticket, context.history.newest, b"", now, outcome=Outcome.TOO_LARGE)
-            desk.asked.append(too_large)
+            too_large = PendingRead(ticket, context.history.newest, b"", now, outcome=Outcome.TOO_LARGE)
+            pending.reads.append(too_large)
             return
         seq = context.history.append(decision.update)
         context.disk.append(seq, decision.update)
-        desk.flying.append(Flying(ticket, seq, decision.reply))
+        pending.uncommitted.append(UncommittedCommand(ticket, seq, decision.reply))
 
     def _has_room(self, update_bytes: int) -> bool:
-        """Whether the disk takes an update of that size, if need be after its updates are folded."""
+        """Returns whether the state has room for an update of that size, if needed after compaction."""
         context = self._context
         room = context.config.max_state_bytes - update_bytes
         if context.disk.state_bytes > room:
-            context.disk.fold()
+            context.disk.compact()
         return context.disk.state_bytes <= room
 
-    def ask_rounds(self, now: float) -> None:
-        """Begin a round for reads that have come since the last."""
-        asked = [entry for entry in self._desk.asked if entry.round is None]
+    def start_read_round(self, now: float) -> None:
+        """Starts a heartbeat round for the reads that have arrived since the last one."""
+        asked = [entry for entry in self._pending.reads if entry.round is None]
         if not asked or not self.active:
             return
-        number = self.beat(now)
+        number = self.start_round(now)
         for entry in asked:
             entry.round = number
 
-    def answer_asked(self) -> None:
-        """Answer the reads that are confirmed."""
-        history, desk = self._context.history, self._desk
-        left: list[Asked] = []
-        for entry in desk.asked:
+    def answer_reads(self) -> None:
+        """Answers the reads whose round is confirmed."""
+        history, pending = self._context.history, self._pending
+        left: list[PendingRead] = []
+        for entry in pending.reads:
             confirmed = entry.round is not None and entry.round <= self.rounds.confirmed
             if not self.active or not confirmed or history.committed < entry.seq:
                 left.append(entry)
@@ -274,12 +277,12 @@
                 self._context.effects.append(Answer(entry.ticket, Outcome.DONE, state.data, state.seq))
             else:
                 left.append(entry)
-        desk.asked = left
+        pending.reads = left
 
     # -- the chain --
 
     def forward(self, now: float, sent: int) -> int:
-        """Send the updates after `sent` to the successor. Gives up to where all are sent."""
+        """Sends the updates after `sent` to the successor. Returns the newest update sent."""
         history = self._context.history
         if not self.active or len(self.view.chain) < 2 or history.newest <= sent:
             return history.newest
@@ -287,7 +290,7 @@
         successor = self.view.voter(self.view.chain[1])
         if successor is not None:
             self._send_updates(successor, sent + 1, updates)
-        self._sent_at = now
+        self._last_forward_at = now
         return history.newest
 
     def _send_updates(self, member: Member, first: int, updates: tuple[bytes, ...]) -> None:
@@ -298,19 +301,19 @@
                 epoch=self.view.epoch,
                 first_seq=first + start,
                 updates=batch,
-                stored=self._own_stored(),
+                stored=self._own_stored_seq(),
                 committed=self._context.history.committed,
             )
             self._send(member, forward)
 
-    def _own_stored(self) -> int:
+    def _own_stored_seq(self) -> int:
         durable = self._context.disk.durable
         return durable.seq if durable.meta.synced == self.view.epoch else 0
 
     def _repair(self, now: float, peer: Peer, report: Report) -> None:
-        """Send once more what a member lacks, if that is not merely on its way."""
+        """Resends the updates that a member lacks, unless they were sent a moment ago."""
         history = self._context.history
-        if report.received_seq >= history.newest or now - self._sent_at < REPAIR_AFTER_S:
+        if report.received_seq >= history.newest or now - self._last_forward_at < REPAIR_AFTER_S:
             return
         if now - peer.repaired_at < REPAIR_AFTER_S:
             return
@@ -320,41 +323,42 @@
             self._send_updates(peer.member, report.received_seq + 1, updates)
 
     def on_stored(self, message: Stored) -> None:
-        """The tail has stored, and so have all before it."""
+        """Handles the tail's acknowledgement, which covers all members before it."""
         if message.epoch == self.view.epoch and message.sender == self.view.chain[-1]:
-            self._tail_stored = max(self._tail_stored, message.seq)
+            self._tail_stored_seq = max(self._tail_stored_seq, message.seq)
 
-    def _stored_by_all(self) -> int:
-        """Up to where the whole chain has stored: told by the tail, or one by one in the reports."""
-        least = self._own_stored()
+    def _chain_stored_seq(self) -> int:
+        """Returns the newest update that the whole chain has stored, from the tail's acknowledgement or the
+        members' reports."""
+        stored_seq = self._own_stored_seq()
         for identity in self.view.chain[1:]:
             report = self._report(identity)
             known = report.seq if report is not None and report.synced == self.view.epoch else 0
-            least = min(least, known)
-        return max(least, min(self._tail_stored, self._own_stored()))
+            stored_seq = min(stored_seq, known)
+        return max(stored_seq, min(self._tail_stored_seq, self._own_stored_seq()))
 
     def flush(self, now: float) -> bool:
-        """What follows from writes that are done and reports that came. Gives whether the view has just come
-        into force."""
+        """Commits and acknowledges after completed writes and received reports. Returns whether the view has
+        just come into force."""
         begins = not self.active and self._is_in_force()
         if begins:
             self.active = True
-            self._context.disk.note(now, settled=True)
+            self._context.disk.set_meta_later(now, settled=True)
         if not self.active:
             return False
-        self._tell_stored()
-        seq = self._stored_by_all()
+        self._send_stored()
+        seq = self._chain_stored_seq()
         if seq > self._context.history.committed or begins:
             self._commit(now, seq)
-        if begins:  # that the view is in force is to be known by many: see `View.old_voters`
-            self.beat(now)
+        if begins:  # many replicas should know that the view is in force: see `View.old_voters`
+            self.start_round(now)
         return begins
 
-    def _tell_stored(self) -> None:
-        seq = self._own_stored()
-        if len(self.view.chain) < 2 or seq <= max(self._told_stored, self._base):
+    def _send_stored(self) -> None:
+        seq = self._own_stored_seq()
+        if len(self.view.chain) < 2 or seq <= max(self._last_stored_sent, self._base_seq):
             return
-        self._told_stored = seq
+        self._last_stored_sent = seq
         successor = self.view.voter(self.view.chain[1])
         if successor is not None:
             me = self._context.me.identity
@@ -363,36 +367,36 @@
     def _commit(self, now: float, seq: int) -> None:
         context = self._context
         context.effects += context.history.commit(seq)
-        context.disk.note(now, committed=context.history.committed)
-        context.effects += self._desk.committed(context.history.committed)
+        context.disk.set_meta_later(now, committed=context.history.committed)
+        context.effects += self._pending.answers_to_committed(context.history.committed)
         for identity in self.view.chain[1:]:
             member = self.view.voter(identity)
             if member is not None:
                 self._send(member, Commit(context.me.identity, identity, self.view.epoch, seq))
 
-    # -- watching --
+    # -- monitoring --
 
     def tick(self, now: float) -> None:
-        """Time has passed."""
-        if now - self._beat_at >= self._context.config.heartbeat_s:
-            self.beat(now)
-        self._roster.mark(now)
+        """Sends heartbeats that are due, updates the members' health and continues state transfers."""
+        if now - self._last_round_at >= self._context.config.heartbeat_s:
+            self.start_round(now)
+        self._roster.update_health(now)
         self._tick_catch_up(now)
 
     def plan(self, now: float) -> Plan | None:
-        """The next view, if another one is called for and this disk works."""
+        """Returns the next view that is needed, if any and if this disk works."""
         context = self._context
         if context.resigning or context.disk.trouble_s(now) >= context.config.failure_timeout_s / 2:
             return None
         return self._roster.plan(now, self.view, self.active, self._lacks_long_state)
 
     def info(self) -> ViewInfo:
-        """What this head says of its view."""
+        """Returns the published form of the view."""
         return view_info(self._context, self.view, self.active)
 
 
 def _batches(updates: tuple[bytes, ...]) -> list[tuple[int, tuple[bytes, ...]]]:
-    """Updates in portions, each with the place of its first."""
+    """Splits updates into batches, each with the index of its first update."""
     batches: list[tuple[int, tuple[bytes, ...]]] = []
     start, size = 0, 0
     for place, update in enumerate(updates):
--- a/tests/system/replica_chaos.py
+++ b/tests/system/replica_chaos.py
@@ -1,4 +1,4 @@
-"""Troubled days in the world of replicas, drawn from a seed. By hand:
+"""Randomized fault injection into a simulation of replicas. By hand:
 
 python -m tests.system.replica_chaos --seeds 1000 --first 1 [--trace SEED]
 """
@@ -15,39 +15,39 @@
 
 from cloverrouter.coordination.messages import Heartbeat, Report
 from cloverrouter.messages.sending import Send
-from tests.system.replica_world import Client, Crowd, Node, Reader, Violation, Weather, World
+from tests.system.replica_world import BurstClients, Client, NetworkConditions, Node, Reader, Violation, World
 
 SIZES = (
     *((1, 0), (2, 0), (2, 1), (3, 1), (3, 1), (3, 1), (3, 1)),
     *((4, 1), (5, 2), (5, 2), (6, 1), (6, 2), (8, 2)),
 )
-TROUBLED_S = 9.0
+FAULTS_S = 9.0
 STORM_S = 3.0
-# After the last trouble: orders are taken again within this.
-HEALED_S = 6.0
+# After the last fault commands must be acknowledged again within this time.
+RECOVERY_LIMIT_S = 6.0
 
 
 @attrs.define
-class Day:
-    """One world with its troubles."""
+class ChaosRun:
+    """One simulation with the faults injected into it."""
 
     world: World
     random: Random
     clients: list[Client]
     count: int
     tolerance: int
-    haste: float = 1.0  # shortens how long troubles last
-    meanness: float = 0.0  # share of messages that draw a trouble
-    kinds: list[Callable[[], None]] = attrs.Factory(list)  # those of this day
-
-    def trouble(self) -> None:
-        """Draw a trouble."""
-        if not self.kinds:
-            self.kinds = self.all_kinds()
-        self.random.choice(self.kinds)()
-
-    def all_kinds(self) -> list[Callable[[], None]]:
-        """All troubles, the likelier more than once."""
+    duration_factor: float = 1.0  # factor on the duration of faults
+    message_fault_share: float = 0.0  # share of messages that trigger a fault
+    faults: list[Callable[[], None]] = attrs.Factory(list)  # faults enabled in this run
+
+    def inject_fault(self) -> None:
+        """Injects a random fault."""
+        if not self.faults:
+            self.faults = self.all_faults()
+        self.random.choice(self.faults)()
+
+    def all_faults(self) -> list[Callable[[], None]]:
+        """Returns all faults; likelier ones occur more than once."""
         return [
             self.kill,
             self.kill,
@@ -72,9 +72,9 @@
             self.resign,
         ]
 
-    def spite(self, node: Node, effect: Send) -> float:
-        """A message is sent: perhaps it is held up, or one of its two ends goes down at that moment."""
-        if isinstance(effect.message, Heartbeat | Report) or self.random.random() >= self.meanness:
+    def inject_on_send(self, node: Node, effect: Send) -> float:
+        """Hook for each message sent: may return a delay for it, or crash one of its ends at that moment."""
+        if isinstance(effect.message, Heartbeat | Report) or self.random.random() >= self.message_fault_share:
             return 0.0
         kind = self.random.random()
         if kind < 0.6:
@@ -82,10 +82,10 @@
         ends = [other for other in self.world.nodes if other.ip == effect.ip] if kind < 0.8 else [node]
         for end in ends:
             if end.replica is not None:
-                self.world.at(self.world.now, partial(self._strike, end))
+                self.world.at(self.world.now, partial(self._crash, end))
         return 0.0
 
-    def _strike(self, node: Node) -> None:
+    def _crash(self, node: Node) -> None:
         if node.replica is not None:
             self.world.kill(node, power=True)
             self.world.start(node, self.random.uniform(0.0, 0.05))
@@ -97,7 +97,7 @@
         return self.random.choice(running) if running else None
 
     def _restart(self, node: Node, most_s: float = 1.5) -> None:
-        self.world.start(node, self.haste * self.random.uniform(0.05, most_s))
+        self.world.start(node, self.duration_factor * self.random.uniform(0.05, most_s))
 
     def kill(self) -> None:
         node = self._any_running()
@@ -124,7 +124,7 @@
                 self._restart(node, 1.0)
 
     def resign(self) -> None:
-        """A process is told to end: it resigns, and ends a little later."""
+        """Tells a process to exit: it resigns, and ends a little later."""
         node = self._any_running()
         if node is None or node.replica is None:
             return
@@ -136,36 +136,36 @@
                 self.world.kill(node)
                 self._restart(node)
 
-        self.world.at(self.world.now + self.haste * self.random.uniform(0.2, 1.5), end)
+        self.world.at(self.world.now + self.duration_factor * self.random.uniform(0.2, 1.5), end)
 
     def freeze(self) -> None:
         node = self._any_running()
         if node is not None:
-            self.world.freeze(node, self.haste * self.random.uniform(0.1, 3.0))
+            self.world.freeze(node, self.duration_factor * self.random.uniform(0.1, 3.0))
 
     def freeze_head(self) -> None:
         node = self.world.head()
         if node is not None:
-            self.world.freeze(node, self.haste * self.random.uniform(0.3, 3.0))
+            self.world.freeze(node, self.duration_factor * self.random.uniform(0.3, 3.0))
 
-    # -- disks that are lost --
+    # -- lost disks --
 
     def _lost_now(self) -> int:
-        """How many lost disks are still voters, as far as any disk knows."""
+        """Returns the number of lost disks that are still voters in any disk's view."""
         known: set[str] = set()
-        lost = {disk.stored.identity for disk in self.world.buried}
+        lost = {disk.stored.identity for disk in self.world.lost_disks}
         for node in self.world.nodes:
             if not node.removed:
                 known |= known_voters(node)
         return len(lost & known)
 
     def _may_lose(self) -> bool:
-        """Fewer disks than may be lost are; and there are enough to lose any."""
+        """Returns whether a further disk loss is tolerable."""
         enough = self.count >= 2 * self.tolerance + 1
         return enough and self._lost_now() < self.tolerance
 
     def wipe(self) -> None:
-        """A disk is lost, sometimes while all others lose power."""
+        """Loses a disk, sometimes while all others lose power."""
         node = self._any_running()
         if node is None or not self._may_lose():
             return
@@ -177,18 +177,18 @@
         self.world.wipe(node)
 
     def replace(self) -> None:
-        """A machine is taken away, and another comes, under its name or another."""
+        """Removes a machine and adds another, under the same or another name."""
         node = self._any_running()
         if node is None or not self._may_lose():
             return
-        self.world.say(f"{node.name} is taken away")
+        self.world.say(f"{node.name} is removed")
         self.world.remove(node)
         name = node.name if self.random.random() < 0.5 else ""
 
         def add() -> None:
             self.world.add_node(name=name, place=self.world.nodes.index(node))
 
-        self.world.at(self.world.now + self.haste * self.random.uniform(0.0, 1.0), add)
+        self.world.at(self.world.now + self.duration_factor * self.random.uniform(0.0, 1.0), add)
 
     # -- links --
 
@@ -226,9 +226,9 @@
 
     def join(self) -> None:
         self.world.cuts.clear()
-        self.world.say("all links are whole")
+        self.world.say("all partitions end")
 
-    # -- disks in trouble --
+    # -- faulty disks --
 
     def stall(self) -> None:
         self._stall(self._any_running())
@@ -238,7 +238,7 @@
 
     def _stall(self, node: Node | None) -> None:
         if node is not None:
-            node.disk.stalled_until = self.world.now + self.haste * self.random.uniform(0.3, 4.0)
+            node.disk.stalled_until = self.world.now + self.duration_factor * self.random.uniform(0.3, 4.0)
             self.world.say(f"{node.name}'s disk stalls until {node.disk.stalled_until:.2f}")
 
     def slow(self) -> None:
@@ -253,32 +253,32 @@
             node.disk.full = not node.disk.full
             self.world.say(f"{node.name}'s disk is {'full' if node.disk.full else 'not full'}")
 
-    def mend(self) -> None:
+    def repair_disks(self) -> None:
         for node in self.world.nodes:
             node.disk.stalled_until = 0.0
             node.disk.slowness = 1.0
             node.disk.full = False
-        self.world.say("all disks are well")
+        self.world.say("all disks are healthy")
 
     # -- the end --
 
-    def heal(self) -> None:
-        """All troubles are over."""
-        self.world.say("healed")
+    def end_faults(self) -> None:
+        """Ends all faults."""
+        self.world.say("all faults end")
         self.join()
-        self.mend()
-        self.world.weather = Weather()
-        self.meanness = 0.0
+        self.repair_disks()
+        self.world.network = NetworkConditions()
+        self.message_fault_share = 0.0
         for node in self.world.nodes:
             if node.frozen_until > self.world.now:
                 node.frozen_until = self.world.now
-                held, node.held_back = node.held_back, []
+                held, node.deferred_events = node.deferred_events, []
                 for action in held:
                     action()
 
 
 def known_voters(node: Node) -> set[str]:
-    """Voters of the view that a node's disk or process knows."""
+    """Returns the identities of the voters, old ones included, in the view on a node's disk."""
     from cloverrouter.coordination.views import decode_view
 
     view = decode_view(node.disk.stored.meta.view)
@@ -288,13 +288,13 @@
 
 
 def play(seed: int, trace: Callable[[str], None] | None = None, storm: bool = False) -> World:
-    """Play the day of a seed. Raises Violation."""
-    return play_storm(seed, trace) if storm else play_day(seed, trace)
+    """Runs the simulation of a seed. Raises Violation."""
+    return run_storm(seed, trace) if storm else run_day(seed, trace)
 
 
-def play_storm(seed: int, trace: Callable[[str], None] | None = None) -> World:
-    """A day on which hardly anything comes in time, views change all the while, and no figure of the
-    configuration is such that time alone would keep things right."""
+def run_storm(seed: int, trace: Callable[[str], None] | None = None) -> World:
+    """Runs a simulation with frequent faults and view changes, and with timeouts too short for correctness to
+    rest on timing alone. Raises Violation."""
     random = Random(f"storm {seed}")
     count, tolerance = random.choice(SIZES)
     failure_timeout_s = random.choice([0.06, 0.15, 0.3])
@@ -306,100 +306,103 @@
         "jitter_s": random.choice([0.02, 0.1]),
         "start_delay_s": random.choice([0.0, 0.1]),
         "retry_s": random.choice([0.03, 0.1]),
-        "gather_s": random.choice([0.0, 0.03]),
+        "collect_s": random.choice([0.0, 0.03]),
         "lost_quorum_s": random.choice([0.3, 5.0]),
-        "exchange_after_s": random.choice([0.1, 0.4]),
+        "replace_after_s": random.choice([0.1, 0.4]),
         "rejoin_s": 0.05,
         "disk_retry_s": 0.05,
-        "settle_s": random.choice([0.01, 0.3, 100.0]),
+        "lazy_write_s": random.choice([0.01, 0.3, 100.0]),
         "compact_bytes": random.choice([100, 1000, 256 * 1024]),
     }
-    weather = Weather(
+    network = NetworkConditions(
         most_delay_s=random.choice([0.002, 0.002, 0.01, 0.05]),
         loss=random.choice([0.0, 0.0, 0.02, 0.1]),
         late=random.choice([0.0, 0.0, 0.02, 0.1]),
         twice=random.choice([0.0, 0.1]),
     )
-    if seed % 3 == 0:  # every state is long: it goes in parts to those that are about to join
+    if seed % 3 == 0:  # every state counts as large: it is sent in chunks to members that are about to join
         config["catch_up_bytes"] = 0
-    world = World(seed, count, tolerance, weather, config=config, tick_s=0.01)
+    world = World(seed, count, tolerance, network, config=config, tick_s=0.01)
     world.trace = trace
     client_pause_s = random.choice([0.03, 0.3])
     clients = [
-        Client(world, f"client{number}", client_pause_s, patience_s=0.2, read_share=0.4, astray=0.4)
+        Client(
+            world, f"client{number}", client_pause_s, patience_s=0.2, read_share=0.4, random_node_share=0.4
+        )
         for number in range(random.choice([1, 3]))
     ]
-    day = Day(world, random, clients, count, tolerance, haste=0.2)
-    crowd = Crowd(world, random.choice([0.02, 0.1, 10.0, 10.0]), random.choice([1, 6]))
+    chaos = ChaosRun(world, random, clients, count, tolerance, duration_factor=0.2)
+    burst_clients = BurstClients(world, random.choice([0.02, 0.1, 10.0, 10.0]), random.choice([1, 6]))
     readers = [Reader(world, node) for node in world.nodes]
-    day.meanness = random.choice([0.0, 0.01, 0.03, 0.1])
-    # A few kinds a day: troubles that come seldom together, or undo each other, get their turn.
-    day.kinds = [*random.sample(day.all_kinds(), random.randint(2, 6)), day.join, day.mend]
+    chaos.message_fault_share = random.choice([0.0, 0.01, 0.03, 0.1])
+    # Only a few kinds of fault per run, so that rare combinations, and faults that others would undo, occur.
+    chaos.faults = [*random.sample(chaos.all_faults(), random.randint(2, 6)), chaos.join, chaos.repair_disks]
     pause_s = random.choice([0.1, 0.3, 0.6])
-    world.nemesis = day.spite
+    world.nemesis = chaos.inject_on_send
     end = world.now + STORM_S
     while world.now < end:
         world.run(random.expovariate(1 / pause_s))
-        day.trouble()
-    crowd.stopped = True
+        chaos.inject_fault()
+    burst_clients.stopped = True
     for reader in readers:
         reader.stopped = True
-    day.heal()
+    chaos.end_faults()
     check_healed(world, clients)
     return world
 
 
-def play_day(seed: int, trace: Callable[[str], None] | None = None) -> World:
-    """An ordinary bad day."""
+def run_day(seed: int, trace: Callable[[str], None] | None = None) -> World:
+    """Runs a simulation with the default configuration and occasional faults. Raises Violation."""
     random = Random(f"day {seed}")
     count, tolerance = random.choice(SIZES)
     loss = random.choice([0.0, 0.0, 0.01, 0.1])
-    weather = Weather(loss=loss, late=random.choice([0.0, 0.0, 0.02]))
+    network = NetworkConditions(loss=loss, late=random.choice([0.0, 0.0, 0.02]))
     genesis = random.random() < 0.15 and count >= 2 * tolerance + 1
-    world = World(seed, count, tolerance, weather, genesis, wire=seed % 16 == 0)
+    world = World(seed, count, tolerance, network, genesis, wire=seed % 16 == 0)
     world.trace = trace
     clients = [Client(world, f"client{number}") for number in range(random.choice([1, 2, 3]))]
-    day = Day(world, random, clients, count, tolerance)
+    chaos = ChaosRun(world, random, clients, count, tolerance)
     if genesis:
         world.run(2.5)
-    end = world.now + TROUBLED_S
+    end = world.now + FAULTS_S
     pause_s = random.choice([0.3, 0.8, 1.5])
     while world.now < end:
         world.run(random.expovariate(1 / pause_s))
-        day.trouble()
-    day.heal()
+        chaos.inject_fault()
+    chaos.end_faults()
     check_healed(world, clients)
     return world
 
 
 def check_healed(world: World, clients: list[Client]) -> None:
-    """Orders are taken again, and all that was acknowledged is read."""
+    """Checks that commands are acknowledged again, everything acknowledged is read, and all voters are back
+    in the chain. Raises Violation."""
     for client in clients:
         client.stopped = True
     healed_at = world.now
     probe = Client(world, "probe", pause_s=0.05)
-    if not world.run_while(lambda: not probe.done, HEALED_S):
-        raise Violation(f"no order is taken {HEALED_S} s after all is well")
-    if not world.run_while(lambda: not probe.reads, HEALED_S):
-        raise Violation("nothing is read after all is well")
-    world.healed_s = world.now - healed_at
+    if not world.run_while(lambda: not probe.done, RECOVERY_LIMIT_S):
+        raise Violation(f"no command is acknowledged within {RECOVERY_LIMIT_S} s after the last fault")
+    if not world.run_while(lambda: not probe.reads, RECOVERY_LIMIT_S):
+        raise Violation("no read is answered after the last fault")
+    world.recovery_s = world.now - healed_at
     probe.stopped = True
     world.run(4.0)
     head = world.head()
     if head is None or head.replica is None:
-        raise Violation("there is no head after all is well")
+        raise Violation("there is no head after the last fault")
     view = head.replica.view_info
     assert view is not None
     if len(view.chain) != len(view.voters):
         missing = {member.name for member in view.voters} - {member.name for member in view.chain}
         raise Violation(f"{missing} did not come back into the chain")
-    buried = {disk.stored.identity for disk in world.buried}
-    if buried & {member.identity for member in view.voters}:
+    lost_disks = {disk.stored.identity for disk in world.lost_disks}
+    if lost_disks & {member.identity for member in view.voters}:
         raise Violation("a lost disk is still a voter")
 
 
 def main() -> None:
-    parser = argparse.ArgumentParser(description="Play troubled days.")
+    parser = argparse.ArgumentParser(description="Runs simulations with random faults.")
     parser.add_argument("--seeds", type=int, default=200)
     parser.add_argument("--first", type=int, default=1)
     parser.add_argument("--trace", type=int)
@@ -416,7 +419,7 @@
             failed += 1
             place = traceback.extract_tb(error.__traceback__)[-1]
             print(f"seed {seed}: {type(error).__name__}: {error} ({place.name}:{place.lineno})", flush=True)
-    print(f"{arguments.seeds} days, {failed} failed")
+    print(f"{arguments.seeds} runs, {failed} failed")
 
 
 if __name__ == "__main__":
--- a/tests/system/replica_times.py
+++ b/tests/system/replica_times.py
@@ -1,9 +1,9 @@
-"""How long fail-over takes in the simulated world. By hand:
+"""Measures fail-over times in simulation. By hand:
 
     python -m tests.system.replica_times [--seeds 100]
 
-For each trouble: from the trouble until an order that is sent at that moment is acknowledged; median and
-worst over the seeds.
+For each fault: the time from the fault until a command sent at that moment is acknowledged; median and worst
+over the seeds.
 """
 
 from __future__ import annotations
@@ -16,14 +16,14 @@
 
 
 def head_of(world: World) -> Node:
-    """The node that leads."""
+    """Returns the head's node."""
     head = world.head()
     assert head is not None
     return head
 
 
 def other_of(world: World) -> Node:
-    """One that follows."""
+    """Returns a node other than the head's."""
     head = head_of(world)
     return next(node for node in world.nodes if node is not head)
 
@@ -87,7 +87,7 @@
     world.start(head, 0.5)
 
 
-TROUBLES: dict[str, Callable[[World], None]] = {
+FAULTS: dict[str, Callable[[World], None]] = {
     "head loses power": kill_head,
     "follower loses power": kill_other,
     "head's process is started again": restart_head,
@@ -103,20 +103,21 @@
 }
 
 
-def time_of(trouble: Callable[[World], None], seed: int, count: int, tolerance: int) -> float:
-    """Seconds from a trouble to the first acknowledgement of an order sent at that moment."""
+def recovery_s(fault: Callable[[World], None], seed: int, count: int, tolerance: int) -> float:
+    """Returns the seconds from a fault to the acknowledgement of a command sent at that moment."""
     world = World(seed, count, tolerance)
     world.run(3.0 + world.random.random())
-    trouble(world)
+    fault(world)
     begun = world.now
-    client = Client(world, "operator", pause_s=0.001, patience_s=0.5, read_share=0.0, wary=True)
+    client = Client(world, "operator", pause_s=0.001, patience_s=0.5, read_share=0.0, skips_frozen=True)
     if not world.run_while(lambda: not client.done, 20.0):
-        raise TimeoutError(f"no order in 20 s, seed {seed}")
+        raise TimeoutError(f"no command was acknowledged within 20 s, seed {seed}")
     return world.now - begun
 
 
-def exchange_time(seed: int, count: int, tolerance: int, head: bool, same_name: bool) -> float:
-    """Seconds from a machine's being taken away and another's start to the view that has it as a voter."""
+def replacement_s(seed: int, count: int, tolerance: int, head: bool, same_name: bool) -> float:
+    """Returns the seconds from the removal of a machine, with another started at once, to the view whose
+    chain has the new one."""
     world = World(seed, count, tolerance)
     world.run(3.0 + world.random.random())
     lost = head_of(world) if head else other_of(world)
@@ -130,28 +131,28 @@
         return view is not None and spare.member in view.chain
 
     if not world.run_while(lambda: not is_voter(), 20.0):
-        raise TimeoutError(f"no exchange in 20 s, seed {seed}")
+        raise TimeoutError(f"the voter was not replaced within 20 s, seed {seed}")
     return world.now - begun
 
 
-def figures(times: list[float]) -> str:
+def format_s(times: list[float]) -> str:
     return f"{statistics.median(times):6.2f} {max(times):6.2f}"
 
 
 def main() -> None:
-    parser = argparse.ArgumentParser(description="Fail-over times in the simulated world.")
+    parser = argparse.ArgumentParser(description="Measures fail-over times in simulation.")
     parser.add_argument("--seeds", type=int, default=60)
     seeds = range(parser.parse_args().seeds)
     for count, tolerance in ((3, 1), (5, 2), (8, 2)):
         print(f"{count} voters, {tolerance} may be lost: median, worst (s)")
-        for name, trouble in TROUBLES.items():
-            print(f"  {name:40} {figures([time_of(trouble, seed, count, tolerance) for seed in seeds])}")
+        for name, fault in FAULTS.items():
+            print(f"  {name:40} {format_s([recovery_s(fault, seed, count, tolerance) for seed in seeds])}")
         for head in (False, True):
             for same_name in (True, False):
-                times = [exchange_time(seed, count, tolerance, head, same_name) for seed in seeds]
+                times = [replacement_s(seed, count, tolerance, head, same_name) for seed in seeds]
                 who = "head" if head else "follower"
                 name = "same name" if same_name else "another name"
-                print(f"  {f'{who} replaced at once, {name}':40} {figures(times)}")
+                print(f"  {f'{who} replaced at once, {name}':40} {format_s(times)}")
 
 
 if __name__ == "__main__":
--- a/tests/system/test_long_orders.py
+++ b/tests/system/test_long_orders.py
@@ -117,9 +117,7 @@
     view = View(GENESIS_EPOCH, (me,), (), ())
     meta = Meta(view=encode_view(view), view_epoch=GENESIS_EPOCH, settled=True)
     bounds = SimpleNamespace(connectivity_s=3.0)
-    settings: Any = SimpleNamespace(
-        ip=me.ip, name=me.name, zone=me.zone, tolerated_machines=0, bounds=bounds
-    )
+    settings: Any = SimpleNamespace(ip=me.ip, name=me.name, zone=me.zone, tolerated_machines=0, bounds=bounds)
     sent: list[tuple[str, object]] = []
     ports = RolePorts(
         lambda ip, message: sent.append((ip, message)),
@@ -150,7 +148,7 @@
     async def run() -> None:
         chain = chain_of_one(tmp_path)
         loop = asyncio.get_running_loop()
-        await chain.until(lambda: chain.role.replica.lead_until is not None)
+        await chain.until(lambda: chain.role.replica.lease_until is not None)
         long, short = command(0, 5), command(5, 7, 2)
         assert len(long) >= REVIEWED_APART_BYTES > len(short)
         for ticket in (1, 1, 2):
