--- a/cloverrouter/coordination/lease.py
+++ b/cloverrouter/coordination/lease.py
@@ -89,7 +89,11 @@
             return [self._refuse(ip, request, grant, grant.until - now)]
         if request.token <= grant.highest:
             return [self._refuse(ip, request, grant, 0.0)]
-        grant.highest, grant.holder, grant.until = request.token, request.holder, now + self._lasts_s
+        grant.highest, grant.holder, grant.until = (
+            request.token,
+            request.holder,
+            now + self._lasts_s,
+        )
         grant.pending_request = (ip, request)
         return [StoreToken(request.role, request.token)]
 
@@ -98,7 +102,10 @@
         return Send(ip, LeaseGranted(request.role, request.holder, request.token, request.sent_at))
 
     def _refuse(self, ip: str, request: LeaseRequest, grant: _Grant, free_in_s: float) -> Send:
-        return Send(ip, LeaseRefused(request.role, request.holder, request.token, grant.highest, free_in_s))
+        return Send(
+            ip,
+            LeaseRefused(request.role, request.holder, request.token, grant.highest, free_in_s),
+        )
 
     def _on_released(self, message: LeaseReleased) -> None:
         grant = self._grants.get(message.role)
@@ -190,7 +197,10 @@
     def _on_refused(self, now: float, message: LeaseRefused) -> None:
         self._highest_token_seen = max(self._highest_token_seen, message.highest)
         if message.token == self._token and not self.holds(now):
-            self._next_request_at = max(self._next_request_at, now + min(message.free_in_s, MAX_BACKOFF_S))
+            self._next_request_at = max(
+                self._next_request_at,
+                now + min(message.free_in_s, MAX_BACKOFF_S),
+            )
 
     def _release_grants(self) -> list[Send]:
         if self._token_requested_at is None:
--- a/cloverrouter/coordination/sampling_messages.py
+++ b/cloverrouter/coordination/sampling_messages.py
@@ -9,9 +9,9 @@
 class PeerRecord:
     """A machine's description of itself.
 
-    `identity` is that of its disk, or "" without a disk. `counts` says that it has a disk that counts for the
-    quorum. `incarnation` rises with each start at an address, `heartbeat` with each shuffle; of two records
-    the one with the higher pair (incarnation, heartbeat) is newer.
+    `identity` is that of its disk, or "" without a disk. `counts` says whether the disk
+    counts for the quorum. `incarnation` rises with each start at an address, `heartbeat` with each shuffle;
+    of two records the one with the higher pair (incarnation, heartbeat) is newer.
     """
 
     ip: str
