--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -59,10 +59,10 @@
     traffic(world, {"machine": ips}, 1.0)
     world.run(60)
     ages = [
-        member.silent_for
+        member.silent_for_s
         for core in world.cores.values()
         if isinstance(core, PeerSampler)
-        for member in core.discovered(world.now)
+        for member in core.disk_members(world.now)
     ]
     row("age of the news of a living disk", ages, "s")
     print("  settled, a minute after the start")
--- a/cloverrouter/coordination/disk_members.py
+++ b/cloverrouter/coordination/disk_members.py
@@ -21,7 +21,7 @@
     """A disk member, and the seconds since it is known to have been alive."""
 
     record: PeerRecord
-    silent_for: float
+    silent_for_s: float
 
 
 @attrs.define(slots=True)
@@ -44,7 +44,7 @@
 
     def learn(self, now: float, record: PeerRecord, age_s: float) -> bool:
         """Merges a record that is `age_s` seconds old. Returns whether the member has become present."""
-        if not record.counts or not record.identity or age_s >= FORGET_AFTER_S:
+        if not record.counts_for_quorum or not record.identity or age_s >= FORGET_AFTER_S:
             return False
         member = self._members.get(record.identity)
         if member is None:
@@ -75,7 +75,7 @@
     def records_to_send(self, now: float) -> tuple[AgedRecord, ...]:
         """Returns the records that a shuffle carries: those of the `MAX_SENT` most recently seen members."""
         return tuple(
-            AgedRecord(member.record, int(member.silent_for * 1000))
+            AgedRecord(member.record, int(member.silent_for_s * 1000))
             for member in self.members(now)[:MAX_SENT]
         )
 
--- a/cloverrouter/coordination/genesis.py
+++ b/cloverrouter/coordination/genesis.py
@@ -39,7 +39,7 @@
     tolerance: int  # number of voters that may fail; 2 * tolerance + 1 disks are wanted
     collect_s: float = 1.0  # least time for which disks are collected
     quiet_s: float = 0.4  # least time without a new disk before the collection ends
-    give_in_s: float = 8.0  # from then on tolerance + 1 disks are enough
+    accept_fewer_after_s: float = 8.0  # from then on tolerance + 1 disks are enough
     takeover_s: float = 4.0  # each seed waits this much longer than the one before it
     retry_s: float = 0.2
     spread_s: float = 60.0  # how long after its start a seed announces to voters that do not answer
@@ -69,7 +69,7 @@
         self._last_sent_at = 0.0
         self._last_disk_at = 0.0  # when the last new disk answered
         self._candidates: dict[str, Member] = {}  # disks known from peer sampling
-        self._disks: dict[str, Member] = {}  # those that have answered and may become voters
+        self._eligible_disks: dict[str, Member] = {}  # those that have answered and may become voters
         self._chosen: tuple[Member, ...] = ()
         self._adopted: set[str] = set()
         self._ballot = 0
@@ -79,7 +79,7 @@
         self._effects: list[Send] = []
 
     @property
-    def over(self) -> bool:
+    def is_over(self) -> bool:
         """Whether this seed has nothing left to do, so that the proposer can be dropped."""
         return self.stage is Stage.OVER
 
@@ -145,16 +145,16 @@
             self._adopted.add(identity)
             if self.stage is not Stage.OVER:
                 self._spread(now, message.voters)
-        elif message.adoptable and identity not in self._disks:
-            self._disks[identity] = message.member
+        elif message.adoptable and identity not in self._eligible_disks:
+            self._eligible_disks[identity] = message.member
             self._last_disk_at = now
 
     def _has_collected(self, now: float) -> bool:
         config = self._config
-        count = len(self._disks)
+        count = len(self._eligible_disks)
         if now - self._started_at < config.collect_s or now - self._last_disk_at < config.quiet_s:
             return False
-        if now - self._started_at >= config.give_in_s:
+        if now - self._started_at >= config.accept_fewer_after_s:
             return count >= config.tolerance + 1
         return count >= 2 * config.tolerance + 1
 
@@ -182,7 +182,7 @@
         self._send_to_seeds(SeedPrepare(self._ballot))
 
     def _accept(self, now: float) -> None:
-        disks = sorted(self._disks.values(), key=lambda member: member.identity)
+        disks = sorted(self._eligible_disks.values(), key=lambda member: member.identity)
         voters = self._highest_accepted[1] or tuple(disks)
         self.stage = Stage.ACCEPTING
         self._acknowledged_by = set()
--- a/cloverrouter/coordination/seed_disk.py
+++ b/cloverrouter/coordination/genesis_participant.py
@@ -8,19 +8,19 @@
 
 from cloverrouter.coordination.context import Context
 from cloverrouter.coordination.messages import Genesis, GenesisQuery, GenesisState, SeedAccept, SeedPrepare
-from cloverrouter.coordination.seed_acceptor import Answer, covers, decided
+from cloverrouter.coordination.seed_acceptor import Answer, covers, handle_ballot
 from cloverrouter.coordination.views import GENESIS_EPOCH, View
 from cloverrouter.store.records import Ballot
 
 
-class SeedDisk:
+class GenesisParticipant:
     """Handles the messages of the first start at one replica."""
 
     def __init__(self, context: Context) -> None:
         self._context = context
         self._pending_answers: list[tuple[str, Ballot, Answer]] = []  # whose ballots are not on the disk yet
 
-    def told(self, now: float, ip: str, message: Genesis | GenesisQuery) -> bool:
+    def on_genesis(self, now: float, ip: str, message: Genesis | GenesisQuery) -> bool:
         """Adopts the first view if it can, and answers with its state. Returns whether it just adopted it."""
         is_adopted = isinstance(message, Genesis) and self._adopt(now, message)
         self._send_state(ip)
@@ -41,7 +41,7 @@
         voters = context.view.voters if context.view is not None else ()
         context.send(ip, GenesisState(context.me, context.disk.meta.adoptable, view_epoch, voters))
 
-    def asked(self, ip: str, message: SeedPrepare | SeedAccept) -> None:
+    def on_ballot(self, ip: str, message: SeedPrepare | SeedAccept) -> None:
         """Handles a ballot message.
 
         A disk that takes no part in the first start, or has adopted a view, accepts no ballots; in the latter
@@ -52,7 +52,7 @@
             if self._context.view is not None:
                 self._send_state(ip)
             return
-        ballot, answer = decided(disk.meta.ballot, message)
+        ballot, answer = handle_ballot(disk.meta.ballot, message)
         if ballot != disk.meta.ballot:
             disk.change(ballot=ballot)
         self._pending_answers.append((ip, ballot, answer))
--- a/cloverrouter/coordination/lease.py
+++ b/cloverrouter/coordination/lease.py
@@ -32,7 +32,7 @@
 
 @attrs.frozen(slots=True)
 class StoreToken:
-    """Effect of a voter: write this token to the disk, then call `stored`."""
+    """Effect of a voter: write this token to the disk, then call `token_stored`."""
 
     role: str
     token: int
@@ -42,9 +42,9 @@
 class _Grant:
     """The state of one role at a voter."""
 
-    highest: int  # the highest token granted so far
+    highest_token: int  # the highest token granted so far
     holder: str = ""  # empty: the role is free
-    until: float = 0.0
+    expires_at: float = 0.0
     pending_request: tuple[str, LeaseRequest] | None = None  # answered once its token is on the disk
 
 
@@ -55,9 +55,9 @@
     """
 
     def __init__(self, now: float, lease_s: float, tokens: dict[str, int] | None = None) -> None:
-        self._lasts_s = lease_s * (1 + CLOCK_MARGIN)
+        self._grant_s = lease_s * (1 + CLOCK_MARGIN)
         self._grants = {role: _Grant(token) for role, token in (tokens or {}).items()}
-        self._quiet_until = now + self._lasts_s
+        self._no_grants_until = now + self._grant_s
 
     def receive(self, now: float, ip: str, message: object) -> list[Send | StoreToken]:
         """Handles a message of a candidate or holder."""
@@ -67,49 +67,49 @@
             self._on_released(message)
         return []
 
-    def stored(self, now: float, role: str, token: int) -> list[Send | StoreToken]:
+    def token_stored(self, now: float, role: str, token: int) -> list[Send | StoreToken]:
         """Handles that a token has been written to the disk: the request that waits for it is granted."""
         grant = self._grants[role]
         if grant.pending_request is None or grant.pending_request[1].token != token:
             return []
         ip, request = grant.pending_request
         grant.pending_request = None
-        return [self._granted(now, ip, request)]
+        return [self._grant(now, ip, request)]
 
     def _on_request(self, now: float, ip: str, request: LeaseRequest) -> list[Send | StoreToken]:
         grant = self._grants.setdefault(request.role, _Grant(0))
-        if now < self._quiet_until:
-            return [self._refuse(ip, request, grant, self._quiet_until - now)]
-        is_renewal = grant.holder == request.holder and grant.highest == request.token
+        if now < self._no_grants_until:
+            return [self._refuse(ip, request, grant, self._no_grants_until - now)]
+        is_renewal = grant.holder == request.holder and grant.highest_token == request.token
         if is_renewal and grant.pending_request is not None:
             return []
         if is_renewal:
-            return [self._granted(now, ip, request)]
-        if grant.holder and now < grant.until:
-            return [self._refuse(ip, request, grant, grant.until - now)]
-        if request.token <= grant.highest:
+            return [self._grant(now, ip, request)]
+        if grant.holder and now < grant.expires_at:
+            return [self._refuse(ip, request, grant, grant.expires_at - now)]
+        if request.token <= grant.highest_token:
             return [self._refuse(ip, request, grant, 0.0)]
-        grant.highest, grant.holder, grant.until = (
+        grant.highest_token, grant.holder, grant.expires_at = (
             request.token,
             request.holder,
-            now + self._lasts_s,
+            now + self._grant_s,
         )
         grant.pending_request = (ip, request)
         return [StoreToken(request.role, request.token)]
 
-    def _granted(self, now: float, ip: str, request: LeaseRequest) -> Send:
-        self._grants[request.role].until = now + self._lasts_s
+    def _grant(self, now: float, ip: str, request: LeaseRequest) -> Send:
+        self._grants[request.role].expires_at = now + self._grant_s
         return Send(ip, LeaseGranted(request.role, request.holder, request.token, request.sent_at))
 
-    def _refuse(self, ip: str, request: LeaseRequest, grant: _Grant, free_in_s: float) -> Send:
+    def _refuse(self, ip: str, request: LeaseRequest, grant: _Grant, retry_after_s: float) -> Send:
         return Send(
             ip,
-            LeaseRefused(request.role, request.holder, request.token, grant.highest, free_in_s),
+            LeaseRefused(request.role, request.holder, request.token, grant.highest_token, retry_after_s),
         )
 
     def _on_released(self, message: LeaseReleased) -> None:
         grant = self._grants.get(message.role)
-        if grant is not None and (grant.holder, grant.highest) == (message.holder, message.token):
+        if grant is not None and (grant.holder, grant.highest_token) == (message.holder, message.token):
             grant.holder = ""
             grant.pending_request = None
 
@@ -131,7 +131,7 @@
         self._highest_token_seen = 0  # in own requests and refusals
         self._token_requested_at: float | None = None  # None: no grants are requested
         self._next_request_at = 0.0
-        self._granted: dict[str, float] = {}  # by voter: send time of the newest granted request
+        self._grant_sent_at: dict[str, float] = {}  # by voter: send time of the newest granted request
 
     @property
     def token(self) -> int:
@@ -145,7 +145,7 @@
     @property
     def held_until(self) -> float:
         """When the lease ends unless it is renewed; minus infinity without grants of a majority."""
-        sent_times = sorted(self._granted.values(), reverse=True)
+        sent_times = sorted(self._grant_sent_at.values(), reverse=True)
         majority = len(self._voters) // 2 + 1
         if len(sent_times) < majority:
             return float("-inf")
@@ -183,7 +183,7 @@
         if isinstance(message, LeaseRefused):
             self._on_refused(now, message)
         elif message.token == self._token and self._token_requested_at is not None:
-            self._granted[ip] = max(self._granted.get(ip, float("-inf")), message.sent_at)
+            self._grant_sent_at[ip] = max(self._grant_sent_at.get(ip, float("-inf")), message.sent_at)
         return []
 
     def _send_requests(self, now: float) -> list[Send]:
@@ -195,17 +195,17 @@
         return [Send(ip, request) for ip in self._voters]
 
     def _on_refused(self, now: float, message: LeaseRefused) -> None:
-        self._highest_token_seen = max(self._highest_token_seen, message.highest)
+        self._highest_token_seen = max(self._highest_token_seen, message.highest_token)
         if message.token == self._token and not self.holds(now):
             self._next_request_at = max(
                 self._next_request_at,
-                now + min(message.free_in_s, MAX_BACKOFF_S),
+                now + min(message.retry_after_s, MAX_BACKOFF_S),
             )
 
     def _release_grants(self) -> list[Send]:
         if self._token_requested_at is None:
             return []
         self._token_requested_at = None
-        self._granted.clear()
+        self._grant_sent_at.clear()
         released = LeaseReleased(self._role, self._name, self._token)
         return [Send(ip, released) for ip in self._voters]
--- a/cloverrouter/coordination/lease_messages.py
+++ b/cloverrouter/coordination/lease_messages.py
@@ -35,8 +35,8 @@
     role: str
     holder: str
     token: int
-    highest: int  # the highest token that the voter has granted
-    free_in_s: float  # seconds until a request may succeed; 0: at once, with a higher token
+    highest_token: int  # the highest token that the voter has granted
+    retry_after_s: float  # seconds until a request may succeed; 0: at once, with a higher token
 
 
 @message(143)
--- a/cloverrouter/coordination/replica.py
+++ b/cloverrouter/coordination/replica.py
@@ -27,6 +27,7 @@
     ViewInfo,
 )
 from cloverrouter.coordination.follower import Follower
+from cloverrouter.coordination.genesis_participant import GenesisParticipant
 from cloverrouter.coordination.head import Head
 from cloverrouter.coordination.history import History
 from cloverrouter.coordination.messages import (
@@ -49,7 +50,6 @@
 )
 from cloverrouter.coordination.proposal import Phase, Plan, Proposal
 from cloverrouter.coordination.roster import Roster
-from cloverrouter.coordination.seed_disk import SeedDisk
 from cloverrouter.coordination.views import Member, decode_view
 from cloverrouter.store import StoredReplica
 
@@ -93,7 +93,7 @@
         self._not_before = 0.0  # no try to become head before that
         self._now = 0.0
         self._told: ViewInfo | None = None
-        self._seed_disk = SeedDisk(self._context)
+        self._genesis_participant = GenesisParticipant(self._context)
         self._follower = Follower(self._context, 0.0)
         self._catch_up = CatchUpReceiver(self._context)
         self._handlers = self._handler_table()
@@ -447,11 +447,11 @@
     # -- the first view --
 
     def _on_genesis(self, now: float, ip: str, message: Genesis | GenesisQuery) -> None:
-        if self._seed_disk.told(now, ip, message):
+        if self._genesis_participant.on_genesis(now, ip, message):
             self._follower.contact.heard_at = now
 
     def _on_ballot(self, now: float, ip: str, message: SeedPrepare | SeedAccept) -> None:
-        self._seed_disk.asked(ip, message)
+        self._genesis_participant.on_ballot(ip, message)
 
     # -- what follows --
 
@@ -459,7 +459,7 @@
         """Do all that follows from what has happened."""
         context = self._context
         self._follower.flush(now)
-        self._seed_disk.flush()
+        self._genesis_participant.flush()
         if self._proposal is not None:
             self._proposal.flush(now)
             self._look_at_proposal(now, self._proposal)
--- a/cloverrouter/coordination/sampling.py
+++ b/cloverrouter/coordination/sampling.py
@@ -112,7 +112,7 @@
         """Returns the machines of the partial view."""
         return list(self._view)
 
-    def discovered(self, now: float) -> list[DiskMember]:
+    def disk_members(self, now: float) -> list[DiskMember]:
         """Returns all known disk members, including this machine if it is one."""
         return self._disk_members.members(now)
 
@@ -132,9 +132,9 @@
         self._seeds = [ip for ip in seeds if ip != self._me.ip]
         return [self._send_shuffle(now, ip) for ip in new if ip not in self._view]
 
-    def describe(self, now: float, *, identity: str, counts: bool) -> None:
+    def set_own_disk(self, now: float, *, identity: str, counts_for_quorum: bool) -> None:
         """Sets this machine's disk where it became known, or changed, after the start."""
-        self._me = self._me.with_disk(identity, counts)
+        self._me = self._me.with_disk(identity, counts_for_quorum)
         self._advance_heartbeat(now)
         self._speed_up(now)
 
--- a/cloverrouter/coordination/sampling_messages.py
+++ b/cloverrouter/coordination/sampling_messages.py
@@ -9,7 +9,7 @@
 class PeerRecord:
     """A machine's description of itself.
 
-    `identity` is that of its disk, or "" without a disk. `counts` says whether the disk
+    `identity` is that of its disk, or "" without a disk. `counts_for_quorum` says whether the disk
     counts for the quorum. `incarnation` rises with each start at an address, `heartbeat` with each shuffle;
     of two records the one with the higher pair (incarnation, heartbeat) is newer.
     """
@@ -18,7 +18,7 @@
     name: str
     zone: str
     identity: str = ""
-    counts: bool = False
+    counts_for_quorum: bool = False
     incarnation: int = 0
     heartbeat: int = 0
 
@@ -28,18 +28,18 @@
 
     def with_next_heartbeat(self) -> PeerRecord:
         """Returns a copy with the next heartbeat."""
-        return self._with(self.identity, self.counts, self.incarnation, self.heartbeat + 1)
+        return self._with(self.identity, self.counts_for_quorum, self.incarnation, self.heartbeat + 1)
 
     def with_incarnation(self, incarnation: int) -> PeerRecord:
         """Returns a copy with another incarnation."""
-        return self._with(self.identity, self.counts, incarnation, self.heartbeat)
+        return self._with(self.identity, self.counts_for_quorum, incarnation, self.heartbeat)
 
-    def with_disk(self, identity: str, counts: bool) -> PeerRecord:
+    def with_disk(self, identity: str, counts_for_quorum: bool) -> PeerRecord:
         """Returns a copy with another disk."""
-        return self._with(identity, counts, self.incarnation, self.heartbeat)
+        return self._with(identity, counts_for_quorum, self.incarnation, self.heartbeat)
 
-    def _with(self, identity: str, counts: bool, incarnation: int, heartbeat: int) -> PeerRecord:
-        return PeerRecord(self.ip, self.name, self.zone, identity, counts, incarnation, heartbeat)
+    def _with(self, identity: str, counts_for_quorum: bool, incarnation: int, heartbeat: int) -> PeerRecord:
+        return PeerRecord(self.ip, self.name, self.zone, identity, counts_for_quorum, incarnation, heartbeat)
 
 
 @nested
@@ -51,7 +51,7 @@
 
 
 @nested
-class VoterPlace:
+class VoterAddress:
     """The address, disk identity and zone of a voter in the chain's view."""
 
     ip: str
@@ -66,7 +66,7 @@
     epoch: int
     active: bool
     head: str  # address; "" without a head
-    voters: tuple[VoterPlace, ...]
+    voters: tuple[VoterAddress, ...]
     committed: int  # sequence number
 
     def order(self) -> tuple[int, bool, int]:
--- a/cloverrouter/coordination/seed_acceptor.py
+++ b/cloverrouter/coordination/seed_acceptor.py
@@ -21,7 +21,7 @@
 Answer = SeedPrepared | SeedAccepted | SeedRefused
 
 
-def decided(ballot: Ballot, message: SeedPrepare | SeedAccept) -> tuple[Ballot, Answer]:
+def handle_ballot(ballot: Ballot, message: SeedPrepare | SeedAccept) -> tuple[Ballot, Answer]:
     """Returns the ballot after a message, and the answer that may be sent once this ballot is stored.
 
     A number is promised only once: a proposer that was restarted uses its old numbers again, and an answer to
--- a/cloverrouter/daemon/control_plane.py
+++ b/cloverrouter/daemon/control_plane.py
@@ -168,7 +168,7 @@
         ports = RolePorts(self.transport.send, self._own_view, self._log.error, self._log.change, on_note)
         role = await ReplicaRole.open(self._settings, ports, self._random)
         now = self._loop.time()
-        self.sampler.describe(now, identity=role.identity, counts=True)
+        self.sampler.set_own_disk(now, identity=role.identity, counts_for_quorum=True)
         self.role = role
         role.start(now)
         if role.replica.adoptable and self._genesis is None and self._settings.ip in self._settings.seeds:
@@ -250,7 +250,7 @@
             self._look(now)
         if self._genesis is not None:
             self._send_all(self._genesis.tick(now))
-            if self._genesis.over:
+            if self._genesis.is_over:
                 self._genesis = None
         lead_until = self._lead_until()
         self.registry.set_sole_head(lead_until is not None and now < lead_until)
@@ -282,8 +282,8 @@
         """Pass on what was discovered, and how many proxies there are."""
         members = [
             Member(found.record.identity, found.record.ip, found.record.name, found.record.zone)
-            for found in self.sampler.discovered(now)
-            if found.silent_for < FRESH_MEMBER_S
+            for found in self.sampler.disk_members(now)
+            if found.silent_for_s < FRESH_MEMBER_S
         ]
         if self.role is not None:
             self.role.discovered(now, members)
@@ -369,11 +369,11 @@
     def _on_ballot(self, now: float, ip: str, message: object) -> None:
         """This seed has no disk: its word is good for as long as its first process lives."""
         from cloverrouter.coordination import messages as chain_messages
-        from cloverrouter.coordination.seed_acceptor import decided
+        from cloverrouter.coordination.seed_acceptor import handle_ballot
 
         if self._genesis is not None:
             assert isinstance(message, chain_messages.BALLOT_MESSAGES)
-            self._ballot, answer = decided(self._ballot, message)
+            self._ballot, answer = handle_ballot(self._ballot, message)
             self.transport.send(ip, answer)
 
     def _on_head_call(self, now: float, ip: str, message: object) -> None:
--- a/cloverrouter/daemon/replica_role.py
+++ b/cloverrouter/daemon/replica_role.py
@@ -15,7 +15,7 @@
 from cloverrouter.control.publisher import Publisher, SnapshotWanted
 from cloverrouter.coordination.effects import Committed, ReplicaConfig, Restored, ViewChanged, ViewInfo
 from cloverrouter.coordination.replica import Replica
-from cloverrouter.coordination.sampling_messages import ViewSummary, VoterPlace
+from cloverrouter.coordination.sampling_messages import ViewSummary, VoterAddress
 from cloverrouter.coordination.views import Member
 from cloverrouter.daemon.head_desk import HeadDesk
 from cloverrouter.daemon.replica_driver import ReplicaDriver, ReplicaListener
@@ -209,5 +209,5 @@
 
 def summary_of(view: ViewInfo, committed: int) -> ViewSummary:
     """What other machines are told of a view."""
-    voters = tuple(VoterPlace(member.ip, member.identity, member.zone) for member in view.voters)
+    voters = tuple(VoterAddress(member.ip, member.identity, member.zone) for member in view.voters)
     return ViewSummary(view.epoch, view.active, view.head_ip or "", voters, committed)
--- a/cloverrouter/explore/coordination/faults.py
+++ b/cloverrouter/explore/coordination/faults.py
@@ -252,7 +252,7 @@
     """A seed tells the first voters without the other seeds."""
 
     def alone(self: GenesisProposer, now: float) -> None:
-        disks = sorted(self._disks.values(), key=lambda member: member.identity)
+        disks = sorted(self._eligible_disks.values(), key=lambda member: member.identity)
         self._spread(now, tuple(disks))
 
     with patch.object(GenesisProposer, "_prepare", alone):
--- a/cloverrouter/explore/coordination/lease_model.py
+++ b/cloverrouter/explore/coordination/lease_model.py
@@ -140,7 +140,7 @@
         voter = self.voters[name]
         done = voter.writes.pop(0)
         voter.disk[done.role] = max(done.token, voter.disk.get(done.role, 0))
-        self._send(name, voter.core.stored(self._fast(), done.role, done.token))
+        self._send(name, voter.core.token_stored(self._fast(), done.role, done.token))
 
     def restart_voter(self, name: str) -> None:
         """It knows what its disk has, and nothing else."""
@@ -194,8 +194,8 @@
         """Whether a voter would grant the role to another than its holder now."""
         core, now = voter.core, self._fast()
         grant = core._grants.get(ROLE)
-        is_held = grant is not None and grant.holder == holder and now < grant.until
-        return now >= core._quiet_until and not is_held
+        is_held = grant is not None and grant.holder == holder and now < grant.expires_at
+        return now >= core._no_grants_until and not is_held
 
     def key(self) -> int:
         voters = [_FORM.told(voter, self._fast()) for voter in self.voters.values()]
@@ -217,7 +217,7 @@
             return f"token {message.token} is granted to {message.holder}"
         case LeaseRefused():
             text = f"token {message.token} is refused to {message.holder}"
-            return f"{text} (highest {message.highest}, free in {message.free_in_s:.2f} s)"
+            return f"{text} (highest {message.highest_token}, free in {message.retry_after_s:.2f} s)"
         case LeaseReleased():
             return f"{message.holder} gives token {message.token} back"
     return str(message)
@@ -225,6 +225,6 @@
 
 _FORM = Form(
     skipped=frozenset({"_random", "_voters", "_role"}),
-    plain=frozenset({"_lease_s", "_lasts_s"}),
+    plain=frozenset({"_lease_s", "_grant_s"}),
     oldest_s=6.0,
 )
--- a/cloverrouter/explore/coordination/lease_scopes.py
+++ b/cloverrouter/explore/coordination/lease_scopes.py
@@ -38,7 +38,7 @@
 
 def _begin_at_once(self: LeaseVoter, now: float, lease_s: float, tokens: Any = None) -> None:
     _begin(self, now, lease_s, tokens)
-    self._quiet_until = now
+    self._no_grants_until = now
 
 
 def _begin_without_tokens(self: LeaseVoter, now: float, lease_s: float, tokens: Any = None) -> None:
@@ -53,8 +53,8 @@
 
 def _counted_from_its_answer(self: LeaseHolder, now: float, ip: str, message: object) -> list[Any]:
     answer = _receive(self, now, ip, message)
-    if ip in self._granted and isinstance(message, LeaseGranted):
-        self._granted[ip] = now
+    if ip in self._grant_sent_at and isinstance(message, LeaseGranted):
+        self._grant_sent_at[ip] = now
     return answer
 
 
@@ -64,7 +64,7 @@
 def _grant_before_the_disk(self: LeaseVoter, now: float, ip: str, request: LeaseRequest) -> list[Any]:
     effects = _on_request(self, now, ip, request)
     if effects and isinstance(effects[0], StoreToken):
-        return [*effects, self._granted(now, ip, request)]
+        return [*effects, self._grant(now, ip, request)]
     return effects
 
 
--- a/features/steps/peer_sampling_steps.py
+++ b/features/steps/peer_sampling_steps.py
@@ -8,7 +8,7 @@
 from behave import given, then, when
 
 from cloverrouter.coordination.sampling import PeerSampler, ViewLearned
-from cloverrouter.coordination.sampling_messages import PeerRecord, ViewSummary, VoterPlace
+from cloverrouter.coordination.sampling_messages import PeerRecord, ViewSummary, VoterAddress
 from tests.system.lossy_world import World
 
 
@@ -20,8 +20,8 @@
 
 def known_disks(context: Any, ip: str, fresher_than: float = 1e9) -> set[str]:
     core = context.world.cores[ip]
-    found = core.discovered(context.world.now)
-    return {member.record.ip for member in found if member.silent_for < fresher_than}
+    found = core.disk_members(context.world.now)
+    return {member.record.ip for member in found if member.silent_for_s < fresher_than}
 
 
 def start_all(context: Any) -> None:
@@ -99,7 +99,7 @@
 @when("one machine knows of view {newer:d} and another of view {older:d}")
 def step_views(context: Any, newer: int, older: int) -> None:
     for ip, epoch in ((context.ips[2], newer), (context.ips[9], older)):
-        voters = (VoterPlace(context.ips[0], "d", "zone"),)
+        voters = (VoterAddress(context.ips[0], "d", "zone"),)
         summary = ViewSummary(epoch, True, context.ips[0], voters, 0)
         context.world.take(ip, context.world.cores[ip].view_changed(context.world.now, summary))
 
@@ -139,7 +139,7 @@
 @then("every machine knows one disk at that address, the new one")
 def step_new_disk(context: Any) -> None:
     for ip in context.ips:
-        found = context.world.cores[ip].discovered(context.world.now)
+        found = context.world.cores[ip].disk_members(context.world.now)
         at_address = [member.record.identity for member in found if member.record.ip == context.disks[1]]
         assert at_address == [f"disk-{context.disks[1]}-0"], (ip, at_address)
 
--- a/tests/system/lease_world.py
+++ b/tests/system/lease_world.py
@@ -146,7 +146,7 @@
         if process.core is not core or not isinstance(core, LeaseVoter):
             return
         process.tokens[effect.role] = max(process.tokens.get(effect.role, 0), effect.token)
-        self._send(process, core.stored(process.clock(self.now), effect.role, effect.token))
+        self._send(process, core.token_stored(process.clock(self.now), effect.role, effect.token))
 
     def _arrive(self, source: Process, target: Process, message: object) -> None:
         if self.now < source.partitioned_until or self.now < target.partitioned_until:
--- a/tests/system/replica_world.py
+++ b/tests/system/replica_world.py
@@ -32,7 +32,7 @@
 from cloverrouter.coordination.genesis import GenesisConfig, GenesisProposer
 from cloverrouter.coordination.messages import BALLOT_MESSAGES, GENESIS_MESSAGES
 from cloverrouter.coordination.replica import Replica
-from cloverrouter.coordination.seed_acceptor import decided
+from cloverrouter.coordination.seed_acceptor import handle_ballot
 from cloverrouter.coordination.views import GENESIS_EPOCH, Member, View, encode_view
 from cloverrouter.messages import Decoder, encode
 from cloverrouter.messages.sending import Send
@@ -361,7 +361,7 @@
         self.proposers[ip] = proposer
 
         def tick() -> None:
-            if self.proposers.get(ip) is proposer and not proposer.over:
+            if self.proposers.get(ip) is proposer and not proposer.is_over:
                 self._send_all(ip, proposer.tick(self.now))
                 self.at(self.now + TICK_S, tick)
 
@@ -580,11 +580,11 @@
             return
         if isinstance(message, GENESIS_MESSAGES):
             proposer = self.proposers.get(to_ip)
-            if proposer is not None and not proposer.over:
+            if proposer is not None and not proposer.is_over:
                 self._send_all(to_ip, proposer.receive(self.now, from_ip, message))
             return
         if isinstance(message, BALLOT_MESSAGES) and to_ip in self.ballots:
-            self.ballots[to_ip], answer = decided(self.ballots[to_ip], message)
+            self.ballots[to_ip], answer = handle_ballot(self.ballots[to_ip], message)
             self._send(to_ip, Send(from_ip, answer))
             return
         for node in self.nodes:
--- a/tests/system/test_genesis.py
+++ b/tests/system/test_genesis.py
@@ -13,7 +13,7 @@
     SeedPrepared,
     SeedRefused,
 )
-from cloverrouter.coordination.seed_acceptor import decided
+from cloverrouter.coordination.seed_acceptor import handle_ballot
 from cloverrouter.coordination.views import GENESIS_EPOCH, decode_view
 from cloverrouter.messages.sending import Send
 from cloverrouter.store.records import Ballot
@@ -188,9 +188,9 @@
 
 def test_a_ballot_is_promised_once_only() -> None:
     """A restarted proposer uses its old numbers again: promises to its earlier ballots must not count."""
-    ballot, answer = decided(Ballot(), SeedPrepare(3))
+    ballot, answer = handle_ballot(Ballot(), SeedPrepare(3))
     assert answer == SeedPrepared(3, 0, ())
-    assert decided(ballot, SeedPrepare(3))[1] == SeedRefused(3, 3)
-    accepted, answer = decided(ballot, SeedAccept(3, ()))
+    assert handle_ballot(ballot, SeedPrepare(3))[1] == SeedRefused(3, 3)
+    accepted, answer = handle_ballot(ballot, SeedAccept(3, ()))
     assert answer == SeedAccepted(3) and accepted.accepted == 3
-    assert decided(accepted, SeedAccept(2, ()))[1] == SeedRefused(2, 3)
+    assert handle_ballot(accepted, SeedAccept(2, ()))[1] == SeedRefused(2, 3)
--- a/tests/system/test_lease.py
+++ b/tests/system/test_lease.py
@@ -112,7 +112,7 @@
     """Returns a voter that has granted the role to c/1 with token 1."""
     voter = LeaseVoter(0.0, 2.0)
     assert voter.receive(now, "c", request()) == [StoreToken("r", 1)]
-    (effect,) = voter.stored(now, "r", 1)
+    (effect,) = voter.token_stored(now, "r", 1)
     assert effect == Send("c", LeaseGranted("r", "c/1", 1, 5.0))
     return voter
 
@@ -122,13 +122,13 @@
         voter = LeaseVoter(0.0, 2.0)
         (effect,) = voter.receive(1.0, "c", request())
         assert isinstance(effect, Send) and isinstance(effect.message, LeaseRefused)
-        assert effect.message.free_in_s == pytest.approx(1.04)
+        assert effect.message.retry_after_s == pytest.approx(1.04)
 
     def test_it_answers_once_the_token_is_on_the_disk(self) -> None:
         voter = LeaseVoter(0.0, 2.0)
         voter.receive(10.0, "c", request())
         assert voter.receive(10.1, "c", request()) == []
-        assert len(voter.stored(10.2, "r", 1)) == 1
+        assert len(voter.token_stored(10.2, "r", 1)) == 1
 
     def test_it_refuses_others_until_the_lease_is_over(self) -> None:
         voter = voter_with_grant()
@@ -136,7 +136,7 @@
         (effect,) = voter.receive(12.0, "d", other)
         assert isinstance(effect, Send)
         assert isinstance(effect.message, LeaseRefused)
-        assert effect.message.free_in_s == pytest.approx(0.04)
+        assert effect.message.retry_after_s == pytest.approx(0.04)
         assert voter.receive(12.05, "d", other) == [StoreToken("r", 2)]
 
     def test_a_renewal_needs_no_disk(self) -> None:
@@ -152,7 +152,7 @@
     def test_a_late_release_of_an_older_lease_changes_nothing(self) -> None:
         voter = voter_with_grant()
         voter.receive(13.0, "d", request(2, "d/1"))
-        voter.stored(13.0, "r", 2)
+        voter.token_stored(13.0, "r", 2)
         voter.receive(13.1, "c", LeaseReleased("r", "c/1", 1))
         (effect,) = voter.receive(13.2, "c", request(3))
         assert isinstance(effect, Send) and isinstance(effect.message, LeaseRefused)
@@ -209,7 +209,7 @@
 
     def init(self: LeaseVoter, now: float, lease_s: float, tokens: dict[str, int] | None = None) -> None:
         original(self, now, lease_s, tokens)
-        self._quiet_until = now
+        self._no_grants_until = now
 
     patch.setattr(LeaseVoter, "__init__", init)
 
@@ -231,7 +231,7 @@
 
 def half_is_enough(patch: pytest.MonkeyPatch) -> None:
     def held_until(self: LeaseHolder) -> float:
-        return max(self._granted.values(), default=float("-inf")) + self._lease_s * 0.98
+        return max(self._grant_sent_at.values(), default=float("-inf")) + self._lease_s * 0.98
 
     patch.setattr(LeaseHolder, "held_until", property(held_until))
 
@@ -242,7 +242,7 @@
     def on_request(self: LeaseVoter, now: float, ip: str, message: LeaseRequest) -> list[Send | StoreToken]:
         grant = self._grants.get(message.role)
         if grant is not None and not grant.holder:
-            grant.highest = 0
+            grant.highest_token = 0
         return original(self, now, ip, message)
 
     patch.setattr(LeaseVoter, "_on_request", on_request)
--- a/tests/system/test_mechanisms.py
+++ b/tests/system/test_mechanisms.py
@@ -298,7 +298,7 @@
         yield
 
 
-@mechanism(test_view_learned.test_an_older_view_is_not_taken)
+@mechanism(test_view_learned.test_an_older_view_is_not_followed)
 def an_older_view_is_refused() -> Iterator[None]:
     with patch.object(ViewSummary, "order", lambda self: (0, True, 0)):
         yield
--- a/tests/system/test_sampling.py
+++ b/tests/system/test_sampling.py
@@ -7,7 +7,7 @@
 import pytest
 
 from cloverrouter.coordination.sampling import PeerSampler, ViewLearned
-from cloverrouter.coordination.sampling_messages import PeerRecord, Shuffle, ViewSummary, VoterPlace
+from cloverrouter.coordination.sampling_messages import PeerRecord, Shuffle, ViewSummary, VoterAddress
 from tests.system.lossy_world import World
 
 
@@ -37,7 +37,7 @@
         core = world.cores.get(ip)
         if not isinstance(core, PeerSampler):
             return False
-        if {member.record.ip for member in core.discovered(world.now)} != disks:
+        if {member.record.ip for member in core.disk_members(world.now)} != disks:
             return False
     return True
 
@@ -166,7 +166,7 @@
         for ip in ips:
             core = world.cores[ip]
             assert isinstance(core, PeerSampler)
-            identities = {m.record.identity for m in core.discovered(world.now) if m.record.ip == ips[0]}
+            identities = {m.record.identity for m in core.disk_members(world.now) if m.record.ip == ips[0]}
             assert identities == {f"disk-{ips[0]}-{incarnation}"}
 
 
@@ -188,7 +188,7 @@
     for ip in everyone:
         core = world.cores[ip]
         assert isinstance(core, PeerSampler)
-        fresh = {m.record.ip for m in core.discovered(world.now) if m.silent_for < 2}
+        fresh = {m.record.ip for m in core.disk_members(world.now) if m.silent_for_s < 2}
         assert fresh == set(new)
 
 
@@ -221,13 +221,13 @@
     for ip in zones:
         core = world.cores[ip]
         assert isinstance(core, PeerSampler)
-        assert all(member.silent_for < 2.5 for member in core.discovered(world.now))
-        assert len(core.discovered(world.now)) == 6
+        assert all(member.silent_for_s < 2.5 for member in core.disk_members(world.now))
+        assert len(core.disk_members(world.now)) == 6
     assert components(world) == 1
 
 
 def summary(epoch: int, committed: int = 0) -> ViewSummary:
-    return ViewSummary(epoch, True, ip_of(0), (VoterPlace(ip_of(0), "d0", "zone"),), committed)
+    return ViewSummary(epoch, True, ip_of(0), (VoterAddress(ip_of(0), "d0", "zone"),), committed)
 
 
 def test_the_newest_view_reaches_all_and_an_older_one_does_not_come_back() -> None:
@@ -277,7 +277,7 @@
     assert isinstance(core, PeerSampler)
     for _ in range(20):
         world.run(world.now + 0.1)
-        assert {m.record.ip for m in core.discovered(world.now)} == set(ips[:4])
+        assert {m.record.ip for m in core.disk_members(world.now)} == set(ips[:4])
 
 
 def test_a_shuffle_is_bounded() -> None:
--- a/tests/system/test_view_learned.py
+++ b/tests/system/test_view_learned.py
@@ -7,12 +7,12 @@
 
 import pytest
 
-from cloverrouter.coordination.sampling_messages import ViewSummary, VoterPlace
+from cloverrouter.coordination.sampling_messages import ViewSummary, VoterAddress
 from cloverrouter.daemon.control_plane import ControlPlane
 
 
 def summary(epoch: int, active: bool, head: str) -> ViewSummary:
-    return ViewSummary(epoch, active, head, (VoterPlace(head, f"disk-{head}", "a"),), 0)
+    return ViewSummary(epoch, active, head, (VoterAddress(head, f"disk-{head}", "a"),), 0)
 
 
 def plane(known: ViewSummary) -> Any:
@@ -20,7 +20,7 @@
     return SimpleNamespace(summary=known, _settings=SimpleNamespace(ip="10.0.0.9"))
 
 
-def test_an_older_view_is_not_taken() -> None:
+def test_an_older_view_is_not_followed() -> None:
     known = summary(7, True, "10.0.0.1")
     for older in (summary(6, True, "10.0.0.2"), summary(7, False, "10.0.0.1"), summary(0, True, "10.0.0.3")):
         process = plane(known)
@@ -31,7 +31,7 @@
         assert process.summary is known
 
 
-def test_a_newer_view_is_taken() -> None:
+def test_a_newer_view_is_followed() -> None:
     process = plane(summary(7, True, "10.0.0.1"))
     with pytest.raises(AttributeError):
         ControlPlane._view_learned(process, 1.0, summary(8, True, "10.0.0.2"))
