--- a/cloverrouter/coordination/context.py
+++ b/cloverrouter/coordination/context.py
@@ -64,11 +64,11 @@
         if view.epoch > known:
             self.view = view
             facts = {"view": encode_view(view), "view_epoch": view.epoch}
-            self.disk.set_meta_later(
+            self.disk.note(
                 now, **facts, settled=settled or self._is_in_force(view), adoptable=False
             )
         elif view.epoch == known and settled and not self.settled:
-            self.disk.set_meta_later(now, settled=True)
+            self.disk.note(now, settled=True)
 
     def adopt_view(self, view: View, proposer: str, synced: bool) -> None:
         """Adopts a view sent by its head, and records its state as received if `synced`. To be stored at
--- a/cloverrouter/coordination/disk.py
+++ b/cloverrouter/coordination/disk.py
@@ -69,7 +69,7 @@
         self.meta = attrs.evolve(self.meta, **facts)
         self._dirty = True
 
-    def set_meta_later(self, now: float, **facts: Any) -> None:
+    def note(self, now: float, **facts: Any) -> None:
         """Changes fields of `Meta`; written with the next record, or after a delay (see `next`)."""
         self.meta = attrs.evolve(self.meta, **facts)
         if self._lazy_since is None:
--- a/cloverrouter/coordination/follower.py
+++ b/cloverrouter/coordination/follower.py
@@ -243,7 +243,7 @@
         if message.active:
             context.active_epoch = max(context.active_epoch, message.epoch)
             if message.epoch == known and not context.settled:
-                context.disk.set_meta_later(now, settled=True)
+                context.disk.note(now, settled=True)
         if not self._is_in_chain(message.epoch):
             return []
         return self._commit(message.committed)
--- a/cloverrouter/coordination/head.py
+++ b/cloverrouter/coordination/head.py
@@ -343,7 +343,7 @@
         begins = not self.active and self._is_in_force()
         if begins:
             self.active = True
-            self._context.disk.set_meta_later(now, settled=True)
+            self._context.disk.note(now, settled=True)
         if not self.active:
             return False
         self._send_stored()
@@ -367,7 +367,7 @@
     def _commit(self, now: float, seq: int) -> None:
         context = self._context
         context.effects += context.history.commit(seq)
-        context.disk.set_meta_later(now, committed=context.history.committed)
+        context.disk.note(now, committed=context.history.committed)
         context.effects += self._desk.committed(context.history.committed)
         for identity in self.view.chain[1:]:
             member = self.view.voter(identity)
--- a/cloverrouter/coordination/replica.py
+++ b/cloverrouter/coordination/replica.py
@@ -158,7 +158,7 @@
     def remember_fleet_size(self, now: float, size: int) -> None:
         """Stores the fleet size for the next start, when no other replica may know it."""
         if size != self.fleet_size:
-            self._context.disk.set_meta_later(now, fleet_size=size)
+            self._context.disk.note(now, fleet_size=size)
 
     @property
     def note(self) -> bytes:
