--- a/cloverrouter/coordination/catch_up.py
+++ b/cloverrouter/coordination/catch_up.py
@@ -174,7 +174,7 @@
             return False
         context.history.replace(state.seq, state.data)
         context.disk.replace(state.seq, state.data)
-        context.disk.change(synced=part.epoch)
+        context.disk.set_meta(synced=part.epoch)
         return True
 
     def _is_in_chain_of(self, epoch: int) -> bool:
--- a/cloverrouter/coordination/context.py
+++ b/cloverrouter/coordination/context.py
@@ -64,11 +64,11 @@
         if view.epoch > known:
             self.view = view
             facts = {"view": encode_view(view), "view_epoch": view.epoch}
-            self.disk.note(
+            self.disk.set_meta_later(
                 now, **facts, settled=settled or self._is_in_force(view), adoptable=False
             )
         elif view.epoch == known and settled and not self.settled:
-            self.disk.note(now, settled=True)
+            self.disk.set_meta_later(now, settled=True)
 
     def adopt_view(self, view: View, proposer: str, synced: bool) -> None:
         """Adopts a view sent by its head, and records its state as received if `synced`. To be stored at
@@ -78,7 +78,7 @@
         if self.view is not None and self.view.epoch == view.epoch:
             settled = settled or self.settled
         self.view = view
-        self.disk.change(
+        self.disk.set_meta(
             promised=view.epoch,
             promised_to=proposer,
             view=encode_view(view),
@@ -87,7 +87,7 @@
             adoptable=False,
         )
         if synced:
-            self.disk.change(synced=view.epoch)
+            self.disk.set_meta(synced=view.epoch)
 
     def _is_in_force(self, view: View) -> bool:
         """Returns whether, as far as this replica knows, the view needs no promises of its old voters."""
--- a/cloverrouter/coordination/disk.py
+++ b/cloverrouter/coordination/disk.py
@@ -51,9 +51,9 @@
         self._updates: list[Update] = []
         self._dirty = False
         self._lazy_since: float | None = None
-        self._flying: tuple[Record, Durable] | None = None
+        self._in_flight: tuple[Record, Durable] | None = None
         self._token = 0
-        self._begun = 0.0  # start time of the write in progress
+        self._write_started_at = 0.0  # start time of the write in progress
         self._failing_since: float | None = None
         self._retry_at = 0.0
         self._snapshot_bytes = len(stored.snapshot.data) if stored.snapshot is not None else 0
@@ -64,13 +64,13 @@
         """Approximate size of the state: the last snapshot and the updates since."""
         return self._snapshot_bytes + self._update_bytes
 
-    def change(self, **facts: Any) -> None:
+    def set_meta(self, **facts: Any) -> None:
         """Changes fields of `Meta`; written as soon as possible."""
         self.meta = attrs.evolve(self.meta, **facts)
         self._dirty = True
 
-    def note(self, now: float, **facts: Any) -> None:
-        """Changes fields of `Meta`; written with the next record, or after a delay (see `next`)."""
+    def set_meta_later(self, now: float, **facts: Any) -> None:
+        """Changes fields of `Meta`; written with the next record, or after a delay (see `next_record`)."""
         self.meta = attrs.evolve(self.meta, **facts)
         if self._lazy_since is None:
             self._lazy_since = now
@@ -95,7 +95,7 @@
         refuses writes. For an idle disk: the duration of its last write, if that was slow."""
         if self._failing_since is not None:
             return FAILING_S + now - self._failing_since
-        busy_s = now - self._begun if self._flying is not None else 0.0
+        busy_s = now - self._write_started_at if self._in_flight is not None else 0.0
         return max(busy_s, self._last_write_s) if self._last_write_s >= self._slow_s else busy_s
 
     @property
@@ -104,31 +104,31 @@
 
     def reset_timeouts(self, now: float) -> None:
         """Restarts the timing of the write in progress after a freeze of this process."""
-        self._begun = now
+        self._write_started_at = now
 
-    def next(self, now: float, lazy_s: float) -> tuple[int, Record] | None:
+    def next_record(self, now: float, lazy_s: float) -> tuple[int, Record] | None:
         """Returns the record to write now with its token, if any. Changes that are not urgent wait for
         `lazy_s`."""
-        if self._flying is not None or now < self._retry_at:
+        if self._in_flight is not None or now < self._retry_at:
             return None
         lazy_due = self._lazy_since is not None and now - self._lazy_since >= lazy_s
         if not self._dirty and not lazy_due and not self._needs_probe:
             return None
-        self._compact()
+        self._compact_if_large()
         record = Record(meta=self.meta, snapshot=self._snapshot, updates=tuple(self._updates))
-        self._flying = (record, Durable(self.meta, self.seq))
+        self._in_flight = (record, Durable(self.meta, self.seq))
         self._snapshot, self._updates = None, []
         self._dirty, self._lazy_since = False, None
-        self._begun = now
+        self._write_started_at = now
         self._token += 1
         return self._token, record
 
     def on_written(self, now: float, token: int, error: str | None) -> None:
         """Handles the end of the write in progress; `error` is set if it was refused."""
-        if self._flying is None or token != self._token:
+        if self._in_flight is None or token != self._token:
             return
-        (record, durable), self._flying = self._flying, None
-        self._last_write_s = now - self._begun
+        (record, durable), self._in_flight = self._in_flight, None
+        self._last_write_s = now - self._write_started_at
         if error is None:
             self.durable = durable
             self._failing_since = None
@@ -143,13 +143,13 @@
             self._snapshot = record.snapshot
             self._updates[:0] = record.updates
 
-    def fold(self) -> None:
+    def compact(self) -> None:
         """Replaces the stored snapshot and updates by one snapshot of the newest state."""
         if self._update_bytes:
             newest = self._newest()
             self.replace(newest.seq, newest.data)
 
-    def _compact(self) -> None:
+    def _compact_if_large(self) -> None:
         """Compacts the updates when they take more space than the snapshot."""
         if self._update_bytes > max(self._compact_bytes, self._snapshot_bytes):
-            self.fold()
+            self.compact()
--- a/cloverrouter/coordination/effects.py
+++ b/cloverrouter/coordination/effects.py
@@ -59,16 +59,16 @@
     jitter_s: float = 0.08
     start_delay_s: float = 0.45  # before a restarted voter starts an election
     retry_s: float = 0.2  # interval between repeats of an unanswered request
-    gather_s: float = 0.12  # how long further promises are awaited once a quorum is there
+    collect_s: float = 0.12  # how long further promises are awaited once a quorum is there
     lost_quorum_s: float = 1.0  # a head that no majority has answered for this long steps down
     # a voter that is silent, or whose disk is busy, this long is replaced by a spare
-    exchange_after_s: float = 0.7
+    replace_after_s: float = 0.7
     rejoin_s: float = 0.3  # a returning member must be healthy this long to rejoin; doubles with each relapse
     disk_retry_s: float = 0.5
-    settle_s: float = 0.3  # maximum delay of writes that are not urgent
+    lazy_write_s: float = 0.3  # maximum delay of writes that are not urgent
     max_in_flight: int = 32  # maximum number of uncommitted updates
     max_queued: int = 256  # maximum number of queued commands, and of pending reads
-    wait_s: float = 2.5  # after this time a queued command or a pending read fails
+    queue_timeout_s: float = 2.5  # after this time a queued command or a pending read fails
     max_state_bytes: int = 12 * 1024 * 1024
     # a state of this size is sent in chunks before its receiver joins the chain
     catch_up_bytes: int = 512 * 1024
@@ -134,10 +134,10 @@
 
 
 @attrs.frozen(slots=True)
-class NoteKept:
-    """The note passed to `Replica.keep_note` is durable."""
+class NoteStored:
+    """The note passed to `Replica.store_note` is durable."""
 
     note: bytes
 
 
-Effect = Send | Persist | Answer | Committed | Restored | ViewChanged | NoteKept
+Effect = Send | Persist | Answer | Committed | Restored | ViewChanged | NoteStored
--- a/cloverrouter/coordination/follower.py
+++ b/cloverrouter/coordination/follower.py
@@ -31,8 +31,8 @@
         self.contact = HeadContact(context, now)
         self._promise_due: tuple[int, str, str] | None = None  # epoch, proposer, address
         self._report_due: tuple[int, str, str] | None = None  # epoch, head, address
-        self._upstream = 0  # newest update that all up to the predecessor have stored
-        self._told = 0  # newest sequence number sent in a `Stored`
+        self._upstream_stored_seq = 0  # newest update that all up to the predecessor have stored
+        self._last_reported = 0  # newest sequence number sent in a `Stored`
         self._link_epoch = 0  # epoch of these two numbers
 
     # -- votes --
@@ -69,7 +69,7 @@
             context.send(ip, refused)
             return False
         if not is_repeated:
-            context.disk.change(promised=message.epoch, promised_to=message.sender)
+            context.disk.set_meta(promised=message.epoch, promised_to=message.sender)
             self.contact.record_contact(now, message.sender)
         self._promise_due = (message.epoch, message.sender, ip)
         return not is_repeated
@@ -167,7 +167,7 @@
             epoch=message.epoch,
             first_seq=first,
             updates=updates,
-            stored=self._stored(),
+            stored=self._stored_seq(),
             committed=message.committed,
         )
         self._send_to(successor, passed)
@@ -196,18 +196,18 @@
             return
         index = view.chain.index(self._context.me.identity)
         if index > 0 and view.chain[index - 1] == sender:
-            self._upstream = max(self._upstream, seq)
+            self._upstream_stored_seq = max(self._upstream_stored_seq, seq)
 
     def _reset_link(self, epoch: int) -> None:
         if epoch != self._link_epoch:
-            self._link_epoch, self._upstream, self._told = epoch, 0, 0
+            self._link_epoch, self._upstream_stored_seq, self._last_reported = epoch, 0, 0
 
-    def _stored(self) -> int:
+    def _stored_seq(self) -> int:
         """Returns the newest update that all members from the head to this replica have stored."""
         durable = self._context.disk.durable
         if durable.meta.synced != self._link_epoch:
             return 0
-        return min(self._upstream, durable.seq)
+        return min(self._upstream_stored_seq, durable.seq)
 
     def _successor(self) -> str | None:
         view = self._context.view
@@ -243,7 +243,7 @@
         if message.active:
             context.active_epoch = max(context.active_epoch, message.epoch)
             if message.epoch == known and not context.settled:
-                context.disk.note(now, settled=True)
+                context.disk.set_meta_later(now, settled=True)
         if not self._is_in_chain(message.epoch):
             return []
         return self._commit(message.committed)
@@ -297,9 +297,9 @@
         if view is None or not self._is_in_chain(view.epoch) or view.head == context.me.identity:
             return
         self._reset_link(view.epoch)
-        seq = self._stored()
-        if seq <= self._told:
+        seq = self._stored_seq()
+        if seq <= self._last_reported:
             return
-        self._told = seq
+        self._last_reported = seq
         receiver = self._successor() or view.chain[0]
         self._send_to(receiver, Stored(context.me.identity, receiver, view.epoch, seq))
--- a/cloverrouter/coordination/head.py
+++ b/cloverrouter/coordination/head.py
@@ -4,7 +4,6 @@
 
 from cloverrouter.coordination.catch_up import CatchUpSender, Progress
 from cloverrouter.coordination.context import Context, view_info
-from cloverrouter.coordination.desk import Asked, Desk, UncommittedCommand
 from cloverrouter.coordination.effects import Answer, Outcome, ViewInfo
 from cloverrouter.coordination.messages import (
     Announce,
@@ -17,9 +16,10 @@
     Report,
     Stored,
 )
+from cloverrouter.coordination.pending_calls import PendingCalls, PendingRead, UncommittedCommand
 from cloverrouter.coordination.proposal import Plan
 from cloverrouter.coordination.roster import Peer, Roster
-from cloverrouter.coordination.rounds import Rounds
+from cloverrouter.coordination.rounds import HeartbeatRounds
 from cloverrouter.coordination.views import Member, View, is_majority
 
 # The view and the state are sent again after this long without an acknowledgement.
@@ -36,7 +36,7 @@
         self,
         context: Context,
         roster: Roster,
-        desk: Desk,
+        pending: PendingCalls,
         view: View,
         promises: dict[str, Promise],
         prefix_seqs: dict[int, int],
@@ -51,11 +51,11 @@
         self.active = False
         self._context = context
         self._roster = roster
-        self._desk = desk
+        self._pending = pending
         self._promises = promises
-        self._lineage = prefix_seqs
+        self._prefix_seqs = prefix_seqs
         self._base_seq = context.history.newest
-        self.rounds = Rounds(context.me.identity, view, context.config, now)
+        self.rounds = HeartbeatRounds(context.me.identity, view, context.config, now)
         self._last_round_at = now
         self._last_forward_at = now  # when updates were last sent
         self._catch_up = CatchUpSender(context, view.epoch)
@@ -63,9 +63,9 @@
         self._last_stored_sent = 0
         context.adopt_view(view, context.me.identity, synced=True)
         roster.begin(now, view)
-        desk.new_rounds()
+        pending.reset_rounds()
         self._send_view_to_all(now)
-        self.beat(now)
+        self.start_round(now)
 
     # -- bringing the view into force --
 
@@ -82,9 +82,9 @@
 
     def _send_view(self, now: float, peer: Peer) -> None:
         """Sends the view and the state to a chain member, or the view only to another replica."""
-        if peer.handed_at and now - peer.handed_at < VIEW_RESEND_S:
+        if peer.view_sent_at and now - peer.view_sent_at < VIEW_RESEND_S:
             return
-        peer.handed_at = now
+        peer.view_sent_at = now
         me, identity = self._context.me.identity, peer.member.identity
         if identity in self.view.chain:
             self._send(peer.member, self._install_for(identity))
@@ -95,7 +95,7 @@
         """Returns the updates that lead to the newest state from the state `seq` of epoch `synced`; None if
         only the whole state does."""
         history = self._context.history
-        last = history.newest if synced == self.view.epoch else self._lineage.get(synced, -1)
+        last = history.newest if synced == self.view.epoch else self._prefix_seqs.get(synced, -1)
         return history.after(seq) if seq <= last else None
 
     def _install_for(self, identity: str) -> Install:
@@ -176,7 +176,7 @@
 
     # -- heartbeats and confirmation --
 
-    def beat(self, now: float) -> int:
+    def start_round(self, now: float) -> int:
         """Starts a heartbeat round and returns its number."""
         context = self._context
         self._last_round_at = now
@@ -213,60 +213,60 @@
             self._repair(now, peer, report)
 
     @property
-    def lead_until(self) -> float | None:
-        """See `Rounds.lead_until`. None also while the view is not in force."""
-        return self.rounds.lead_until if self.active else None
+    def lease_until(self) -> float | None:
+        """See `HeartbeatRounds.lease_until`. None also while the view is not in force."""
+        return self.rounds.lease_until if self.active else None
 
     # -- commands --
 
-    def work(self, now: float) -> None:
+    def decide_queued(self, now: float) -> None:
         """Evaluates queued commands up to the limit of uncommitted updates."""
         config = self._context.config
-        desk = self._desk
-        while self.active and desk.queued and len(desk.flying) < config.max_in_flight:
-            if desk.has_read_before(desk.queued[0].since):
+        pending = self._pending
+        while self.active and pending.queued and len(pending.uncommitted) < config.max_in_flight:
+            if pending.has_read_before(pending.queued[0].since):
                 # A read is answered only while no update is uncommitted; later commands wait for it.
                 return
-            entry = desk.queued.popleft()
+            entry = pending.queued.popleft()
             self._decide(now, entry.ticket, entry.command)
 
     def _decide(self, now: float, ticket: int, command: bytes) -> None:
-        context, desk = self._context, self._desk
+        context, pending = self._context, self._pending
         decision = context.history.decide(command)
         if decision.update is None:
             newest = context.history.newest
-            desk.asked.append(Asked(ticket, newest, decision.reply, now))
+            pending.reads.append(PendingRead(ticket, newest, decision.reply, now))
             return
         if not self._has_room(len(decision.update)):
-            too_large = Asked(ticket, context.history.newest, b"", now, outcome=Outcome.TOO_LARGE)
-            desk.asked.append(too_large)
+            too_large = PendingRead(ticket, context.history.newest, b"", now, outcome=Outcome.TOO_LARGE)
+            pending.reads.append(too_large)
             return
         seq = context.history.append(decision.update)
         context.disk.append(seq, decision.update)
-        desk.flying.append(UncommittedCommand(ticket, seq, decision.reply))
+        pending.uncommitted.append(UncommittedCommand(ticket, seq, decision.reply))
 
     def _has_room(self, update_bytes: int) -> bool:
         """Returns whether the state has room for an update of that size, if needed after compaction."""
         context = self._context
         room = context.config.max_state_bytes - update_bytes
         if context.disk.state_bytes > room:
-            context.disk.fold()
+            context.disk.compact()
         return context.disk.state_bytes <= room
 
-    def ask_rounds(self, now: float) -> None:
+    def start_read_round(self, now: float) -> None:
         """Starts a heartbeat round for the reads that have arrived since the last one."""
-        asked = [entry for entry in self._desk.asked if entry.round is None]
+        asked = [entry for entry in self._pending.reads if entry.round is None]
         if not asked or not self.active:
             return
-        number = self.beat(now)
+        number = self.start_round(now)
         for entry in asked:
             entry.round = number
 
-    def answer_asked(self) -> None:
+    def answer_reads(self) -> None:
         """Answers the reads whose round is confirmed."""
-        history, desk = self._context.history, self._desk
-        left: list[Asked] = []
-        for entry in desk.asked:
+        history, pending = self._context.history, self._pending
+        left: list[PendingRead] = []
+        for entry in pending.reads:
             confirmed = entry.round is not None and entry.round <= self.rounds.confirmed
             if not self.active or not confirmed or history.committed < entry.seq:
                 left.append(entry)
@@ -277,7 +277,7 @@
                 self._context.effects.append(Answer(entry.ticket, Outcome.DONE, state.data, state.seq))
             else:
                 left.append(entry)
-        desk.asked = left
+        pending.reads = left
 
     # -- the chain --
 
@@ -301,12 +301,12 @@
                 epoch=self.view.epoch,
                 first_seq=first + start,
                 updates=batch,
-                stored=self._own_stored(),
+                stored=self._own_stored_seq(),
                 committed=self._context.history.committed,
             )
             self._send(member, forward)
 
-    def _own_stored(self) -> int:
+    def _own_stored_seq(self) -> int:
         durable = self._context.disk.durable
         return durable.seq if durable.meta.synced == self.view.epoch else 0
 
@@ -327,15 +327,15 @@
         if message.epoch == self.view.epoch and message.sender == self.view.chain[-1]:
             self._tail_stored_seq = max(self._tail_stored_seq, message.seq)
 
-    def _stored_by_all(self) -> int:
+    def _chain_stored_seq(self) -> int:
         """Returns the newest update that the whole chain has stored, from the tail's acknowledgement or the
         members' reports."""
-        stored_seq = self._own_stored()
+        stored_seq = self._own_stored_seq()
         for identity in self.view.chain[1:]:
             report = self._report(identity)
             known = report.seq if report is not None and report.synced == self.view.epoch else 0
             stored_seq = min(stored_seq, known)
-        return max(stored_seq, min(self._tail_stored_seq, self._own_stored()))
+        return max(stored_seq, min(self._tail_stored_seq, self._own_stored_seq()))
 
     def flush(self, now: float) -> bool:
         """Commits and acknowledges after completed writes and received reports. Returns whether the view has
@@ -343,19 +343,19 @@
         begins = not self.active and self._is_in_force()
         if begins:
             self.active = True
-            self._context.disk.note(now, settled=True)
+            self._context.disk.set_meta_later(now, settled=True)
         if not self.active:
             return False
         self._send_stored()
-        seq = self._stored_by_all()
+        seq = self._chain_stored_seq()
         if seq > self._context.history.committed or begins:
             self._commit(now, seq)
         if begins:  # many replicas should know that the view is in force: see `View.old_voters`
-            self.beat(now)
+            self.start_round(now)
         return begins
 
     def _send_stored(self) -> None:
-        seq = self._own_stored()
+        seq = self._own_stored_seq()
         if len(self.view.chain) < 2 or seq <= max(self._last_stored_sent, self._base_seq):
             return
         self._last_stored_sent = seq
@@ -367,8 +367,8 @@
     def _commit(self, now: float, seq: int) -> None:
         context = self._context
         context.effects += context.history.commit(seq)
-        context.disk.note(now, committed=context.history.committed)
-        context.effects += self._desk.committed(context.history.committed)
+        context.disk.set_meta_later(now, committed=context.history.committed)
+        context.effects += self._pending.answers_to_committed(context.history.committed)
         for identity in self.view.chain[1:]:
             member = self.view.voter(identity)
             if member is not None:
@@ -379,7 +379,7 @@
     def tick(self, now: float) -> None:
         """Sends heartbeats that are due, updates the members' health and continues state transfers."""
         if now - self._last_round_at >= self._context.config.heartbeat_s:
-            self.beat(now)
+            self.start_round(now)
         self._roster.update_health(now)
         self._tick_catch_up(now)
 
--- a/cloverrouter/coordination/proposal.py
+++ b/cloverrouter/coordination/proposal.py
@@ -4,7 +4,7 @@
 | --- | --- |
 | PRE_VOTE | a quorum would promise; an epoch is used only then, so that a head others hear is not disturbed |
 | RESERVING | the own promise is durable: the epoch is never used a second time |
-| COLLECTING | a quorum has promised, and the slower voters had `gather_s` to answer |
+| COLLECTING | a quorum has promised, and the slower voters had `collect_s` to answer |
 | FETCHING | the newest state among the promises has arrived |
 | READY | the replica makes it the head |
 | DEAD | a higher epoch was seen, or this replica is no voter |
@@ -19,7 +19,7 @@
 
 from cloverrouter.coordination.context import Context
 from cloverrouter.coordination.messages import Canvass, Fetch, Promise, Propose, Refused, State, Support
-from cloverrouter.coordination.views import Member, View, chain_order, least_chain, next_epoch
+from cloverrouter.coordination.views import Member, View, chain_order, min_chain_length, next_epoch
 
 
 class Phase(Enum):
@@ -85,7 +85,7 @@
     def tick(self, now: float) -> None:
         """Repeats requests and handles timeouts."""
         if self.phase is Phase.COLLECTING:
-            self._choose(now)
+            self._select_state(now)
         if self.phase is Phase.FETCHING and now >= self._fetch_deadline:
             self._abandon_source(now)
         elif now - self._requested_at >= self._retry_s:
@@ -104,7 +104,7 @@
                 propose = Propose(self._context.me.identity, member.identity, self.epoch)
                 self._context.send(self._context.address(member), propose)
         elif self.phase is Phase.FETCHING:
-            self._ask_state()
+            self._request_state()
 
     @property
     def _view(self) -> View:
@@ -152,7 +152,7 @@
         above = max(context.epoch, context.seen_epoch, self._view.epoch)
         self.epoch = next_epoch(above, context.me.identity)
         context.seen_epoch = self.epoch
-        context.disk.change(promised=self.epoch, promised_to=context.me.identity)
+        context.disk.set_meta(promised=self.epoch, promised_to=context.me.identity)
         self.phase = Phase.RESERVING
 
     def flush(self, now: float) -> None:
@@ -173,7 +173,7 @@
         )
         self.promises[context.me.identity] = own
         self._send_requests(now)
-        self._choose(now)
+        self._select_state(now)
 
     def on_promise(self, now: float, message: Promise) -> None:
         """Handles a promise."""
@@ -189,7 +189,7 @@
         self.promises[message.sender] = message
         if self._view.epoch > known:
             self._send_requests(now)
-        self._choose(now)
+        self._select_state(now)
 
     def on_refused(self, message: Refused) -> None:
         """Handles a negative reply."""
@@ -197,7 +197,7 @@
         if message.epoch == self.epoch and message.promised > self.epoch:
             self.phase = Phase.DEAD
 
-    def _choose(self, now: float) -> None:
+    def _select_state(self, now: float) -> None:
         """Selects the newest state once a quorum has promised and the slower voters had time to answer."""
         if not self._has_quorum():
             return
@@ -225,7 +225,7 @@
         """Returns how long further promises are awaited: longer with a plan, whose members were healthy a
         moment ago."""
         config = self._context.config
-        return config.gather_s if self.plan is None else max(config.gather_s, config.failure_timeout_s / 2)
+        return config.collect_s if self.plan is None else max(config.collect_s, config.failure_timeout_s / 2)
 
     def _have_all_answered(self) -> bool:
         if self.plan is not None and self._is_plan_current():
@@ -241,9 +241,9 @@
         self._fetch_deadline = now + self._source_timeout_s
         self._retry_s = self._context.config.retry_s
         self._requested_at = now
-        self._ask_state()
+        self._request_state()
 
-    def _ask_state(self) -> None:
+    def _request_state(self) -> None:
         """Requests the state. The retry interval doubles, as each request causes a transfer of the whole
         state."""
         context, source = self._context, self._source
@@ -283,7 +283,7 @@
             return
         context.history.replace(message.seq, message.snapshot)
         context.disk.replace(message.seq, message.snapshot)
-        context.disk.change(synced=message.synced)
+        context.disk.set_meta(synced=message.synced)
         self.has_fetched_state = True
         self.phase = Phase.READY
 
@@ -298,7 +298,7 @@
         return self._view.voters
 
     def _min_chain_length(self) -> int:
-        return least_chain(len(self._voters()), self._context.config.tolerance)
+        return min_chain_length(len(self._voters()), self._context.config.tolerance)
 
     def _chain_members(self) -> list[Member]:
         """Returns the chain of the next view: the members that have promised; with a plan, the healthy ones
--- a/cloverrouter/coordination/replica.py
+++ b/cloverrouter/coordination/replica.py
@@ -13,12 +13,11 @@
 
 from cloverrouter.coordination.catch_up import CatchUpReceiver, Progress
 from cloverrouter.coordination.context import Context, view_info
-from cloverrouter.coordination.desk import Asked, Desk, QueuedCommand
 from cloverrouter.coordination.disk import DiskQueue
 from cloverrouter.coordination.effects import (
     Answer,
     Effect,
-    NoteKept,
+    NoteStored,
     Outcome,
     Persist,
     ReplicaConfig,
@@ -47,6 +46,7 @@
     SeedPrepare,
     Stored,
 )
+from cloverrouter.coordination.pending_calls import PendingCalls, PendingRead, QueuedCommand
 from cloverrouter.coordination.proposal import Phase, Plan, Proposal
 from cloverrouter.coordination.roster import Roster
 from cloverrouter.coordination.seed_disk import SeedDisk
@@ -84,17 +84,17 @@
         self._context = Context(me, config, random, disk, history, view)
         self._context.seen_epoch = stored.meta.promised
         self._roster = Roster(me, config)
-        self._desk = Desk()
+        self._pending = PendingCalls()
         self._head: Head | None = None
         self._proposal: Proposal | None = None
-        self._is_reviewing = False  # the election is that of a head that changes its own view
-        self._lineage: dict[int, int] = {0: 0}
+        self._is_changing_view = False  # the election is that of a head that changes its own view
+        self._prefix_seqs: dict[int, int] = {0: 0}
         self._forwarded_seq = 0  # newest update sent down the chain
         self._attempts = 0
         self._jitter = 0.0
-        self._not_before = 0.0  # no election starts before this time
+        self._no_election_before = 0.0  # no election starts before this time
         self._now = 0.0
-        self._told: ViewInfo | None = None
+        self._last_reported: ViewInfo | None = None
         self._seed_disk = SeedDisk(self._context)
         self._follower = Follower(self._context, 0.0)
         self._catch_up = CatchUpReceiver(self._context)
@@ -134,10 +134,10 @@
         return self._context.disk.meta.adoptable
 
     @property
-    def lead_until(self) -> float | None:
+    def lease_until(self) -> float | None:
         """Time until which surely no other replica is head; None if this replica is not the head or has no
         lease."""
-        return self._head.lead_until if self._head is not None else None
+        return self._head.lease_until if self._head is not None else None
 
     @property
     def may_end(self) -> bool:
@@ -158,16 +158,16 @@
     def remember_fleet_size(self, now: float, size: int) -> None:
         """Stores the fleet size for the next start, when no other replica may know it."""
         if size != self.fleet_size:
-            self._context.disk.note(now, fleet_size=size)
+            self._context.disk.set_meta_later(now, fleet_size=size)
 
     @property
     def note(self) -> bytes:
         """The durable note; empty: none."""
         return self._context.disk.durable.meta.note
 
-    def keep_note(self, now: float, note: bytes) -> list[Effect]:
-        """Stores a note for the next head at this disk; `NoteKept` reports that it is durable."""
-        self._context.disk.change(note=note)
+    def store_note(self, now: float, note: bytes) -> list[Effect]:
+        """Stores a note for the next head at this disk; `NoteStored` reports that it is durable."""
+        self._context.disk.set_meta(note=note)
         return self._finish(now)
 
     @property
@@ -208,7 +208,7 @@
             self._proposal.tick(now)
         else:
             self._start_election_if_due(now)
-        self._context.effects += self._desk.expire(now - self._config.wait_s)
+        self._context.effects += self._pending.expire(now - self._config.queue_timeout_s)
         return self._finish(now)
 
     def receive(self, now: float, sender_ip: str, message: object) -> list[Effect]:
@@ -224,7 +224,7 @@
         before = self.note
         self._context.disk.on_written(now, token, error)
         if self.note != before:
-            self._context.effects.append(NoteKept(self.note))
+            self._context.effects.append(NoteStored(self.note))
         return self._finish(now)
 
     def discovered(self, now: float, members: Iterable[Member]) -> list[Effect]:
@@ -239,18 +239,18 @@
         """Submits a command; its `Answer` carries the ticket."""
         if not self._accepts_calls():
             return self._answer(now, ticket, Outcome.NOT_HEAD)
-        if len(self._desk.queued) >= self._config.max_queued:
+        if len(self._pending.queued) >= self._config.max_queued:
             return self._answer(now, ticket, Outcome.UNAVAILABLE)
-        self._desk.queued.append(QueuedCommand(ticket, command, now))
+        self._pending.queued.append(QueuedCommand(ticket, command, now))
         return self._finish(now)
 
     def read(self, now: float, ticket: int) -> list[Effect]:
         """Requests the committed state; its `Answer` carries the ticket."""
         if not self._accepts_calls():
             return self._answer(now, ticket, Outcome.NOT_HEAD)
-        if len(self._desk.asked) >= self._config.max_queued:
+        if len(self._pending.reads) >= self._config.max_queued:
             return self._answer(now, ticket, Outcome.UNAVAILABLE)
-        self._desk.asked.append(Asked(ticket, 0, None, now))
+        self._pending.reads.append(PendingRead(ticket, 0, None, now))
         return self._finish(now)
 
     def resign(self, now: float) -> list[Effect]:
@@ -258,7 +258,7 @@
         the chain."""
         self._context.resigning = True
         if self._head is not None:
-            self._head.beat(now)
+            self._head.start_round(now)
         return self._finish(now)
 
     def _answer(self, now: float, ticket: int, outcome: Outcome) -> list[Effect]:
@@ -266,7 +266,7 @@
         return self._finish(now)
 
     def _accepts_calls(self) -> bool:
-        return self._head is not None or self._is_reviewing
+        return self._head is not None or self._is_changing_view
 
     # -- time --
 
@@ -292,7 +292,7 @@
 
     def _start_election_if_due(self, now: float) -> None:
         due = self._follower.contact.election_due_at(self._jitter)
-        if due is None or now < due or now < self._not_before:
+        if due is None or now < due or now < self._no_election_before:
             return
         if self._context.disk.trouble_s(now) >= self._config.failure_timeout_s / 2:
             return
@@ -314,37 +314,37 @@
     def _start_view_change(self, now: float, head: Head, plan: Plan) -> None:
         """Ends the head's epoch and starts the election of its next view."""
         if head.active:
-            self._lineage[head.view.epoch] = self._context.history.newest
+            self._prefix_seqs[head.view.epoch] = self._context.history.newest
         self._head = None
-        self._is_reviewing = True
+        self._is_changing_view = True
         self._attempts += 1
         self._proposal = Proposal(self._context, now, self._attempts, plan)
 
     def _become_head(self, now: float, proposal: Proposal) -> None:
         context = self._context
         if proposal.has_fetched_state:
-            self._lineage = {0: 0}
-            context.effects += self._desk.give_up()
+            self._prefix_seqs = {0: 0}
+            context.effects += self._pending.fail_all()
         # Any state received in the same epoch is a prefix of the state that continues here.
-        self._lineage[context.synced] = context.history.newest
+        self._prefix_seqs[context.synced] = context.history.newest
         follows, view = context.synced, proposal.new_view()
-        self._proposal, self._is_reviewing = None, False
+        self._proposal, self._is_changing_view = None, False
         self._forwarded_seq = context.history.newest
         self._follower.contact.record_contact(now, context.me.identity)
         self._head = Head(
-            context, self._roster, self._desk, view, proposal.promises, self._lineage, now, follows
+            context, self._roster, self._pending, view, proposal.promises, self._prefix_seqs, now, follows
         )
 
     def _step_down(self, now: float) -> None:
         """Gives up the head role and any election."""
         self._head = None
         self._proposal = None
-        self._is_reviewing = False
-        self._lineage = {0: 0}
+        self._is_changing_view = False
+        self._prefix_seqs = {0: 0}
         self._roster.clear()
         self._draw_jitter()
-        self._not_before = now + self._config.retry_s + self._jitter
-        self._context.effects += self._desk.give_up()
+        self._no_election_before = now + self._config.retry_s + self._jitter
+        self._context.effects += self._pending.fail_all()
 
     def _yield_to(self, now: float, epoch: int) -> None:
         """Steps down if another replica has, or is about to have, this higher epoch."""
@@ -391,7 +391,7 @@
 
     def _on_catch_up_part(self, now: float, ip: str, message: CatchUpPart) -> None:
         if self._head is None and self._catch_up.receive(ip, message):
-            self._lineage = {0: 0}
+            self._prefix_seqs = {0: 0}
             self._forwarded_seq = self._context.history.newest
 
     def _on_catch_up_taken(self, now: float, ip: str, message: CatchUpTaken) -> None:
@@ -426,7 +426,7 @@
         if isinstance(message, Announce):
             self._follower.on_announce(now, ip, message)
         elif self._follower.on_install(now, ip, message):
-            self._lineage = {0: 0}
+            self._prefix_seqs = {0: 0}
             self._forwarded_seq = self._context.history.newest
 
     def _on_canvass(self, now: float, ip: str, message: Canvass) -> None:
@@ -451,7 +451,7 @@
             return False
         if self._context.disk.trouble_s(now) >= self._config.failure_timeout_s:
             return False
-        return now - self._head.rounds.followed_at < self._config.sticky_s
+        return now - self._head.rounds.confirmed_started_at < self._config.sticky_s
 
     # -- bootstrap --
 
@@ -474,7 +474,7 @@
             self._advance_proposal(now, self._proposal)
         if self._head is not None:
             self._advance_head(now, self._head)
-        following = context.disk.next(now, self._config.settle_s)
+        following = context.disk.next_record(now, self._config.lazy_write_s)
         if following is not None:
             context.effects.append(Persist(*following))
         self._publish_view()
@@ -490,15 +490,15 @@
     def _advance_head(self, now: float, head: Head) -> None:
         """Advances the head's commands, reads and updates as far as possible."""
         head.flush(now)
-        head.work(now)
+        head.decide_queued(now)
         self._forwarded_seq = head.forward(now, self._forwarded_seq)
-        head.ask_rounds(now)
-        head.answer_asked()
-        head.work(now)
+        head.start_read_round(now)
+        head.answer_reads()
+        head.decide_queued(now)
         self._forwarded_seq = head.forward(now, self._forwarded_seq)
 
     def _publish_view(self) -> None:
         info = self.view_info
-        if info is not None and info != self._told:
-            self._told = info
+        if info is not None and info != self._last_reported:
+            self._last_reported = info
             self._context.effects.append(ViewChanged(info))
--- a/cloverrouter/coordination/roster.py
+++ b/cloverrouter/coordination/roster.py
@@ -10,7 +10,7 @@
 from cloverrouter.coordination.effects import ReplicaConfig
 from cloverrouter.coordination.messages import Report
 from cloverrouter.coordination.proposal import Plan
-from cloverrouter.coordination.views import Member, View, least_chain
+from cloverrouter.coordination.views import Member, View, min_chain_length
 
 # A spare that discovery has not reported for this long is dropped.
 SPARE_TTL_S = 6.0
@@ -32,7 +32,7 @@
     in_chain: bool = False  # in the chain of the last view that this replica led
     relapses: int = 0  # how often it has recently left the chain
     fenced_since: float | None = None  # since when its reports show a promise of a higher epoch
-    handed_at: float = 0.0  # when the view or the state was last sent to it
+    view_sent_at: float = 0.0  # when the view or the state was last sent to it
     repaired_at: float = 0.0  # when updates were last resent to it
 
     def is_healthy(self, now: float, config: ReplicaConfig) -> bool:
@@ -72,7 +72,7 @@
             self._update_for_view(peer, view)
             peer.report = None
             peer.fenced_since = None
-            peer.handed_at = peer.repaired_at = 0.0
+            peer.view_sent_at = peer.repaired_at = 0.0
 
     def _update_for_view(self, peer: Peer, view: View) -> None:
         """Updates a peer for the new view: outside the chain it must be healthy for a while before it joins,
@@ -133,7 +133,7 @@
         peer = self.peers.get(member.identity)
         if peer is None or peer.report is None:
             return False
-        return peer.report.trouble_ms >= self._config.exchange_after_s * 1000
+        return peer.report.trouble_ms >= self._config.replace_after_s * 1000
 
     def _is_leaving(self, member: Member) -> bool:
         """Returns whether a member has reported that its process is about to exit."""
@@ -225,7 +225,7 @@
         disks work, though they are leaving or have not been healthy long enough. None if there are too few.
         """
         chain = set(fit)
-        least = least_chain(len(view.voters), self._config.tolerance)
+        least = min_chain_length(len(view.voters), self._config.tolerance)
         for member in view.voters:
             if len(chain) >= least:
                 break
@@ -287,7 +287,7 @@
         chain = self._padded_chain(now, view, fit_identities, replaced.identity)
         if chain is None:
             return None
-        is_long_enough = len(chain) > least_chain(len(voters), config.tolerance)
+        is_long_enough = len(chain) > min_chain_length(len(voters), config.tolerance)
         if is_long_enough and lacks_state(self.peers[spare.identity]):
             chain.discard(spare.identity)  # it votes at once, and joins the chain when it has the state
         return Plan(view.epoch, voters, frozenset(chain), f"{spare.name} in the place of {replaced.name}")
@@ -313,7 +313,7 @@
     def _longest_silent_pair(
         self, now: float, fit: list[Member], lost: list[Member]
     ) -> tuple[Member, Member] | None:
-        silent = [member for member in lost if self.silent_s(now, member) >= self._config.exchange_after_s]
+        silent = [member for member in lost if self.silent_s(now, member) >= self._config.replace_after_s]
         if not silent:
             return None
         replaced = max(silent, key=lambda member: (self.silent_s(now, member), member.identity))
--- a/cloverrouter/coordination/seed_disk.py
+++ b/cloverrouter/coordination/seed_disk.py
@@ -32,7 +32,7 @@
         if not context.disk.meta.adoptable or view.voter(context.me.identity) is None:
             return False
         context.learn_view(now, view, settled=True)
-        context.disk.change()
+        context.disk.set_meta()
         return True
 
     def _tell(self, ip: str) -> None:
@@ -50,7 +50,7 @@
             return
         ballot, answer = decided(disk.meta.ballot, message)
         if ballot != disk.meta.ballot:
-            disk.change(ballot=ballot)
+            disk.set_meta(ballot=ballot)
         self._waiting.append((ip, ballot, answer))
 
     def flush(self) -> None:
--- a/cloverrouter/coordination/views.py
+++ b/cloverrouter/coordination/views.py
@@ -71,7 +71,7 @@
     return present >= majority(len(voters))
 
 
-def least_chain(count: int, tolerance: int) -> int:
+def min_chain_length(count: int, tolerance: int) -> int:
     """Returns the minimum chain length for `count` voters: every update is on more disks than may be lost,
     and every majority of the voters intersects the chain."""
     return min(count, max(tolerance + 1, count - majority(count) + 1))
--- a/cloverrouter/daemon/control_plane.py
+++ b/cloverrouter/daemon/control_plane.py
@@ -478,7 +478,7 @@
 
     def _lead_until(self) -> float | None:
         """Until when no other machine can become head."""
-        return self.role.replica.lead_until if self.role is not None else None
+        return self.role.replica.lease_until if self.role is not None else None
 
     def _configured(self, state: ConfigurationState) -> None:
         self._log.change("configuration", version=state.version)
--- a/cloverrouter/daemon/quota_service.py
+++ b/cloverrouter/daemon/quota_service.py
@@ -60,7 +60,7 @@
 
     def _lead_until(self) -> float | None:
         role = self._role()
-        return role.replica.lead_until if role is not None else None
+        return role.replica.lease_until if role is not None else None
 
     def _read_note(self) -> Mapping[str, int] | None:
         """With what the pools of this machine begin, as it is head."""
@@ -79,4 +79,4 @@
             if isinstance(effect, Send):
                 self._send(effect.ip, effect.message)
             elif role is not None:
-                role.keep_note(self._clock(), encode(effect.note))
+                role.store_note(self._clock(), encode(effect.note))
--- a/cloverrouter/daemon/replica_driver.py
+++ b/cloverrouter/daemon/replica_driver.py
@@ -12,7 +12,7 @@
     Answer,
     Committed,
     Effect,
-    NoteKept,
+    NoteStored,
     Persist,
     Restored,
     ViewChanged,
@@ -32,7 +32,7 @@
     on_committed: Callable[[Committed], None]
     on_restored: Callable[[Restored], None]
     on_view: Callable[[ViewChanged], None]
-    on_note: Callable[[NoteKept], None] = lambda _: None
+    on_note: Callable[[NoteStored], None] = lambda _: None
 
 
 class ReplicaDriver:
@@ -65,7 +65,7 @@
             listener.on_committed(effect)
         elif isinstance(effect, Restored):
             listener.on_restored(effect)
-        elif isinstance(effect, NoteKept):
+        elif isinstance(effect, NoteStored):
             listener.on_note(effect)
         else:
             listener.on_view(effect)
--- a/cloverrouter/daemon/replica_role.py
+++ b/cloverrouter/daemon/replica_role.py
@@ -36,7 +36,7 @@
 @attrs.frozen(slots=True)
 class RolePorts:
     """What the role needs of the process. `on_view` hears of the view as the replica knows it, `on_note` of
-    the notes of `keep_note` that are on the disk."""
+    the notes of `store_note` that are on the disk."""
 
     send: Callable[[str, object], None]
     on_view: Callable[[ViewSummary], None]
@@ -129,7 +129,7 @@
         silent while it reviews is replaced, and so is the next one that the order is sent to.
         """
         is_long = call.kind == Kind.ORDER.value and len(call.command) >= REVIEWED_APART_BYTES
-        if not is_long or self.replica.lead_until is None:
+        if not is_long or self.replica.lease_until is None:
             self._driver.carry_out(self._desk.called(now, ip, call))
         elif (ip, call.ticket) not in self._under_review:
             self._under_review[ip, call.ticket] = self._loop.create_task(self._review(ip, call))
@@ -156,9 +156,9 @@
         """Disks that peer sampling knows."""
         self._driver.carry_out(self.replica.discovered(now, members))
 
-    def keep_note(self, now: float, note: bytes) -> None:
-        """See `Replica.keep_note`."""
-        self._driver.carry_out(self.replica.keep_note(now, note))
+    def store_note(self, now: float, note: bytes) -> None:
+        """See `Replica.store_note`."""
+        self._driver.carry_out(self.replica.store_note(now, note))
 
     def resign(self, now: float) -> None:
         """The process is about to end."""
--- a/cloverrouter/explore/coordination/canon.py
+++ b/cloverrouter/explore/coordination/canon.py
@@ -18,11 +18,11 @@
 import attrs
 import xxhash
 
-from cloverrouter.coordination.desk import Asked
 from cloverrouter.coordination.disk import DiskQueue
 from cloverrouter.coordination.messages import Canvass, Support
+from cloverrouter.coordination.pending_calls import PendingRead
 from cloverrouter.coordination.replica import Replica
-from cloverrouter.coordination.rounds import Rounds
+from cloverrouter.coordination.rounds import HeartbeatRounds
 from cloverrouter.coordination.views import GENESIS_EPOCH, PROPOSER_BITS, decode_view
 from cloverrouter.explore.coordination.cores import FROZEN, TIMES_FROM_S, Cores
 from cloverrouter.explore.coordination.figures import LONG_AGO_S
@@ -43,8 +43,8 @@
     "_link_epoch",
 }
 EPOCH_FIRST = {"_promise_due", "_report_due", "_inactive_since"}  # pairs and triples that begin with one
-NEVER_IS_LONG_AGO = {"handed_at", "repaired_at"}  # 0 where it never was
-NOT_BEFORE = {"_not_before", "_retry_at"}  # once passed they mean nothing
+NEVER_IS_LONG_AGO = {"view_sent_at", "repaired_at"}  # 0 where it never was
+NOT_BEFORE = {"_no_election_before", "_retry_at"}  # once passed they mean nothing
 SKIPPED = {
     "_handlers",
     "_config",
@@ -53,13 +53,13 @@
     "_random",
     "_newest",
     "_cached",
-    "_told",
+    "_last_reported",
     "_token",
     "_context",
     "_roster",
-    "_desk",
+    "_pending",
 }
-PARTS = {"_context", "_roster", "_desk"}  # of a replica; its parts only refer to them
+PARTS = {"_context", "_roster", "_pending"}  # of a replica; its parts only refer to them
 
 Mark = tuple[str, Any, Any]
 
@@ -137,7 +137,7 @@
     def _dict(self, name: str, value: dict[Any, Any]) -> None:
         self.shape.append(len(value))
         for key in sorted(value):
-            self.value("epoch" if name == "_lineage" else name, key)
+            self.value("epoch" if name == "_prefix_seqs" else name, key)
             self.value(name, value[key])
 
     def _row(self, name: str, value: Any) -> None:
@@ -151,7 +151,7 @@
         if isinstance(value, Replica):
             self.me = value.me.identity
             self.head_epoch = value._head.view.epoch if value._head is not None else 0
-        if isinstance(value, Rounds):
+        if isinstance(value, HeartbeatRounds):
             self._rounds(value)
             return
         for name, field in _fields(value):
@@ -163,7 +163,7 @@
             self.value("view", decode_view(value) if value else None)
         elif name == "voters" and isinstance(owner, Ballot):
             self.value("voters", decode_view(value) if value else None)
-        elif name == "_begun" and isinstance(owner, DiskQueue) and owner._flying is None:
+        elif name == "_write_started_at" and isinstance(owner, DiskQueue) and owner._in_flight is None:
             self.shape.append(None)
         elif name == "round" and value is not None:
             self.mark("round", value, self._epoch_of_round(owner))
@@ -173,7 +173,7 @@
             self.value(name, value)
 
     def _epoch_of_round(self, owner: Any) -> int:
-        if isinstance(owner, Asked):
+        if isinstance(owner, PendingRead):
             return self.head_epoch
         epoch: int = getattr(owner, "round_epoch", 0) or getattr(owner, "epoch", 0)
         return epoch
@@ -183,18 +183,18 @@
             return owner.sender
         return owner.receiver if isinstance(owner, Support) else self.me
 
-    def _rounds(self, rounds: Rounds) -> None:
+    def _rounds(self, rounds: HeartbeatRounds) -> None:
         epoch = rounds._view.epoch
-        for number in (rounds.newest, rounds.confirmed, rounds._no_lead_round):
+        for number in (rounds.newest, rounds.confirmed, rounds._no_lease_round):
             self.mark("round", number, epoch)
-        for identity, number in sorted(rounds._answered.items()):
+        for identity, number in sorted(rounds._acked_round.items()):
             self.shape.append(identity)
             self.mark("round", number, epoch)
-        for number, begun in sorted(rounds._begun.items()):
+        for number, begun in sorted(rounds._started_at.items()):
             if number > rounds.confirmed:  # the others are never looked at again
                 self.mark("round", number, epoch)
                 self.value("at", begun)
-        for at in (rounds.followed_at, rounds._heard_at, rounds._lead_from):
+        for at in (rounds.confirmed_started_at, rounds._quorum_seen_at, rounds._lease_from):
             self.value("at", at)
 
 
--- a/cloverrouter/explore/coordination/cores.py
+++ b/cloverrouter/explore/coordination/cores.py
@@ -158,7 +158,7 @@
     """What is to be seen of a replica."""
     info = replica.view_info
     is_head = replica._head is not None and replica._head.active
-    until = replica.lead_until
+    until = replica.lease_until
     return Facts(
         lead_for_s=until - now if until is not None else None,
         leads=info.epoch if info is not None and is_head else 0,
--- a/cloverrouter/explore/coordination/faults.py
+++ b/cloverrouter/explore/coordination/faults.py
@@ -19,7 +19,7 @@
 from cloverrouter.coordination.head import Head
 from cloverrouter.coordination.history import History
 from cloverrouter.coordination.proposal import Phase, Proposal
-from cloverrouter.coordination.rounds import Rounds
+from cloverrouter.coordination.rounds import HeartbeatRounds
 from cloverrouter.coordination.views import Member, View
 from cloverrouter.explore.coordination import troubles
 from cloverrouter.explore.coordination.scope import ModelFault
@@ -65,7 +65,7 @@
     original = Head._install_for
 
     def whole(self: Head, identity: str) -> Any:
-        self._lineage.clear()
+        self._prefix_seqs.clear()
         return original(self, identity)
 
     with patch.object(Head, "_install_for", whole):
@@ -95,14 +95,14 @@
 @_fault("coordination-cut", "read")
 def read_without_contact() -> Iterator[None]:
     """A head answers reads without asking whether it still is one."""
-    original = Head.answer_asked
+    original = Head.answer_reads
 
     def trusting(self: Head) -> None:
-        for entry in self._desk.asked:
+        for entry in self._pending.reads:
             entry.round = 0
         original(self)
 
-    with patch.object(Head, "answer_asked", trusting):
+    with patch.object(Head, "answer_reads", trusting):
         yield
 
 
@@ -143,11 +143,11 @@
 @_fault("coordination-exchange", "lost", "told", "order", "back", "durable")
 def epoch_stored_before_the_state() -> Iterator[None]:
     """The epoch of a state that was handed over is written first, and the state in a record after it."""
-    original = DiskQueue.next
+    original = DiskQueue.next_record
 
     def split(self: DiskQueue, now: float, lazy_s: float) -> Any:
         snapshot = self._snapshot
-        if snapshot is None or self._flying is not None or self._failing_since is not None:
+        if snapshot is None or self._in_flight is not None or self._failing_since is not None:
             return original(self, now, lazy_s)
         if getattr(self, "_is_split", False):
             return original(self, now, lazy_s)
@@ -157,7 +157,7 @@
         self._snapshot, self._updates, self._dirty = snapshot, updates, True
         return following
 
-    with patch.object(DiskQueue, "next", split):
+    with patch.object(DiskQueue, "next_record", split):
         yield
 
 
@@ -168,7 +168,7 @@
     def one(count: int, tolerance: int) -> int:
         return 1
 
-    with patch.object(proposal, "least_chain", one), patch.object(roster, "least_chain", one):
+    with patch.object(proposal, "min_chain_length", one), patch.object(roster, "min_chain_length", one):
         yield
 
 
@@ -177,16 +177,16 @@
     """A member of the chain acknowledges updates that are not on its disk."""
 
     def hasty(self: Follower) -> int:
-        return min(self._upstream, self._context.history.newest)
+        return min(self._upstream_stored_seq, self._context.history.newest)
 
-    with patch.object(Follower, "_stored", hasty):
+    with patch.object(Follower, "_stored_seq", hasty):
         yield
 
 
 @_fault("coordination-cut", "durable", "lost", "order")
 def committed_without_the_tail() -> Iterator[None]:
     """The head confirms what is on its own disk."""
-    with patch.object(Head, "_stored_by_all", Head._own_stored):
+    with patch.object(Head, "_chain_stored_seq", Head._own_stored_seq):
         yield
 
 
@@ -194,10 +194,10 @@
 def sure_for_too_long() -> Iterator[None]:
     """A head is sure until it would give up, and not only as long as its voters hold to it."""
 
-    def long(self: Rounds) -> float | None:
-        return None if self._lead_from is None else self._lead_from + self._config.lost_quorum_s
+    def long(self: HeartbeatRounds) -> float | None:
+        return None if self._lease_from is None else self._lease_from + self._config.lost_quorum_s
 
-    with patch.object(Rounds, "lead_until", property(long)):
+    with patch.object(HeartbeatRounds, "lease_until", property(long)):
         yield
 
 
@@ -214,8 +214,8 @@
 
     with (
         patch.object(views, "is_majority", few),
-        patch.object(proposal, "least_chain", alone),
-        patch.object(roster, "least_chain", alone),
+        patch.object(proposal, "min_chain_length", alone),
+        patch.object(roster, "min_chain_length", alone),
     ):
         yield
 
@@ -223,14 +223,14 @@
 @_fault("coordination-votes", "order", "lost", "back", "read")
 def the_proposer_keeps_its_own_state() -> Iterator[None]:
     """A new head does not fetch the newest state of those that promised."""
-    original = Proposal._choose
+    original = Proposal._select_state
 
     def proud(self: Proposal, now: float) -> None:
         original(self, now)
         if self.phase is Phase.FETCHING:
             self.phase = Phase.READY
 
-    with patch.object(Proposal, "_choose", proud):
+    with patch.object(Proposal, "_select_state", proud):
         yield
 
 
--- a/cloverrouter/explore/coordination/figures.py
+++ b/cloverrouter/explore/coordination/figures.py
@@ -27,13 +27,13 @@
     jitter_s=0.0,
     start_delay_s=3 * STEP_S,
     retry_s=2 * STEP_S,
-    gather_s=STEP_S,
+    collect_s=STEP_S,
     lost_quorum_s=10 * STEP_S,
-    exchange_after_s=4 * STEP_S,
+    replace_after_s=4 * STEP_S,
     rejoin_s=STEP_S,
     disk_retry_s=2 * STEP_S,
-    settle_s=STEP_S,
-    wait_s=12 * STEP_S,
+    lazy_write_s=STEP_S,
+    queue_timeout_s=12 * STEP_S,
 )
 GENESIS = GenesisConfig(
     tolerance=TOLERANCE,
--- a/cloverrouter/explore/coordination/orders_model.py
+++ b/cloverrouter/explore/coordination/orders_model.py
@@ -1,6 +1,6 @@
 """Operators' orders from proxy to head and back: the real order machine, forwarder and the head's desks.
 
-Real: `ConfigurationMachine`, `Forwarder`, `HeadDesk`, and of the chain `History`, `Desk` and the work of
+Real: `ConfigurationMachine`, `Forwarder`, `HeadDesk`; of the chain `History`, `PendingCalls` and the work of
 `Head` on commands. Played: operators, who hear no answer and send again, to any proxy; the network, which
 holds messages back, loses them and changes their order; and the chain, as far as its own model shows that it
 does it: one replica leads, updates are committed in order by it alone, another takes over with all that was
@@ -35,10 +35,10 @@
 )
 from cloverrouter.control.orders import ConfigurationMachine, MachineSnapshot, Order, OrderReply, Status
 from cloverrouter.control.updates import ConfigurationPatched, ConfigurationReplaced, decoded, decoded_update
-from cloverrouter.coordination.desk import Desk
 from cloverrouter.coordination.effects import Answer, Effect, ReplicaConfig
 from cloverrouter.coordination.head import Head
 from cloverrouter.coordination.history import History
+from cloverrouter.coordination.pending_calls import PendingCalls
 from cloverrouter.coordination.replica import Replica
 from cloverrouter.coordination.views import Member, View
 from cloverrouter.daemon.head_desk import HeadDesk
@@ -94,7 +94,7 @@
     def append(self, seq: int, update: bytes) -> None:
         """The update is on the disk."""
 
-    def note(self, now: float, **facts: Any) -> None:
+    def set_meta_later(self, now: float, **facts: Any) -> None:
         """The facts are on the disk."""
 
 
@@ -120,15 +120,15 @@
 class _LoneHead(Head):
     """The head's work on commands, in a chain whose other members the world stands for."""
 
-    def __init__(self, context: _Context, desk: Desk) -> None:
+    def __init__(self, context: _Context, desk: PendingCalls) -> None:
         self.view = View(1, (context.me,), (context.me.identity,), ())
         self.active = True
         self._context = context  # type: ignore[assignment]
-        self._desk = desk
+        self._pending = desk
         self.rounds = _Rounds()  # type: ignore[assignment]
-        desk.new_rounds()
+        desk.reset_rounds()
 
-    def beat(self, now: float) -> int:
+    def start_round(self, now: float) -> int:
         self.rounds.newest += 1
         return self.rounds.newest
 
@@ -143,11 +143,11 @@
     def __init__(self, name: str) -> None:
         self._config = ReplicaConfig(tolerance=1)
         self.history = History(ConfigurationMachine())
-        self._desk = Desk()
+        self._pending = PendingCalls()
         me = Member(name, name, name, "")
         self._context = _Context(me, self.history, self._config, _Disk())  # type: ignore[assignment]
         self._head: _LoneHead | None = None
-        self._is_reviewing = False
+        self._is_changing_view = False
 
     @property
     def leads(self) -> bool:
@@ -156,8 +156,8 @@
 
     def take_over(self) -> list[Effect]:
         """It is the head from now on; what it holds is committed."""
-        self._desk = Desk()
-        self._head = _LoneHead(self._context, self._desk)  # type: ignore[arg-type]
+        self._pending = PendingCalls()
+        self._head = _LoneHead(self._context, self._pending)  # type: ignore[arg-type]
         return self.stored()
 
     def stored(self) -> list[Effect]:
@@ -175,20 +175,20 @@
     @property
     def waits_for_round(self) -> bool:
         """Whether a round would change anything."""
-        return self._head is not None and bool(self._desk.asked)
+        return self._head is not None and bool(self._pending.reads)
 
     def step_down(self) -> list[Effect]:
         """It learns that another leads."""
         self._head = None
-        self._context.effects += self._desk.give_up()
+        self._context.effects += self._pending.fail_all()
         return self._finish(0.0)
 
     def _finish(self, now: float) -> list[Effect]:
         head = self._head
         if head is not None:
-            head.work(now)
-            head.ask_rounds(now)
-            head.answer_asked()
+            head.decide_queued(now)
+            head.start_read_round(now)
+            head.answer_reads()
         effects, self._context.effects = self._context.effects, []
         return effects
 
@@ -630,7 +630,7 @@
             "disk",
             "effects",
             "view",
-            "_is_reviewing",
+            "_is_changing_view",
             "since",
         }
     ),
--- a/cloverrouter/explore/coordination/orders_scopes.py
+++ b/cloverrouter/explore/coordination/orders_scopes.py
@@ -111,18 +111,18 @@
     _decide_at_head(self, now, ticket, command)
 
 
-_answer_asked = Head.answer_asked
+_answer_asked = Head.answer_reads
 
 
 def _answer_unconfirmed(self: Head) -> None:
-    for entry in self._desk.asked:
+    for entry in self._pending.reads:
         entry.round = 0
     _answer_asked(self)
 
 
 def _done_when_stored_here(self: Head, now: float, ticket: int, command: bytes) -> None:
     _decide_at_head(self, now, ticket, command)
-    flying = self._desk.flying
+    flying = self._pending.uncommitted
     if flying and flying[-1].ticket == ticket:
         done = flying.pop()
         self._context.effects.append(Answer(ticket, Outcome.DONE, done.reply, done.seq))
@@ -166,7 +166,7 @@
     ),
     "reads-without-contact": ModelFault(
         "a head answers reads without having heard of a majority since",
-        ("stale", "lost", "refused"), SCOPE, _seeded(Head, "answer_asked", _answer_unconfirmed),
+        ("stale", "lost", "refused"), SCOPE, _seeded(Head, "answer_reads", _answer_unconfirmed),
     ),
     "confirmed-by-one-disk": ModelFault(
         "an order is confirmed once the head has it",
--- a/features/steps/catching_up_steps.py
+++ b/features/steps/catching_up_steps.py
@@ -166,7 +166,7 @@
     assert head is not away and head.replica is not None
     view = head.replica.view_info
     assert view is not None and away.member not in view.voters
-    assert away.replica is not None and away.replica.lead_until is None
+    assert away.replica is not None and away.replica.lease_until is None
 
 
 @when("its disk is put into a machine at another address, and the old machine gets an empty one")
@@ -280,5 +280,5 @@
 
 @then("nothing that was acknowledged is lost")
 def step_nothing_lost(context: Any) -> None:
-    names = set(context.chain.ledger.orders.values())
+    names = set(context.chain.invariants.orders.values())
     assert set(context.taken) <= names
--- a/features/steps/chain_steps.py
+++ b/features/steps/chain_steps.py
@@ -81,7 +81,7 @@
     if target is None:
         world.run(most_s)
         return None
-    least = world.ledger.acknowledged
+    least = world.invariants.acknowledged
     world.read(target, answers.append)
     world.run_while(lambda: not answers, most_s)
     done = [answer for answer in answers if answer.outcome is Outcome.DONE]
@@ -134,7 +134,7 @@
 
 @then("the order was done once")
 def step_once(context: Any) -> None:
-    names = list(context.chain.ledger.orders.values())
+    names = list(context.chain.invariants.orders.values())
     assert names.count(context.order.name) == 1
 
 
@@ -144,7 +144,7 @@
     for _ in range(20):
         answer = read(context)
         if answer is not None:
-            assert answer.seq >= world.ledger.acknowledged
+            assert answer.seq >= world.invariants.acknowledged
             return
     raise AssertionError("nothing is read")
 
@@ -260,7 +260,7 @@
 def step_no_old_read(context: Any) -> None:
     world = context.chain
     for answer in context.answers:
-        assert answer.outcome is not Outcome.DONE or answer.seq >= world.ledger.acknowledged
+        assert answer.outcome is not Outcome.DONE or answer.seq >= world.invariants.acknowledged
 
 
 @then("its own orders are not acknowledged on the old state")
@@ -271,7 +271,7 @@
 @when("two orders on the same version are sent, and the head loses power {ms:d} ms later")
 def step_two_orders(context: Any, ms: int) -> None:
     head = node_at(context, "head")
-    version = context.chain.ledger.acknowledged
+    version = context.chain.invariants.acknowledged
     context.two = [new_order(context, version), new_order(context, version)]
     for order in context.two:
         order.send_to(head)
--- a/features/steps/cut_off_steps.py
+++ b/features/steps/cut_off_steps.py
@@ -146,7 +146,7 @@
     for call in context.again:
         assert call.is_confirmed, call
         assert call.ended_at is not None and call.ended_at - call.sent_at <= seconds
-    names = list(world.ledger.orders.values())
+    names = list(world.invariants.orders.values())
     assert len(names) == len(set(names))
 
 
--- a/features/steps/repeated_loss_steps.py
+++ b/features/steps/repeated_loss_steps.py
@@ -8,7 +8,7 @@
 from behave import given, then, when
 
 from features.steps.chain_steps import Order, new_order, read, view_of
-from tests.system.replica_scenarios import COUNTS_AFTER_S
+from tests.system.replica_scenarios import TAKES_PART_AFTER_S
 from tests.system.replica_world import Client, Node, World
 
 BACK_AFTER_S = 1.0
@@ -26,9 +26,9 @@
 
 def copies(world: World) -> int:
     """On how many disks in place the newest acknowledged order is."""
-    newest = world.ledger.acknowledged
-    order = world.ledger.orders[newest]
-    return sum(world._holds(node.disk, newest, order) for node in in_place(world))
+    newest = world.invariants.acknowledged
+    order = world.invariants.orders[newest]
+    return sum(world._has_update(node.disk, newest, order) for node in in_place(world))
 
 
 def wipe(world: World, nodes: list[Node]) -> None:
@@ -66,7 +66,7 @@
 
 def planned(world: World, nodes: list[Node]) -> None:
     newcomers_for(world, nodes)
-    world.run(COUNTS_AFTER_S)
+    world.run(TAKES_PART_AFTER_S)
     tell_to_end(world, nodes)
 
 
@@ -105,7 +105,7 @@
         context.lost += [node.disk.stored.identity for node in nodes]
         world.at(world.now + 0.001, partial(note_gap, context, order, world.now))
         WAYS[how](world, nodes)
-        world.run(COUNTS_AFTER_S)
+        world.run(TAKES_PART_AFTER_S)
     client.stopped = True
     context.copies.append(copies(world))
     assert len(context.gaps) == losses, "an order was not confirmed before the next loss"
@@ -162,6 +162,6 @@
     while world.now < end:
         answer = read(context)
         if answer is not None:
-            assert answer.seq >= world.ledger.acknowledged
+            assert answer.seq >= world.invariants.acknowledged
             return
     raise AssertionError("nothing is read")
--- a/tests/system/control_world.py
+++ b/tests/system/control_world.py
@@ -35,7 +35,7 @@
 class PatientRegister(Register):
     """Knows every order of a scenario again."""
 
-    kept_digests = 1_000_000
+    max_remembered_orders = 1_000_000
 
 
 @attrs.define(eq=False)
@@ -106,7 +106,7 @@
     def _call(self, ip: str, kind: Kind, name: str, command: bytes) -> ControlCall:
         front = self.fronts[ip]
         front.tickets += 1
-        call = ControlCall(ip, kind, name, self.now, self.ledger.acknowledged)
+        call = ControlCall(ip, kind, name, self.now, self.invariants.acknowledged)
         front.calls[front.tickets] = call
         self._forward(front, front.forwarder.ask(self.now, front.tickets, kind, command))
         return call
--- a/tests/system/loss_table.py
+++ b/tests/system/loss_table.py
@@ -19,7 +19,7 @@
 import attrs
 from cyclopts import App
 
-from tests.system.replica_scenarios import COUNTS_AFTER_S, leader, order, run_to
+from tests.system.replica_scenarios import TAKES_PART_AFTER_S, leader, order, run_to
 from tests.system.replica_world import Node, World
 
 MAX_LOST = 3
@@ -120,7 +120,7 @@
     others = [node for node in world.nodes if node is not head]
     leaver = head if case.head_leaves else others[0]
     spare = world.add_node(place=world.nodes.index(leaver))
-    world.run(COUNTS_AFTER_S)
+    world.run(TAKES_PART_AFTER_S)
     epoch = max(node.disk.stored.meta.promised for node in world.nodes)
     replacement = _Replacement(world, head, leaver, spare, epoch)
     if case.step != STEPS[0]:
--- a/tests/system/order_world.py
+++ b/tests/system/order_world.py
@@ -38,7 +38,7 @@
 from cloverrouter.messages import encode
 from cloverrouter.messages.sending import Send
 from tests.system.configurations import document
-from tests.system.replica_world import Ledger, Node, Violation, World
+from tests.system.replica_world import Invariants, Node, Violation, World
 
 PROXY_TICK_S = 0.05
 NOTICE_S = 0.3
@@ -46,7 +46,7 @@
 CLIENT_ERRORS = range(400, 500)
 
 
-class OrderLedger(Ledger):
+class OrderLedger(Invariants):
     """The orders are known by their digests."""
 
     def order_of(self, update: bytes) -> str:
@@ -158,7 +158,7 @@
     def new_machine(self) -> StateMachine:
         return ConfigurationMachine()
 
-    def new_ledger(self) -> Ledger:
+    def new_invariants(self) -> Invariants:
         return OrderLedger()
 
     # -- messages --
--- a/tests/system/replica_chaos.py
+++ b/tests/system/replica_chaos.py
@@ -15,7 +15,7 @@
 
 from cloverrouter.coordination.messages import Heartbeat, Report
 from cloverrouter.messages.sending import Send
-from tests.system.replica_world import BurstClients, Client, Node, Reader, Violation, Weather, World
+from tests.system.replica_world import BurstClients, Client, NetworkConditions, Node, Reader, Violation, World
 
 SIZES = (
     *((1, 0), (2, 0), (2, 1), (3, 1), (3, 1), (3, 1), (3, 1)),
@@ -267,7 +267,7 @@
         self.world.say("all faults end")
         self.join()
         self.repair_disks()
-        self.world.weather = Weather()
+        self.world.network = NetworkConditions()
         self.message_fault_share = 0.0
         for node in self.world.nodes:
             if node.frozen_until > self.world.now:
@@ -306,15 +306,15 @@
         "jitter_s": random.choice([0.02, 0.1]),
         "start_delay_s": random.choice([0.0, 0.1]),
         "retry_s": random.choice([0.03, 0.1]),
-        "gather_s": random.choice([0.0, 0.03]),
+        "collect_s": random.choice([0.0, 0.03]),
         "lost_quorum_s": random.choice([0.3, 5.0]),
-        "exchange_after_s": random.choice([0.1, 0.4]),
+        "replace_after_s": random.choice([0.1, 0.4]),
         "rejoin_s": 0.05,
         "disk_retry_s": 0.05,
-        "settle_s": random.choice([0.01, 0.3, 100.0]),
+        "lazy_write_s": random.choice([0.01, 0.3, 100.0]),
         "compact_bytes": random.choice([100, 1000, 256 * 1024]),
     }
-    weather = Weather(
+    network = NetworkConditions(
         most_delay_s=random.choice([0.002, 0.002, 0.01, 0.05]),
         loss=random.choice([0.0, 0.0, 0.02, 0.1]),
         late=random.choice([0.0, 0.0, 0.02, 0.1]),
@@ -322,7 +322,7 @@
     )
     if seed % 3 == 0:  # every state counts as large: it is sent in chunks to members that are about to join
         config["catch_up_bytes"] = 0
-    world = World(seed, count, tolerance, weather, config=config, tick_s=0.01)
+    world = World(seed, count, tolerance, network, config=config, tick_s=0.01)
     world.trace = trace
     client_pause_s = random.choice([0.03, 0.3])
     clients = [
@@ -356,9 +356,9 @@
     random = Random(f"day {seed}")
     count, tolerance = random.choice(SIZES)
     loss = random.choice([0.0, 0.0, 0.01, 0.1])
-    weather = Weather(loss=loss, late=random.choice([0.0, 0.0, 0.02]))
+    network = NetworkConditions(loss=loss, late=random.choice([0.0, 0.0, 0.02]))
     genesis = random.random() < 0.15 and count >= 2 * tolerance + 1
-    world = World(seed, count, tolerance, weather, genesis, wire=seed % 16 == 0)
+    world = World(seed, count, tolerance, network, genesis, wire=seed % 16 == 0)
     world.trace = trace
     clients = [Client(world, f"client{number}") for number in range(random.choice([1, 2, 3]))]
     chaos = ChaosRun(world, random, clients, count, tolerance)
--- a/tests/system/replica_faults.py
+++ b/tests/system/replica_faults.py
@@ -17,17 +17,17 @@
 
 from cloverrouter.coordination import head, proposal, roster, rounds, views
 from cloverrouter.coordination.context import Context
-from cloverrouter.coordination.desk import Desk
 from cloverrouter.coordination.disk import DiskQueue, Durable
 from cloverrouter.coordination.effects import Answer, Outcome
 from cloverrouter.coordination.follower import Follower
 from cloverrouter.coordination.head import Head
 from cloverrouter.coordination.head_contact import HeadContact
 from cloverrouter.coordination.history import History
+from cloverrouter.coordination.pending_calls import PendingCalls
 from cloverrouter.coordination.proposal import Phase, Proposal
 from cloverrouter.coordination.replica import Replica
 from cloverrouter.coordination.roster import Roster
-from cloverrouter.coordination.rounds import Rounds
+from cloverrouter.coordination.rounds import HeartbeatRounds
 from cloverrouter.coordination.views import Member, View
 from tests.system.replica_chaos import play
 from tests.system.replica_scenarios import SCENARIOS, SituationNotReached
@@ -53,7 +53,7 @@
     original = Head._install_for
 
     def whole(self: Head, identity: str) -> Any:
-        self._lineage.clear()
+        self._prefix_seqs.clear()
         return original(self, identity)
 
     with patch.object(Head, "_install_for", whole):
@@ -78,7 +78,7 @@
 @fault
 @contextmanager
 def writes_count_before_they_are_done() -> Iterator[None]:
-    original = DiskQueue.next
+    original = DiskQueue.next_record
 
     def hasty(self: DiskQueue, now: float, lazy_s: float) -> Any:
         following = original(self, now, lazy_s)
@@ -86,7 +86,7 @@
             self.durable = Durable(self.meta, self.seq)
         return following
 
-    with patch.object(DiskQueue, "next", hasty):
+    with patch.object(DiskQueue, "next_record", hasty):
         yield
 
 
@@ -109,7 +109,7 @@
 @fault
 @contextmanager
 def the_head_commits_before_the_tail_has_stored() -> Iterator[None]:
-    with patch.object(Head, "_stored_by_all", Head._own_stored):
+    with patch.object(Head, "_chain_stored_seq", Head._own_stored_seq):
         yield
 
 
@@ -117,9 +117,9 @@
 @contextmanager
 def members_acknowledge_what_is_not_stored() -> Iterator[None]:
     def hasty(self: Follower) -> int:
-        return min(self._upstream, self._context.history.newest)
+        return min(self._upstream_stored_seq, self._context.history.newest)
 
-    with patch.object(Follower, "_stored", hasty):
+    with patch.object(Follower, "_stored_seq", hasty):
         yield
 
 
@@ -169,21 +169,21 @@
 @fault
 @contextmanager
 def the_proposer_keeps_its_own_state() -> Iterator[None]:
-    original = Proposal._choose
+    original = Proposal._select_state
 
     def proud(self: Proposal, now: float) -> None:
         original(self, now)
         if self.phase is Phase.FETCHING:
             self.phase = Phase.READY
 
-    with patch.object(Proposal, "_choose", proud):
+    with patch.object(Proposal, "_select_state", proud):
         yield
 
 
 @fault
 @contextmanager
 def the_newest_state_is_judged_by_its_number_alone() -> Iterator[None]:
-    original = Proposal._choose
+    original = Proposal._select_state
 
     def simple(self: Proposal, now: float) -> None:
         kept = dict(self.promises)
@@ -193,7 +193,7 @@
         for identity in self.promises:
             self.promises[identity] = kept[identity]
 
-    with patch.object(Proposal, "_choose", simple):
+    with patch.object(Proposal, "_select_state", simple):
         yield
 
 
@@ -203,21 +203,21 @@
     def one(count: int, tolerance: int) -> int:
         return 1
 
-    with patch.object(proposal, "least_chain", one), patch.object(roster, "least_chain", one):
+    with patch.object(proposal, "min_chain_length", one), patch.object(roster, "min_chain_length", one):
         yield
 
 
 @fault
 @contextmanager
 def reads_are_not_confirmed() -> Iterator[None]:
-    original = Head.answer_asked
+    original = Head.answer_reads
 
     def trusting(self: Head) -> None:
-        for entry in self._desk.asked:
+        for entry in self._pending.reads:
             entry.round = 0
         original(self)
 
-    with patch.object(Head, "answer_asked", trusting):
+    with patch.object(Head, "answer_reads", trusting):
         yield
 
 
@@ -241,7 +241,7 @@
     def careless(self: Head, identity: str) -> Any:
         promise = self._promises.get(identity)
         if promise is not None:
-            self._lineage[promise.synced] = self._base_seq
+            self._prefix_seqs[promise.synced] = self._base_seq
         return original(self, identity)
 
     with patch.object(Head, "_install_for", careless):
@@ -294,16 +294,16 @@
 @contextmanager
 def a_new_head_commits_before_its_view_is_in_force() -> Iterator[None]:
     def hopeful(self: Head) -> int:
-        return max(_stored_by_all(self), self._base_seq)
+        return max(_chain_stored_seq(self), self._base_seq)
 
     with (
         patch.object(Head, "_is_in_force", Head._is_own_state_stored),
-        patch.object(Head, "_stored_by_all", hopeful),
+        patch.object(Head, "_chain_stored_seq", hopeful),
     ):
         yield
 
 
-_stored_by_all = Head._stored_by_all
+_chain_stored_seq = Head._chain_stored_seq
 
 
 @fault
@@ -323,7 +323,7 @@
     def any_proposer(self: Follower, now: float, ip: str, message: Any) -> bool:
         meta = self._context.disk.meta
         if message.epoch == meta.promised:
-            self._context.disk.change(promised_to=message.sender)
+            self._context.disk.set_meta(promised_to=message.sender)
         return _on_propose(self, now, ip, message)
 
     with (
@@ -358,12 +358,12 @@
     original = Head._decide
 
     def hasty(self: Head, now: float, ticket: int, command: bytes) -> None:
-        count = len(self._desk.asked)
+        count = len(self._pending.reads)
         original(self, now, ticket, command)
-        for entry in self._desk.asked[count:]:
+        for entry in self._pending.reads[count:]:
             assert entry.reply is not None
             self._context.effects.append(Answer(entry.ticket, Outcome.DONE, entry.reply, entry.seq))
-        del self._desk.asked[count:]
+        del self._pending.reads[count:]
 
     with patch.object(Head, "_decide", hasty):
         yield
@@ -372,14 +372,14 @@
 @fault
 @contextmanager
 def waiting_orders_are_answered_at_a_view_change() -> Iterator[None]:
-    original = Desk.give_up
+    original = PendingCalls.fail_all
 
-    def hopeful(self: Desk) -> list[Answer]:
-        done = [Answer(entry.ticket, Outcome.DONE, entry.reply, entry.seq) for entry in self.flying]
-        self.flying.clear()
+    def hopeful(self: PendingCalls) -> list[Answer]:
+        done = [Answer(entry.ticket, Outcome.DONE, entry.reply, entry.seq) for entry in self.uncommitted]
+        self.uncommitted.clear()
         return done + original(self)
 
-    with patch.object(Desk, "give_up", hopeful):
+    with patch.object(PendingCalls, "fail_all", hopeful):
         yield
 
 
@@ -517,8 +517,8 @@
 @fault
 @contextmanager
 def a_head_that_leaves_stays_sure_of_itself() -> Iterator[None]:
-    original = Rounds.begin
-    with patch.object(Rounds, "begin", lambda self, now, is_fit: original(self, now, True)):
+    original = HeartbeatRounds.begin
+    with patch.object(HeartbeatRounds, "begin", lambda self, now, is_fit: original(self, now, True)):
         yield
 
 
@@ -545,7 +545,7 @@
 @fault
 @contextmanager
 def a_head_without_a_majority_stays_head() -> Iterator[None]:
-    with patch.object(Rounds, "has_lost_quorum", lambda *_: False):
+    with patch.object(HeartbeatRounds, "has_lost_quorum", lambda *_: False):
         yield
 
 
--- a/tests/system/replica_scenarios.py
+++ b/tests/system/replica_scenarios.py
@@ -20,12 +20,12 @@
     "failure_timeout_s": 0.3,
     "heartbeat_s": 0.05,
     "start_delay_s": 0.1,
-    "gather_s": 0.01,
+    "collect_s": 0.01,
 }
 
 
 # Time after which a machine that was added or has returned takes part.
-COUNTS_AFTER_S = 4.0
+TAKES_PART_AFTER_S = 4.0
 LEAVES_WITHIN_S = 4.0
 
 
@@ -263,7 +263,7 @@
 def a_voter_starts_again_that_has_promised_the_head_nothing(seed: int) -> None:
     """The voter's disk has stored no promise since the previous head, which asks for a promise right after
     the voter's restart."""
-    world = World(seed, 3, 1, config={"gather_s": 0.01, "retry_s": 0.05})
+    world = World(seed, 3, 1, config={"collect_s": 0.01, "retry_s": 0.05})
     world.run(2.0)
     before = leader(world)
     voter = next(node for node in world.nodes if node is not before)
@@ -306,7 +306,7 @@
     run_to(world, order(world, head, "first"), 2.0, "a command")
     for leaver in leavers:
         world.add_node(place=world.nodes.index(leaver), name=leaver.name if same_name else "")
-    world.run(COUNTS_AFTER_S)
+    world.run(TAKES_PART_AFTER_S)
     for leaver in leavers:
         # its acknowledgement of the view without it arrives a moment after the view
         leaver.disk.slowness = 20.0
@@ -321,7 +321,7 @@
         raise Violation(f"voters with running successors did not exit within {LEAVES_WITHIN_S} s")
     for leaver in leavers:
         world.remove(leaver)
-    world.run(COUNTS_AFTER_S)
+    world.run(TAKES_PART_AFTER_S)
     settle(world)
 
 
--- a/tests/system/replica_world.py
+++ b/tests/system/replica_world.py
@@ -2,7 +2,7 @@
 
 Faults: messages late, lost, duplicated or partitioned in one or both directions; disks that are slow, stall,
 fill up or lose what was not synced; processes killed, frozen and restarted; disks wiped; machines replaced.
-Invariants are checked at every step; see `Ledger`.
+Invariants are checked at every step; see `Invariants`.
 """
 
 from __future__ import annotations
@@ -44,7 +44,7 @@
 DISCOVERY_S = 0.4
 FILE_BYTES = 8 * 1024 * 1024
 STALL_POLL_S = 0.02  # interval at which a write checks whether its disk still stalls
-KEPT_DIGESTS = 64
+MAX_REMEMBERED_ORDERS = 64
 MIN_EXIT_S = 0.3  # a process that was told to exit runs at least this long,
 MAX_EXIT_S = 7.3  # and at most this long
 ZONES = ("east", "north", "west")
@@ -57,7 +57,7 @@
 class Register:
     """The state machine of the tests: a value, its version, and the versions of recent commands by id."""
 
-    kept_digests = KEPT_DIGESTS
+    max_remembered_orders = MAX_REMEMBERED_ORDERS
 
     def __init__(self) -> None:
         self.version = 0
@@ -81,7 +81,7 @@
         self.version = entry["version"]
         self.value = entry["value"]
         self.orders[entry["id"]] = self.version
-        if len(self.orders) > self.kept_digests:
+        if len(self.orders) > self.max_remembered_orders:
             del self.orders[next(iter(self.orders))]
 
     def snapshot(self) -> bytes:
@@ -96,7 +96,7 @@
 
 
 @attrs.define
-class Ledger:
+class Invariants:
     """Checks the invariants of the whole simulation.
 
     - An update's sequence number has one content, at all replicas, for ever.
@@ -265,7 +265,7 @@
 
 
 @attrs.frozen
-class Weather:
+class NetworkConditions:
     """Delays and fault rates of the network."""
 
     least_delay_s: float = 0.0008
@@ -283,7 +283,7 @@
         seed: int,
         count: int,
         tolerance: int,
-        weather: Weather = Weather(),
+        network: NetworkConditions = NetworkConditions(),
         genesis: bool = False,
         config: dict[str, Any] | None = None,
         replica_class: type[Replica] = Replica,
@@ -299,12 +299,12 @@
         self.random = Random(seed)
         self.now = 100.0
         self.tolerance = tolerance
-        self.weather = weather
+        self.network = network
         self.config = ReplicaConfig(tolerance=tolerance, **(config or {}))
         self.replica_class = replica_class
         self.wire = wire
         self.tick_s = tick_s
-        self.ledger = self.new_ledger()
+        self.invariants = self.new_invariants()
         self.nodes: list[Node] = []
         self.lost_disks: list[Disk] = []
         self.cuts: set[tuple[str, str]] = set()
@@ -408,9 +408,9 @@
 
     # -- processes --
 
-    def new_ledger(self) -> Ledger:
+    def new_invariants(self) -> Invariants:
         """Returns the invariant checks for this world's state machine."""
-        return Ledger()
+        return Invariants()
 
     def new_machine(self) -> StateMachine:
         """Returns the state machine for a new process."""
@@ -443,7 +443,7 @@
             return
         replica = node.replica
         self._when_awake(node, lambda: replica.tick(self.now))
-        if replica.lead_until is not None:
+        if replica.lease_until is not None:
             self.check_lead()
         wait = max(self.tick_s, node.frozen_until - self.now)
         self.at(self.now + wait, lambda: self._tick(node, life))
@@ -565,17 +565,17 @@
         self.messages += 1
         kind = type(effect.message).__name__
         self.messages_by_type[kind] = self.messages_by_type.get(kind, 0) + 1
-        weather = self.weather
-        if (from_ip, effect.ip) in self.cuts or self.random.random() < weather.loss:
+        network = self.network
+        if (from_ip, effect.ip) in self.cuts or self.random.random() < network.loss:
             return
-        delay = held_s + self.random.uniform(weather.least_delay_s, weather.most_delay_s)
-        if weather.late and self.random.random() < weather.late:
+        delay = held_s + self.random.uniform(network.least_delay_s, network.most_delay_s)
+        if network.late and self.random.random() < network.late:
             delay += self.random.expovariate(3.0)
         message = effect.message
         if self.wire:
             (message,) = Decoder().feed(encode(message))
         self.at(self.now + delay, lambda: self._deliver(from_ip, effect.ip, message))
-        if weather.twice and self.random.random() < weather.twice:
+        if network.twice and self.random.random() < network.twice:
             again = delay + self.random.expovariate(5.0)
             self.at(self.now + again, lambda: self._deliver(from_ip, effect.ip, message))
 
@@ -619,13 +619,13 @@
         if effect.seq != node.committed + 1:
             raise Violation(f"{node.name} commits {effect.seq} after {node.committed}")
         node.committed = effect.seq
-        self.ledger.committed(effect.seq, effect.update)
+        self.invariants.committed(effect.seq, effect.update)
 
     def _on_restored(self, node: Node, effect: Restored) -> None:
         if effect.seq <= node.committed:
             raise Violation(f"{node.name} goes back from {node.committed} to {effect.seq}")
         node.committed = effect.seq
-        self.ledger.state(effect.seq, effect.snapshot)
+        self.invariants.state(effect.seq, effect.snapshot)
 
     def _on_view(self, node: Node, effect: ViewChanged) -> None:
         view = effect.view
@@ -633,17 +633,17 @@
         force = "in force" if view.active else ""
         self.say(f"{node.name} view {view.epoch:x} [{chain}] of {len(view.voters)} {force}")
         if view.active and view.head == node.member:
-            self.ledger.view_in_force(view)
+            self.invariants.view_in_force(view)
             self.check_lead()
 
     def check_lead(self) -> None:
         """Checks that no two replicas hold a lease as head."""
         untils: dict[str, float] = {}
         for node in self.nodes:
-            until = node.replica.lead_until if node.replica is not None else None
+            until = node.replica.lease_until if node.replica is not None else None
             if until is not None:
                 untils[node.name] = until
-        self.ledger.lead(self.now, untils)
+        self.invariants.lead(self.now, untils)
 
     # -- clients --
 
@@ -674,27 +674,27 @@
 
     def check_acknowledged(self, seq: int, order: str) -> None:
         """Checks an acknowledgement to a client: its command was executed as update `seq`."""
-        if seq not in self.ledger.orders:
+        if seq not in self.invariants.orders:
             raise Violation(f"update {seq} is acknowledged but not committed")
-        self.ledger.order(seq, order)
+        self.invariants.order(seq, order)
         disks = [node.disk for node in self.nodes] + self.lost_disks
-        holders = sum(1 for disk in disks if self._holds(disk, seq, order))
+        holders = sum(1 for disk in disks if self._has_update(disk, seq, order))
         if holders < self.tolerance + 1:
             raise Violation(f"update {seq} is acknowledged but only on {holders} disks")
-        self.ledger.acknowledged = max(self.ledger.acknowledged, seq)
+        self.invariants.acknowledged = max(self.invariants.acknowledged, seq)
 
-    def _holds(self, disk: Disk, seq: int, order: str) -> bool:
+    def _has_update(self, disk: Disk, seq: int, order: str) -> bool:
         held = disk.held.get(seq)
-        if held is not None and self.ledger.order_of(held) == order:
+        if held is not None and self.invariants.order_of(held) == order:
             return True
         snapshot = disk.stored.snapshot
-        return snapshot is not None and self.ledger.orders_of(snapshot.data).get(order) == seq
+        return snapshot is not None and self.invariants.orders_of(snapshot.data).get(order) == seq
 
     def check_read(self, answer: Answer, least: int) -> None:
         """Checks a read by a client; `least` was acknowledged before the read started."""
         if answer.seq < least:
             raise Violation(f"a read returns state {answer.seq}, but {least} was acknowledged before")
-        self.ledger.state(answer.seq, answer.reply)
+        self.invariants.state(answer.seq, answer.reply)
 
     def head(self) -> Node | None:
         """Returns the head of the highest epoch in force."""
@@ -756,7 +756,7 @@
         self._try += 1
         number = self._try
         order = self._order
-        self._least = world.ledger.acknowledged
+        self._least = world.invariants.acknowledged
         node = self._choose()
         if node is not None:
             command = json.dumps(order).encode()
@@ -805,7 +805,7 @@
     def _note_late(self, answer: Answer) -> None:
         """Checks an answer to an earlier attempt, which must be as correct as one to the last."""
         version = json.loads(answer.reply)[1]
-        if version not in self.world.ledger.orders:
+        if version not in self.world.invariants.orders:
             raise Violation(f"update {version} is acknowledged but not committed")
 
     def _finish(self) -> None:
@@ -816,7 +816,7 @@
 
     def _read(self) -> None:
         world = self.world
-        least = world.ledger.acknowledged
+        least = world.invariants.acknowledged
         self._try += 1
         number = self._try
         node = self._choose()
@@ -886,7 +886,7 @@
         if self.stopped:
             return
         world = self.world
-        least = world.ledger.acknowledged
+        least = world.invariants.acknowledged
 
         def on_answer(answer: Answer) -> None:
             if answer.outcome is Outcome.DONE:
--- a/tests/system/test_genesis.py
+++ b/tests/system/test_genesis.py
@@ -18,7 +18,7 @@
 from cloverrouter.messages.sending import Send
 from cloverrouter.store.records import Ballot
 from tests.system.replica_chaos import check_healed
-from tests.system.replica_world import Node, Weather, World
+from tests.system.replica_world import NetworkConditions, Node, World
 
 DISKLESS = ("10.9.0.1", "10.9.0.2", "10.9.0.3")
 
@@ -107,9 +107,9 @@
 @pytest.mark.parametrize("seed", range(1, 31))
 def test_a_bad_start_never_gives_two_first_views(seed: int) -> None:
     random = Random(seed)
-    weather = Weather(most_delay_s=0.05, loss=random.choice([0.0, 0.1, 0.3]), late=0.1, twice=0.1)
+    network = NetworkConditions(most_delay_s=0.05, loss=random.choice([0.0, 0.1, 0.3]), late=0.1, twice=0.1)
     world = World(
-        seed, random.choice([3, 5, 6]), 1, weather, genesis=True, start_within_s=random.choice([0.3, 3.0])
+        seed, random.choice([3, 5, 6]), 1, network, genesis=True, start_within_s=random.choice([0.3, 3.0])
     )
     for _ in range(6):
         world.run(random.uniform(0.1, 0.8))
@@ -124,7 +124,7 @@
                 world.kill(node, power=random.random() < 0.5)
                 world.start(node, random.uniform(0.0, 0.5))
         assert len(voters_of_first_view(world)) <= 1
-    world.weather = Weather()
+    world.network = NetworkConditions()
     world.cuts.clear()
     assert world.run_while(lambda: not in_force(world), 15.0)
     assert len(voters_of_first_view(world)) <= 1
--- a/tests/system/test_leaving_exchange.py
+++ b/tests/system/test_leaving_exchange.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from tests.system.replica_scenarios import COUNTS_AFTER_S, LEAVES_WITHIN_S, leader, order, run_to, settle
+from tests.system.replica_scenarios import LEAVES_WITHIN_S, TAKES_PART_AFTER_S, leader, order, run_to, settle
 from tests.system.replica_world import Node, World
 
 STALLED_S = 30.0
@@ -39,7 +39,7 @@
     leaver = others[0]
     successor = spare(world, world.nodes.index(leaver), name=leaver.name)
     other = spare(world, world.nodes.index(others[1]))
-    world.run(COUNTS_AFTER_S)
+    world.run(TAKES_PART_AFTER_S)
     if stalls == "before":
         successor.disk.stalled_until = world.now + STALLED_S
         world.run(1.0)
@@ -58,7 +58,7 @@
     world, _, others = started()
     stalled, lost = others
     newcomer = spare(world, world.nodes.index(stalled))
-    world.run(COUNTS_AFTER_S)
+    world.run(TAKES_PART_AFTER_S)
     stalled.disk.stalled_until = world.now + STALLED_S
     order(world, leader(world), "writes")
     world.run(SOON_S + 0.7)
@@ -73,7 +73,7 @@
 def test_a_voter_that_is_taken_away_gives_way_within_a_second() -> None:
     world, _, others = started()
     newcomer = spare(world, world.nodes.index(others[0]))
-    world.run(COUNTS_AFTER_S)
+    world.run(TAKES_PART_AFTER_S)
     world.remove(others[0])
     run_to(world, lambda: newcomer.member.identity in voters_of(world), 1.0, "the newcomer's vote")
 
@@ -83,7 +83,7 @@
     """It plans no exchange itself. Whoever could promise it one can lead as well, and exchanges it."""
     world, head, others = started()
     newcomer = spare(world, world.nodes.index(head))
-    world.run(COUNTS_AFTER_S)
+    world.run(TAKES_PART_AFTER_S)
     world.leave(head)
     world.kill(others[lost], power=True)
     world.wipe(others[lost])
--- a/tests/system/test_long_orders.py
+++ b/tests/system/test_long_orders.py
@@ -150,7 +150,7 @@
     async def run() -> None:
         chain = chain_of_one(tmp_path)
         loop = asyncio.get_running_loop()
-        await chain.until(lambda: chain.role.replica.lead_until is not None)
+        await chain.until(lambda: chain.role.replica.lease_until is not None)
         long, short = command(0, 5), command(5, 7, 2)
         assert len(long) >= REVIEWED_APART_BYTES > len(short)
         for ticket in (1, 1, 2):
--- a/tests/system/test_mechanisms.py
+++ b/tests/system/test_mechanisms.py
@@ -133,14 +133,14 @@
 
 @mechanism(of_race("An order is sent again to one that was the head"))
 def refusals_wait_for_a_majority() -> Iterator[None]:
-    original = Head.answer_asked
+    original = Head.answer_reads
 
     def hasty(self: Head) -> None:
         self.rounds.confirmed, kept = self.rounds.newest, self.rounds.confirmed
         original(self)
         self.rounds.confirmed = kept
 
-    with patch.object(Head, "answer_asked", hasty):
+    with patch.object(Head, "answer_reads", hasty):
         yield
 
 
@@ -150,7 +150,7 @@
 
     def hasty(self: Head, now: float, ticket: int, command: bytes) -> None:
         original(self, now, ticket, command)
-        asked = self._desk.asked
+        asked = self._pending.reads
         if asked and asked[-1].outcome is Outcome.TOO_LARGE:
             asked.pop()
             self._context.effects.append(Answer(ticket, Outcome.TOO_LARGE))
@@ -161,13 +161,13 @@
 
 @mechanism(test_large_states.test_large_states_replace_each_other_for_ever)
 def updates_are_folded_before_an_order_is_refused_for_size() -> Iterator[None]:
-    original = DiskQueue.fold
+    original = DiskQueue.compact
 
     def only_when_due(self: DiskQueue) -> None:
         if self._update_bytes > max(self._compact_bytes, self._snapshot_bytes):
             original(self)
 
-    with patch.object(DiskQueue, "fold", only_when_due):
+    with patch.object(DiskQueue, "compact", only_when_due):
         yield
 
 
@@ -182,7 +182,7 @@
 
 @mechanism(of_catching_up(AWAY))
 def the_newest_state_is_fetched_by_who_will_lead() -> Iterator[None]:
-    original = Proposal._choose
+    original = Proposal._select_state
 
     def proud(self: Proposal, now: float) -> None:
         own = self.promises.get(self._context.me.identity)
@@ -191,19 +191,19 @@
                 self.promises[identity] = _evolve(promise, synced=own.synced, seq=own.seq)
         original(self, now)
 
-    with patch.object(Proposal, "_choose", proud):
+    with patch.object(Proposal, "_select_state", proud):
         yield
 
 
 @mechanism(test_large_states.test_a_state_that_is_asked_for_is_not_sent_again_and_again)
 def patience_with_a_long_state() -> Iterator[None]:
-    original = Proposal._ask_state
+    original = Proposal._request_state
 
     def impatient(self: Proposal) -> None:
         original(self)
         self._retry_s = self._context.config.retry_s
 
-    with patch.object(Proposal, "_ask_state", impatient):
+    with patch.object(Proposal, "_request_state", impatient):
         yield
 
 
@@ -377,7 +377,7 @@
 
 def test_disks_outgrow_their_room_without_folding(tmp_path: Path) -> None:
     with (
-        patch.object(DiskQueue, "_compact", lambda _: None),
+        patch.object(DiskQueue, "_compact_if_large", lambda _: None),
         patch.object(Head, "_has_room", lambda *_: True),
         pytest.raises(StoreFull),
     ):
--- a/tests/system/test_pages_disk.py
+++ b/tests/system/test_pages_disk.py
@@ -62,9 +62,9 @@
     head = leader(world)
     fill(*[head, *[node for node in world.nodes if node is not head]][:tolerance])
     operator = Client(world, "op")
-    acknowledged = world.ledger.acknowledged
+    acknowledged = world.invariants.acknowledged
     world.run(6)
-    assert world.ledger.acknowledged > acknowledged + 3
+    assert world.invariants.acknowledged > acknowledged + 3
     asked = reads(world, leader(world))
     run_to(world, lambda: any(answer.outcome is Outcome.DONE for answer in asked), 2, "a read")
     operator.stopped = True
--- a/tests/system/test_replica_answers.py
+++ b/tests/system/test_replica_answers.py
@@ -90,19 +90,19 @@
 
 def test_only_the_predecessor_tells_what_is_stored_before_it(chain: Chain) -> None:
     follower = replica_of(chain.middle)._follower
-    before = follower._upstream
+    before = follower._upstream_stored_seq
     chain.deliver(
         chain.middle,
         chain.tail,
         Stored(identity_of(chain.tail), identity_of(chain.middle), chain.view.epoch, FAR),
     )
-    assert follower._upstream == before
+    assert follower._upstream_stored_seq == before
     chain.deliver(
         chain.middle,
         chain.head,
         Stored(identity_of(chain.head), identity_of(chain.middle), chain.view.epoch, FAR),
     )
-    assert follower._upstream == FAR
+    assert follower._upstream_stored_seq == FAR
 
 
 def test_updates_of_another_epoch_are_not_taken(chain: Chain) -> None:
