--- a/cloverrouter/explore/coordination/orders_model.py
+++ b/cloverrouter/explore/coordination/orders_model.py
@@ -94,7 +94,7 @@
     def append(self, seq: int, update: bytes) -> None:
         """The update is on the disk."""
 
-    def note(self, now: float, **facts: Any) -> None:
+    def set_meta_later(self, now: float, **facts: Any) -> None:
         """The facts are on the disk."""
 
 
