--- a/cloverrouter/router/__init__.py
+++ b/cloverrouter/router/__init__.py
@@ -1,1 +1,2 @@
-"""The data plane of the router fleet: parse, route, authenticate, admit, place, forward, resume."""
+"""The data plane: matches requests to routes, authenticates and admits them, sends them to servers, and
+forwards and resumes the answers."""
--- a/cloverrouter/router/admitted.py
+++ b/cloverrouter/router/admitted.py
@@ -1,4 +1,4 @@
-"""What is known of a request before anything is sent."""
+"""The result of admitting a request, before anything is sent."""
 
 from __future__ import annotations
 
@@ -9,15 +9,15 @@
 
 
 @attrs.frozen(slots=True)
-class Admitted:
-    """What was found out about a request before anything was sent."""
+class AdmittedRequest:
+    """A request that was admitted: its route, tenant and service, and what was read from its headers."""
 
     route: Route
     service: str
     tenant: Tenant | None
     tokens: int
-    """What it counts for the tenant's quota."""
+    """Number of units charged against the tenant's quota: tokens, or 1 if its requests are counted."""
     prompt: Prompt = NO_PROMPT
     priority: int | None = None
     deadline: float = 0.0
-    """When nobody waits for its answer any more, on the steady clock."""
+    """Time on the monotonic clock after which the client no longer waits for the answer."""
--- a/cloverrouter/router/answers.py
+++ b/cloverrouter/router/answers.py
@@ -1,4 +1,5 @@
-"""The answers that a proxy gives itself. None of them carries a server's stamp."""
+"""Status codes and headers of the answers that the proxy generates itself. None of them carries a server's
+signature."""
 
 from __future__ import annotations
 
@@ -8,12 +9,12 @@
 BAD_REQUEST = 400
 UNAUTHORIZED = 401
 NOT_FOUND = 404
-TOO_MANY = 429
+TOO_MANY_REQUESTS = 429
 BAD_GATEWAY = 502
-UNAVAILABLE = 503
-TIMED_OUT = 504
+SERVICE_UNAVAILABLE = 503
+GATEWAY_TIMEOUT = 504
 
 
 def retry_after(seconds: float) -> Headers:
-    """Tells the client when to come back: seconds, with fractions."""
+    """Returns a `Retry-After` header that tells the client when to retry: seconds, with fractions."""
     return [(RETRY_AFTER, b"%.3f" % max(0.0, seconds))]
--- a/cloverrouter/router/bounds.py
+++ b/cloverrouter/router/bounds.py
@@ -1,4 +1,4 @@
-"""The figures that the data plane keeps to."""
+"""Limits of the data plane."""
 
 from __future__ import annotations
 
@@ -7,11 +7,11 @@
 
 @attrs.frozen(slots=True)
 class RouterBounds:
-    """Bounds of one router."""
+    """Limits of one router."""
 
     deadline_grace_ms: float = 30.0
-    """How long after the deadline the server's own answer is still waited for."""
+    """How long after the deadline the router still waits for the server's own answer."""
     extra_sends: int = 2
-    """Sends beyond a route's attempts, for attempts that surely never ran."""
-    whole_answer_bytes: int = 131_072
-    """Answers up to this size are passed on only when they are whole."""
+    """Sends allowed beyond the route's attempts, for attempts that certainly did not run."""
+    max_buffered_answer_bytes: int = 131_072
+    """Answers up to this size are buffered and forwarded only when complete."""
--- a/cloverrouter/router/flight.py
+++ b/cloverrouter/router/flight.py
@@ -1,8 +1,8 @@
-"""One request of a client, from its arrival to the end of its answer.
+"""One client request, from its arrival to the end of its answer.
 
-A flight sends its request to one server after the other, at most one at a time, while that is allowed: by
-what may have run, by the route's attempts, by the service's retry budget and by the time left. It ends
-exactly once.
+The request is sent to one server after the other, at most one at a time, as long as a retry is allowed by the
+idempotency of the route, its attempts, the retry budget of the service and the time left. It ends exactly
+once.
 """
 
 from __future__ import annotations
@@ -13,190 +13,209 @@
 from cloverrouter.placement.servers import ServerState
 from cloverrouter.placement.shutdown import shutdown_retry_after_s
 from cloverrouter.router import answers
-from cloverrouter.router.admitted import Admitted
+from cloverrouter.router.admitted import AdmittedRequest
 from cloverrouter.router.attempt import Attempt
-from cloverrouter.router.flight_host import FlightHost
+from cloverrouter.router.flight_host import RequestHost
 from cloverrouter.router.headers import ATTEMPT_ID, DEADLINE, EXPECTED_INSTANCE, LAST_EVENT_ID, encode_request
-from cloverrouter.router.patience import LEAST_LEFT_S, Patience
+from cloverrouter.router.patience import MIN_TIME_LEFT_S, HangDetector
 from cloverrouter.router.ports import Timer
-from cloverrouter.router.quota_turn import QuotaTurn
+from cloverrouter.router.quota_turn import QuotaCharge
 from cloverrouter.router.relay import StreamRelay
-from cloverrouter.router.tries import Tries
+from cloverrouter.router.tries import RetryState
 from cloverrouter.router.verdict import Answer, End
 
 
-class Flight:
-    """Owns its exchange: nobody else answers it."""
+class ActiveRequest:
+    """A client request that is being processed. It owns its exchange: nothing else answers it."""
 
-    __slots__ = ("_attempt", "_deadline_timer", "_head", "_over", "_patience", "_quota", "_record", "_relay",
-                 "_request_id", "_retry_timer", "_router", "_tail", "_tries", "admitted", "exchange",
-                 "whole_answer_bytes")  # fmt: skip
+    __slots__ = ("_attempt", "_deadline_timer", "_hang_detector", "_is_over", "_message_head",
+                 "_message_tail", "_quota", "_record", "_relay", "_request_id", "_retry_state",
+                 "_retry_timer", "_router", "admitted", "exchange",
+                 "max_buffered_answer_bytes")  # fmt: skip
 
-    def __init__(self, router: FlightHost, exchange: Exchange, admitted: Admitted) -> None:
+    def __init__(self, router: RequestHost, exchange: Exchange, admitted: AdmittedRequest) -> None:
         self.exchange = exchange
-        self.whole_answer_bytes = router.bounds.whole_answer_bytes
+        self.max_buffered_answer_bytes = router.bounds.max_buffered_answer_bytes
         self._router = router
         self.admitted = admitted
         self._attempt: Attempt | None = None
         self._relay: StreamRelay | None = None
-        self._tries = Tries(admitted.route, admitted.service, router.budget)
-        self._quota = QuotaTurn(router, admitted)
+        self._retry_state = RetryState(admitted.route, admitted.service, router.budget)
+        self._quota = QuotaCharge(router, admitted)
         self._request_id = exchange.request.header(ATTEMPT_ID) or b""
-        self._over = False
+        self._is_over = False
         self._retry_timer: Timer | None = None
-        self._patience: Patience | None = None
+        self._hang_detector: HangDetector | None = None
         tenant = admitted.tenant.name if admitted.tenant is not None else None
         self._record = router.recorder.begin(self._request_id, admitted.route.name, admitted.service, tenant)
-        self._head, self._tail = encode_request(exchange.request, tenant, admitted.priority)
+        self._message_head, self._message_tail = encode_request(exchange.request, tenant, admitted.priority)
         last_id = exchange.request.header(LAST_EVENT_ID)
         if last_id is not None and admitted.route.resumable:
             self._relay = StreamRelay(exchange, resumable=True, last_id=last_id)
         elif last_id is not None:
-            self._head += b"last-event-id: %b\r\n" % last_id
-        wait_s = admitted.deadline - router.clock() + router.bounds.deadline_grace_ms / 1000
-        self._deadline_timer = router.call_later(max(0.0, wait_s), self._deadline_passed)
-        exchange.on_gone = self._client_gone
-        exchange.on_pause = self._pause
-        exchange.on_resume = self._resume
+            self._message_head += b"last-event-id: %b\r\n" % last_id
+        deadline_wait_s = admitted.deadline - router.clock() + router.bounds.deadline_grace_ms / 1000
+        self._deadline_timer = router.call_later(max(0.0, deadline_wait_s), self._on_deadline)
+        exchange.on_gone = self._on_client_gone
+        exchange.on_pause = self._pause_attempt
+        exchange.on_resume = self._resume_attempt
 
     def now(self) -> float:
-        """The time."""
+        """Returns the time on the monotonic clock, in seconds."""
         return self._router.clock()
 
     @property
     def arrived_at(self) -> float:
-        """When the whole request had been read."""
+        """When the first byte of the request was read, on the monotonic clock."""
         return self.exchange.request.arrived_s
 
     def start(self) -> None:
-        """Make the first send, or answer."""
-        self._try()
+        """Sends the request for the first time, or answers it."""
+        self._try_send()
 
     # Sending
 
-    def _left_ms(self) -> float:
+    def _time_left_ms(self) -> float:
         return (self.admitted.deadline - self._router.clock()) * 1000
 
-    def _try(self) -> None:
-        """Send the request to a server, if there is one and it may be sent."""
+    def _try_send(self) -> None:
+        """Sends the request if a server is available and the quota, the budget and the time left allow it."""
         self._retry_timer = None
-        if self._tries.sends and self.exchange.gone():
-            self._client_gone()
+        if self._retry_state.sends and self.exchange.gone():
+            self._on_client_gone()
             return
-        if not has_time(self._left_ms()) or not self._may_begin():
+        if not has_time(self._time_left_ms()) or not self._may_send():
             self._finish_failed()
             return
-        standing = self._pick()
-        if standing is None:
+        server_state = self._pick_server()
+        if server_state is None:
             self._finish_failed()
-        elif not self._quota.ask():
+        elif not self._quota.try_charge():
             self._wait_for_quota()
-        elif not self._tries.pay():
+        elif not self._retry_state.charge_budget():
             self._finish_failed()
         else:
-            self._send(standing)
+            self._send(server_state)
 
-    def _may_begin(self) -> bool:
-        """A stream that the client has a part of goes on in any case: the next proxy could do no more."""
-        return (self._relay is not None and self._relay.begun) or self._router.may_begin(self.admitted)
+    def _may_send(self) -> bool:
+        """Returns whether the request may be sent to a server. A stream that the client has a part of is
+        always continued: another proxy could do no more for it."""
+        return (self._relay is not None and self._relay.head_sent) or self._router.may_begin(self.admitted)
 
-    def _pick(self) -> ServerState | None:
+    def _pick_server(self) -> ServerState | None:
         placement = self._router.placement(self.admitted.service)
         return placement.pick(
-            self.admitted.prompt, self._tries.servers, self._router.clock(), no_retry=self._tries.fragile
+            self.admitted.prompt,
+            self._retry_state.tried_servers,
+            self._router.clock(),
+            no_retry=self._retry_state.no_rerun,
         )
 
     def _wait_for_quota(self) -> None:
-        """Wait for more of the tenant's quota, or refuse the request."""
+        """Waits until the tenant's quota may suffice, or rejects the request."""
         tenant = self.admitted.tenant
         if self._quota.worth_waiting and tenant is not None:
-            self._retry_timer = self._router.call_later(self._quota.wait_s, self._try)
-            self._router.waits_for_quota(self, tenant.name)
+            self._retry_timer = self._router.call_later(self._quota.wait_s, self._try_send)
+            self._router.register_quota_waiter(self, tenant.name)
         else:
-            self._respond(answers.TOO_MANY, answers.retry_after(self._quota.retry_after_s))
+            self._respond(answers.TOO_MANY_REQUESTS, answers.retry_after(self._quota.retry_after_s))
 
     def quota_woken(self) -> None:
-        """News of the tenant's quota came.
+        """Retries now that the tenant's quota was updated.
 
-        Danger: a request whose turn came by its timer was counted and sent meanwhile; it would run twice."""
-        if self._over or self._quota.charged:
+        A request that was charged already was sent when its timer fired; sending it here too would execute it
+        twice.
+        """
+        if self._is_over or self._quota.charged:
             return
         if self._retry_timer is not None:
             self._retry_timer.cancel()
-        self._try()
+        self._try_send()
 
-    def _send(self, standing: ServerState) -> None:
+    def _send(self, server_state: ServerState) -> None:
         router, admitted = self._router, self.admitted
         placement = router.placement(admitted.service)
-        missing = placement.missing_tokens(standing, admitted.prompt)
-        attempt = Attempt(self, standing, router.next_key(), missing)
+        missing = placement.missing_tokens(server_state, admitted.prompt)
+        attempt = Attempt(self, server_state, router.next_attempt_number(), missing)
         self._attempt = attempt
-        self._tries.sent(standing.server.id)
-        standing.record_sent(attempt.key, router.clock())
-        self._record.sent(standing.server.id)
-        placement.record_sent(standing, admitted.prompt)
-        if self._tries.may_run_once_more and router.options.patience:
-            self._patience = Patience(attempt, placement, router.clock, router.call_later, self._give_up)
+        self._retry_state.record_sent(server_state.server.id)
+        server_state.record_sent(attempt.number, router.clock())
+        self._record.sent(server_state.server.id)
+        placement.record_sent(server_state, admitted.prompt)
+        if self._retry_state.may_run_again and router.options.patience:
+            self._hang_detector = HangDetector(
+                attempt, placement, router.clock, router.call_later, self._abandon_hung_server
+            )
         attempt.call = router.send(
-            attempt, self._message(standing), self._request_id, lambda: self._renewed(attempt)
+            attempt,
+            self._encode_message(server_state),
+            self._request_id,
+            lambda: self._refresh_message(attempt),
         )
 
-    def _give_up(self, attempt: Attempt) -> bool:
-        """Leave a server that seems to hang for another one. False if there is none, if it can't be paid, or
-        if it is rather the client that doesn't read."""
-        if self.exchange.paused or self._over or attempt is not self._attempt:
+    def _abandon_hung_server(self, attempt: Attempt) -> bool:
+        """Gives up on a server that seems to hang, in favour of another one. Returns False if there is no
+        other server, if the retry budget does not cover it, or if the client is the one that does not
+        read."""
+        if self.exchange.paused or self._is_over or attempt is not self._attempt:
             return False
-        if self._left_ms() < LEAST_LEFT_S * 1000:
+        if self._time_left_ms() < MIN_TIME_LEFT_S * 1000:
             return False
         relay = self._relay
-        if relay is not None and relay.begun and not relay.can_continue:
+        if relay is not None and relay.head_sent and not relay.can_continue:
             return False
-        if not self._may_go_on() or self._pick() is None or not self._tries.prepay():
-            return False  # danger: silence alone must not end an answer
-        attempt.give_up()
-        self.attempt_over(attempt, End.LOST, None)
+        if (
+            not self._may_retry()
+            or self._pick_server() is None
+            or not self._retry_state.charge_budget_ahead()
+        ):
+            return False  # silence alone is no reason to end an answer
+        attempt.cancel()
+        self.on_attempt_failed(attempt, End.LOST, None)
         return True
 
-    def _message(self, standing: ServerState) -> bytes:
+    def _encode_message(self, server_state: ServerState) -> bytes:
         fields = b"%b: %b\r\n%b: %d\r\n" % (
             EXPECTED_INSTANCE,
-            standing.server.id.encode("latin-1", "replace"),
+            server_state.server.id.encode("latin-1", "replace"),
             DEADLINE,
-            max(1, int(self._left_ms())),
+            max(1, int(self._time_left_ms())),
         )
         if self._relay is not None and self._relay.last_id is not None:
             fields += b"%b: %b\r\n" % (LAST_EVENT_ID, self._relay.last_id)
-        return self._head + fields + self._tail
+        return self._message_head + fields + self._message_tail
 
-    def _renewed(self, attempt: Attempt) -> bytes | None:
-        """The request as it is to go out on a connection that has just come up: with less time left."""
-        if attempt.over or not attempt.standing.ready:
+    def _refresh_message(self, attempt: Attempt) -> bytes | None:
+        """Returns the message for a connection that was just established, with the remaining time updated;
+        None if it must not be sent any more."""
+        if attempt.is_over or not attempt.server_state.ready:
             return None
-        if not has_time(self._left_ms()) or self.exchange.gone():
+        if not has_time(self._time_left_ms()) or self.exchange.gone():
             return None
-        return self._message(attempt.standing)
+        return self._encode_message(attempt.server_state)
 
-    # What the attempt tells
+    # Callbacks of the attempt
 
-    def answer_whole(self, attempt: Attempt, answer: Answer) -> None:
-        """Pass on the server's success; inside a stream that has begun it is no continuation."""
-        if self._relay is not None and self._relay.begun:
-            self.attempt_over(attempt, End.SPOILT, None)
+    def on_answer(self, attempt: Attempt, answer: Answer) -> None:
+        """Forwards the server's successful answer. If a stream has begun, the answer cannot continue it."""
+        if self._relay is not None and self._relay.head_sent:
+            self.on_attempt_failed(attempt, End.SPOILT, None)
             return
-        self._router.succeeded(attempt, self.admitted)
+        self._router.on_success(attempt, self.admitted)
         self._record.attempt_ended("answered")
-        self._router.answered(self)
-        self._pass_on(answer)
+        self._router.on_answered(self)
+        self._forward_answer(answer)
 
-    def stream_began(
+    def on_stream_start(
         self, attempt: Attempt, status: int, headers: Headers, length: int | None, events: bool
     ) -> None:
-        """Pass on the server's success as it comes; what continues a stream must be events again."""
+        """Forwards the server's successful answer as it arrives. Only an event stream can continue a
+        stream."""
         relay = self._relay
-        if relay is not None and relay.begun:
+        if relay is not None and relay.head_sent:
             if not events or status != relay.status:
-                attempt.give_up()
-                self.attempt_over(attempt, End.SPOILT, None)
+                attempt.cancel()
+                self.on_attempt_failed(attempt, End.SPOILT, None)
                 return
         else:
             resumable = events and self.admitted.route.may_repeat and self.admitted.route.resumable
@@ -206,93 +225,96 @@
         if self.exchange.paused and attempt.call is not None:
             attempt.call.pause()
 
-    def stream_data(self, attempt: Attempt, data: bytes) -> None:
-        """Pass on a part."""
+    def on_stream_data(self, attempt: Attempt, data: bytes) -> None:
+        """Forwards a part of the body."""
         relay = self._relay
         assert relay is not None
-        first = not relay.flowing
+        first = not relay.has_forwarded
         relay.feed(data)
-        if first and relay.flowing:
-            self._router.began(attempt, self.admitted)
+        if first and relay.has_forwarded:
+            self._router.on_first_data(attempt, self.admitted)
             self._record.flowing()
 
-    def stream_ended(self, attempt: Attempt) -> None:
-        """The answer is whole."""
+    def on_stream_end(self, attempt: Attempt) -> None:
+        """Ends the answer, which is complete."""
         relay = self._relay
         assert relay is not None
-        self._router.succeeded(attempt, self.admitted)
+        self._router.on_success(attempt, self.admitted)
         self._record.attempt_ended("streamed")
-        self._router.answered(self)
+        self._router.on_answered(self)
         self._close()
         relay.end()
         self._record.ended(relay.status)
 
-    def stream_broke(self, attempt: Attempt, end: End) -> None:
-        """Continue the stream elsewhere, or end the answer so that it can't be taken for whole."""
-        self.attempt_over(attempt, end, None)
+    def on_stream_failure(self, attempt: Attempt, end: End) -> None:
+        """Continues the stream at another server, or ends the answer so that it cannot look complete."""
+        self.on_attempt_failed(attempt, end, None)
 
-    def attempt_over(self, attempt: Attempt, end: End, answer: Answer | None) -> None:
-        """Try again, or give the answer that is left to give."""
+    def on_attempt_failed(self, attempt: Attempt, end: End, answer: Answer | None) -> None:
+        """Retries the request, or gives the client the final answer."""
         self._attempt = None
-        self._stop_patience()
-        self._router.failed(attempt, end, self.admitted)
+        self._stop_hang_detection()
+        self._router.on_failure(attempt, end, self.admitted)
         self._record.attempt_ended(end.value)
-        self._tries.ended(end, answer)
-        if self._may_go_on():
-            self._try_again(end)
+        self._retry_state.record_end(end, answer)
+        if self._may_retry():
+            self._retry(end)
         else:
             self._finish_failed()
 
-    def _may_go_on(self) -> bool:
-        if self._relay is not None and self._relay.begun and not self._relay.can_continue:
+    def _may_retry(self) -> bool:
+        if self._relay is not None and self._relay.head_sent and not self._relay.can_continue:
             return False
-        if not self._may_begin():
+        if not self._may_send():
             return False
-        return self._tries.may_go_on(self._router.bounds.extra_sends)
-
-    def _try_again(self, end: End) -> None:
-        """At once if the request surely didn't run, or a client waits in the middle of a stream; else after a
-        jittered wait within the time left."""
-        flowing = self._relay is not None and self._relay.begun
-        if not end.may_have_run or (flowing and self._tries.runs == 1):
-            self._try()
+        return self._retry_state.may_retry(self._router.bounds.extra_sends)
+
+    def _retry(self, end: End) -> None:
+        """Sends the request again: at once if it certainly did not run, or if it is the first retry and
+        the client waits in the middle of a stream; otherwise after a jittered backoff within the time
+        left."""
+        in_stream = self._relay is not None and self._relay.head_sent
+        if not end.may_have_run or (in_stream and self._retry_state.runs == 1):
+            self._try_send()
             return
-        wait_ms = self._tries.next_wait_ms(self._left_ms(), self._router.random)
-        if wait_ms <= 0:
+        backoff_ms = self._retry_state.next_backoff_ms(self._time_left_ms(), self._router.random)
+        if backoff_ms <= 0:
             self._finish_failed()
             return
-        self._retry_timer = self._router.call_later(wait_ms / 1000, self._try)
+        self._retry_timer = self._router.call_later(backoff_ms / 1000, self._try_send)
 
-    # Ends
+    # Completion
 
     def _finish_failed(self) -> None:
-        """Give the answer that nothing better can replace."""
-        if self._relay is not None and self._relay.begun:
+        """Ends a request that no server has answered successfully."""
+        if self._relay is not None and self._relay.head_sent:
             self._close()
             self._record.ended(None, "cut short")
             self.exchange.abort()
-        elif self._tries.failure is not None:
-            self._pass_on(self._tries.failure)
-        elif self._tries.may_have_run:
-            self._respond(answers.BAD_GATEWAY if has_time(self._left_ms()) else answers.TIMED_OUT, [])
+        elif self._retry_state.failure is not None:
+            self._forward_answer(self._retry_state.failure)
+        elif self._retry_state.may_have_run:
+            self._respond(
+                answers.BAD_GATEWAY if has_time(self._time_left_ms()) else answers.GATEWAY_TIMEOUT, []
+            )
         else:
-            self._refuse()
+            self._reject()
 
-    def _refuse(self) -> None:
-        """Tell the client that the request has not run, and when to come back."""
+    def _reject(self) -> None:
+        """Tells the client that the request was not executed, and when to retry."""
         self._quota.refund()
         draw = self._router.random.random()
         if self._router.draining:
             wait = shutdown_retry_after_s(draw)
-        elif self._tries.arrivals:
+        elif self._retry_state.arrivals:
             usual_ms = self._router.placement(self.admitted.service).first_token.mean_ttft_ms
-            wait = retry_after_s(usual_ms, self._left_ms(), draw)
+            wait = retry_after_s(usual_ms, self._time_left_ms(), draw)
         else:
-            wait = no_servers_retry_after_s(self._left_ms(), draw)
-        self._respond(answers.UNAVAILABLE, answers.retry_after(wait))
+            wait = no_servers_retry_after_s(self._time_left_ms(), draw)
+        self._respond(answers.SERVICE_UNAVAILABLE, answers.retry_after(wait))
 
-    def _pass_on(self, answer: Answer) -> None:
-        """A server's whole answer, unchanged."""
+    def _forward_answer(self, answer: Answer) -> None:
+        """Forwards a complete answer of a server unchanged."""
         self._close()
         self._record.ended(answer.status)
         if self.exchange.request.method == b"HEAD":
@@ -306,51 +328,52 @@
         self._record.ended(status, "own answer")
         self.exchange.respond(status, headers, b"", self._router.draining)
 
-    def _deadline_passed(self) -> None:
-        """Nobody waits any longer: the server may stop, and the client gets what is true."""
+    def _on_deadline(self) -> None:
+        """Ends the request at its deadline: the client no longer waits, so the server can stop."""
         if self._attempt is not None and self._attempt.sent_at is not None:
-            self._router.timed_out(self._attempt)
-        self.cut_off()
+            self._router.on_timeout(self._attempt)
+        self.end_now()
 
-    def cut_off(self) -> None:
-        """No more can be done: the answer that is true of it, or the end of one that has begun."""
+    def end_now(self) -> None:
+        """Ends the request now, with an answer that tells whether it may have run, or by aborting an
+        answer that has begun."""
         if self._attempt is not None:
-            self._tries.may_have_run = self._tries.may_have_run or self._attempt.may_have_run
+            self._retry_state.may_have_run = self._retry_state.may_have_run or self._attempt.may_have_run
         self._finish_failed()
 
-    def _client_gone(self) -> None:
+    def _on_client_gone(self) -> None:
         attempt = self._attempt
-        never_ran = not self._tries.may_have_run and (attempt is None or not attempt.may_have_run)
+        never_ran = not self._retry_state.may_have_run and (attempt is None or not attempt.may_have_run)
         self._close()
         self._record.ended(None, "client left")
         if never_ran:
             self._quota.refund()
 
-    def _pause(self) -> None:
+    def _pause_attempt(self) -> None:
         if self._attempt is not None and self._attempt.call is not None:
             self._attempt.call.pause()
 
-    def _resume(self) -> None:
+    def _resume_attempt(self) -> None:
         if self._attempt is not None and self._attempt.call is not None:
             self._attempt.call.resume()
 
     def _close(self) -> None:
-        """Nothing more is to happen: no timer, no server at work."""
-        if self._over:
+        """Cancels all timers and the attempt in progress."""
+        if self._is_over:
             return
-        self._over = True
+        self._is_over = True
         self._deadline_timer.cancel()
         if self._retry_timer is not None:
             self._retry_timer.cancel()
-        self._stop_patience()
+        self._stop_hang_detection()
         attempt, self._attempt = self._attempt, None
-        if attempt is not None and not attempt.over:
-            attempt.give_up()
+        if attempt is not None and not attempt.is_over:
+            attempt.cancel()
             self._record.attempt_ended("given up")
         self.exchange.on_gone = self.exchange.on_pause = self.exchange.on_resume = None
-        self._router.landed(self)
+        self._router.on_finished(self)
 
-    def _stop_patience(self) -> None:
-        if self._patience is not None:
-            self._patience.stop()
-            self._patience = None  # danger: the two hold each other, and would wait for the cycle collector
+    def _stop_hang_detection(self) -> None:
+        if self._hang_detector is not None:
+            self._hang_detector.stop()
+            self._hang_detector = None  # breaks a reference cycle, so that no cycle collection is needed
--- a/cloverrouter/router/flight_host.py
+++ b/cloverrouter/router/flight_host.py
@@ -1,4 +1,4 @@
-"""What a flight needs of the data plane that it belongs to."""
+"""The interface of the data plane that requests use."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from cloverrouter.http.client import Call
 from cloverrouter.placement.options import PlacementOptions
 from cloverrouter.placement.pick import ServicePlacement
-from cloverrouter.router.admitted import Admitted
+from cloverrouter.router.admitted import AdmittedRequest
 from cloverrouter.router.attempt import Attempt
 from cloverrouter.router.bounds import RouterBounds
 from cloverrouter.router.ports import Budget, CallLater, Clock, Recorder
@@ -17,27 +17,27 @@
 from cloverrouter.router.verdict import End
 
 
-class HostedFlight(Protocol):
-    """A flight, as its host sees it."""
+class HostedRequest(Protocol):
+    """A request that is being processed, as its host sees it."""
 
-    admitted: Admitted
+    admitted: AdmittedRequest
 
     @property
     def arrived_at(self) -> float:
-        """When the whole request had been read."""
+        """When the first byte of the request was read, on the monotonic clock."""
         ...
 
-    def cut_off(self) -> None:
-        """No more can be done: end it."""
+    def end_now(self) -> None:
+        """Ends the request now."""
         ...
 
     def quota_woken(self) -> None:
-        """News of the tenant's quota came."""
+        """Retries now that the tenant's quota was updated."""
         ...
 
 
-class FlightHost(TenantQuotas, Protocol):
-    """Servers, timers, budgets and records for the flights of one proxy."""
+class RequestHost(TenantQuotas, Protocol):
+    """Provides servers, timers, budgets and records for the requests of one proxy."""
 
     @property
     def clock(self) -> Clock: ...
@@ -62,51 +62,52 @@
 
     @property
     def draining(self) -> bool:
-        """The process is to end: answers end their connections."""
+        """Whether the process is shutting down: answers then close their connections."""
         ...
 
     def placement(self, service: str) -> ServicePlacement:
-        """The servers of a service."""
+        """Returns the placement of a service, which picks its servers."""
         ...
 
-    def may_begin(self, admitted: Admitted) -> bool:
-        """Whether the request may be sent to a server now: it is to end before the process does."""
+    def may_begin(self, admitted: AdmittedRequest) -> bool:
+        """Returns whether the request may be sent to a server now: it must end before the process does."""
         ...
 
-    def next_key(self) -> int:
-        """A number for an attempt."""
+    def next_attempt_number(self) -> int:
+        """Returns the number for a new attempt."""
         ...
 
     def send(
         self, attempt: Attempt, message: bytes, request_id: bytes, renewed: Callable[[], bytes | None]
     ) -> Call:
-        """Start a send."""
+        """Starts a send; `renewed` returns the message for a connection that was established later, or
+        None if the send is no longer wanted."""
         ...
 
-    def waits_for_quota(self, flight: HostedFlight, tenant: str) -> None:
-        """The flight is to hear of news about its tenant's quota."""
+    def register_quota_waiter(self, active_request: HostedRequest, tenant: str) -> None:
+        """Registers the request for updates of its tenant's quota."""
         ...
 
-    def began(self, attempt: Attempt, admitted: Admitted) -> None:
-        """The first part of an answer's body came."""
+    def on_first_data(self, attempt: Attempt, admitted: AdmittedRequest) -> None:
+        """Records the first data of an answer's body."""
         ...
 
-    def succeeded(self, attempt: Attempt, admitted: Admitted) -> None:
-        """The server's own answer is whole."""
+    def on_success(self, attempt: Attempt, admitted: AdmittedRequest) -> None:
+        """Records a complete successful answer of the server."""
         ...
 
-    def answered(self, flight: HostedFlight) -> None:
-        """A server's whole answer went to the client."""
+    def on_answered(self, active_request: HostedRequest) -> None:
+        """Records that a server's complete answer was forwarded to the client."""
         ...
 
-    def failed(self, attempt: Attempt, end: End, admitted: Admitted) -> None:
-        """An attempt ended without an answer of worth."""
+    def on_failure(self, attempt: Attempt, end: End, admitted: AdmittedRequest) -> None:
+        """Records an attempt that ended without a successful answer."""
         ...
 
-    def timed_out(self, attempt: Attempt) -> None:
-        """A server did not answer in time."""
+    def on_timeout(self, attempt: Attempt) -> None:
+        """Records that a server did not answer before the deadline."""
         ...
 
-    def landed(self, flight: HostedFlight) -> None:
-        """A flight is over."""
+    def on_finished(self, active_request: HostedRequest) -> None:
+        """Removes a request that has ended."""
         ...
--- a/cloverrouter/router/headers.py
+++ b/cloverrouter/router/headers.py
@@ -1,4 +1,4 @@
-"""The fields of a request on its way to a server, and what a proxy reads of them."""
+"""The headers of a request: reading those that concern the proxy, and encoding the request for a server."""
 
 from __future__ import annotations
 
@@ -28,9 +28,10 @@
 EVENT_STREAM = b"text/event-stream"
 BEARER = b"bearer "
 MAX_DEADLINE_MS = 86_400_000.0
-# Told anew by the router, or about this connection, or a secret, or the router's own word to servers. Danger:
-# a version that no server has would make each of them answer as if another instance had its address.
-_OWN = frozenset(
+# Not forwarded: the router sets them itself, they concern only this connection, they are secret, or only the
+# system may send them to servers. A client's `Expect-Version` that no server has would make each server
+# answer as if another instance had its address.
+_NOT_FORWARDED = frozenset(
     (
         AUTHORIZATION,
         TENANT,
@@ -43,14 +44,14 @@
         b"expect",
     )
 )
-_DROPPED = HOP_BY_HOP | _OWN | {b"http2-settings"}
-# Danger: a `Connection` that names them takes nothing from what the client asks for.
+_DROPPED = HOP_BY_HOP | _NOT_FORWARDED | {b"http2-settings"}
+# Forwarded even if the client's `Connection` header names them, which would otherwise drop them.
 _ALWAYS_KEPT = frozenset((b"host", ATTEMPT_ID, MODEL, TOKEN_USAGE, PROMPT_PREFIX))
 _METHODS_WITH_BODY = frozenset((b"POST", b"PUT", b"PATCH"))
 
 
 def bearer_key(request: Request) -> bytes | None:
-    """The key that the request carries, if it carries one."""
+    """Returns the API key in the `Authorization` header; None if there is none."""
     value = request.header(AUTHORIZATION)
     if value is None or value[: len(BEARER)].lower() != BEARER:
         return None
@@ -58,12 +59,13 @@
 
 
 def has_one_id(request: Request) -> bool:
-    """Whether the request names itself, once."""
+    """Returns whether the request carries exactly one attempt id, and it is not empty."""
     return request.count(ATTEMPT_ID) == 1 and bool(request.header(ATTEMPT_ID))
 
 
 def deadline_ms(request: Request) -> float | None:
-    """How long the client will wait; None where it doesn't say so in a way that can be read."""
+    """Returns how long the client will wait, in milliseconds; None if it is not stated or cannot be
+    parsed."""
     value = request.header(DEADLINE)
     if value is None:
         return None
@@ -77,7 +79,8 @@
 
 
 def token_usage(request: Request) -> tuple[int, int] | None:
-    """Tokens of the prompt, and the most out, that the request tells; None where that cannot be read."""
+    """Returns the prompt tokens and the maximum of output tokens that the client states; None if they are
+    not stated or cannot be parsed."""
     value = request.header(TOKEN_USAGE)
     if value is None:
         return None
@@ -91,26 +94,27 @@
 
 
 def text(request: Request, name: bytes) -> str | None:
-    """A field as text."""
+    """Returns the value of a header as text; None if it is missing."""
     value = request.header(name)
     return None if value is None else value.decode("latin-1")
 
 
 def is_event_stream(headers: Headers) -> bool:
-    """Whether an answer is a series of events."""
+    """Returns whether an answer is an event stream."""
     return any(
         name == CONTENT_TYPE and value[: len(EVENT_STREAM)].lower() == EVENT_STREAM for name, value in headers
     )
 
 
 def is_unframed(headers: Headers, length: int | None) -> bool:
-    """Whether nothing but the end of its connection tells that an answer is whole."""
+    """Returns whether only the end of the connection marks the end of an answer."""
     return length is None and first(headers, b"transfer-encoding") is None
 
 
 def encode_request(request: Request, tenant: str | None, priority: int | None) -> tuple[bytes, bytes]:
-    """What all sends of a request have in common: the head up to where the fields of one send follow, and the
-    rest. All is unchanged but the fields of one connection, secrets and what the router tells itself."""
+    """Returns the parts that all sends of a request share: the head, up to the point where the headers of
+    one send follow, and the rest. Headers are unchanged except for hop-by-hop headers, secrets and those
+    that the router sets."""
     dropped = _dropped(request.headers)
     fields = [field for field in request.headers if field[0] not in dropped]
     if tenant is not None:
--- a/cloverrouter/router/patience.py
+++ b/cloverrouter/router/patience.py
@@ -1,7 +1,8 @@
-"""How long a request that may be sent again waits for a server that seems not to work on it.
+"""Detects servers that hang on a request which may be sent again.
 
-A server can hang on some requests while it answers others. Only where the route allows another run, and only
-while few servers let requests wait: when many do, the cause is load, and giving up would add to it.
+A server can hang on some requests while it answers others. The detection is used only if the route allows
+another run, and acts only while requests are overdue at few servers: if they are overdue at many, the cause
+is load, and retries would add to it.
 """
 
 from __future__ import annotations
@@ -15,19 +16,19 @@
 if TYPE_CHECKING:
     from cloverrouter.placement.pick import ServicePlacement
 
-START_S = 1.0
-"""Patience with an answer that has not begun."""
-STALL_S = 2.0
-"""Patience between two parts of a stream."""
-LEAST_LEFT_S = 1.5
-"""Another server needs some time as well."""
-LOOK_AGAIN_S = 0.5
+FIRST_BYTE_TIMEOUT_S = 1.0
+"""Time allowed until the answer begins, in seconds."""
+STALL_TIMEOUT_S = 2.0
+"""Time allowed between two parts of a stream, in seconds."""
+MIN_TIME_LEFT_S = 1.5
+"""An attempt is given up only if this much time is left, since the next server needs some as well."""
+RECHECK_INTERVAL_S = 0.5
 
 
-class Patience:
-    """Watches one attempt until it is over, and calls `give_up` once if it waits in vain."""
+class HangDetector:
+    """Watches one attempt until it is over, and calls `abandon` when its server seems to hang."""
 
-    __slots__ = ("_attempt", "_call_later", "_clock", "_give_up", "_placement", "_timer")
+    __slots__ = ("_abandon", "_attempt", "_call_later", "_clock", "_placement", "_timer")
 
     def __init__(
         self,
@@ -35,34 +36,34 @@
         placement: ServicePlacement,
         clock: Clock,
         call_later: CallLater,
-        give_up: Callable[[Attempt], bool],
+        abandon: Callable[[Attempt], bool],
     ) -> None:
         self._attempt = attempt
         self._placement = placement
         self._clock = clock
         self._call_later = call_later
-        self._give_up = give_up
-        self._timer: Timer = call_later(START_S, self._look)
+        self._abandon = abandon
+        self._timer: Timer = call_later(FIRST_BYTE_TIMEOUT_S, self._check)
 
     def stop(self) -> None:
-        """The attempt is over."""
+        """Stops watching: the attempt is over."""
         self._timer.cancel()
 
-    def _look(self) -> None:
+    def _check(self) -> None:
         attempt = self._attempt
-        if attempt.over:
+        if attempt.is_over:
             return
-        left_s = self._left_s()
-        if left_s > 0:
-            self._timer = self._call_later(left_s, self._look)
-        elif not (self._placement.has_few_overdue(self._clock()) and self._give_up(attempt)):
-            self._timer = self._call_later(LOOK_AGAIN_S, self._look)
+        time_left_s = self._time_left_s()
+        if time_left_s > 0:
+            self._timer = self._call_later(time_left_s, self._check)
+        elif not (self._placement.has_few_overdue(self._clock()) and self._abandon(attempt)):
+            self._timer = self._call_later(RECHECK_INTERVAL_S, self._check)
 
-    def _left_s(self) -> float:
-        """How long it is still worth waiting for the next sign of the server."""
+    def _time_left_s(self) -> float:
+        """Returns how many seconds to wait for the next data of the server; 0 or less if it is overdue."""
         attempt = self._attempt
         if attempt.sent_at is None:
-            return LOOK_AGAIN_S
-        if attempt.heard_at is None:
-            return attempt.sent_at + START_S - self._clock()
-        return attempt.heard_at + STALL_S - self._clock()
+            return RECHECK_INTERVAL_S
+        if attempt.last_received_at is None:
+            return attempt.sent_at + FIRST_BYTE_TIMEOUT_S - self._clock()
+        return attempt.last_received_at + STALL_TIMEOUT_S - self._clock()
--- a/cloverrouter/router/ports.py
+++ b/cloverrouter/router/ports.py
@@ -1,4 +1,4 @@
-"""What the data plane is handed from outside."""
+"""The interfaces that the data plane needs from outside."""
 
 from __future__ import annotations
 
@@ -8,25 +8,25 @@
 from cloverrouter.http.client import Address, Call, Listener
 
 Clock = Callable[[], float]
-"""Seconds on the process's steady clock."""
+"""Returns the time on the process's monotonic clock, in seconds."""
 Log = Callable[..., None]
-"""An event's name, and its fields by keyword."""
+"""Called with the name of an event, and its fields as keywords."""
 
 
 class Timer(Protocol):
-    """Something that will be called, unless it is cancelled before."""
+    """A scheduled call."""
 
     def cancel(self) -> None:
-        """Don't call it."""
+        """Cancels the call."""
         ...
 
 
 CallLater = Callable[[float, Callable[[], None]], Timer]
-"""Call something after so many seconds."""
+"""Schedules a call after a delay in seconds."""
 
 
 class Pool(Protocol):
-    """Connections to servers."""
+    """The connections to servers."""
 
     def send(
         self,
@@ -37,77 +37,80 @@
         id_header: bytes = b"",
         renewed: Callable[[], bytes | None] | None = None,
     ) -> Call:
-        """Start a call."""
+        """Starts a call."""
         ...
 
     def keep_only(self, addresses: set[Address]) -> None:
-        """Where requests may still go."""
+        """Sets the addresses that requests may still be sent to."""
         ...
 
 
 class Quota(Protocol):
-    """The tenants' quotas, of which this proxy holds a share."""
+    """The quotas of the tenants, of which this proxy holds a share."""
 
     def admit(self, tenant: str, tokens: int, now: float, *, again: bool = False) -> float:
-        """0.0: the request may run, and its tokens are taken. Otherwise seconds after which to ask again: a
-        short while if more has been asked for, longer for a refusal. `again` if it was asked before."""
+        """Returns 0.0 if the request may run, with its tokens charged. Otherwise returns the seconds after
+        which to ask again: short if more quota was requested, longer if the request is rejected. `again`:
+        this request has asked before."""
         ...
 
     def refund(self, tenant: str, tokens: int) -> None:
-        """Give back the tokens of a request that surely never ran and never will."""
+        """Returns the tokens of a request that certainly never ran and never will."""
         ...
 
 
 class Budget(Protocol):
-    """What the proxy may send to a service beyond the first arrival of each request."""
+    """The retry budget: what the proxy may send to a service beyond the first arrival of each request."""
 
     def earn(self, service: str) -> None:
-        """A request was answered."""
+        """Credits the budget for an answered request."""
         ...
 
     def spend(self, service: str) -> bool:
-        """Pay for one more arrival of a request; False, and nothing spent, if that is not covered."""
+        """Charges one more arrival of a request; returns False, and charges nothing, if the budget is
+        exhausted."""
         ...
 
 
 def no_log(event: str, **fields: object) -> None:
-    """Log nothing."""
+    """Discards a log event."""
 
 
 class RequestRecord(Protocol):
-    """Hears what becomes of one request."""
+    """Records the progress of one request."""
 
     def sent(self, instance: str) -> None:
-        """An attempt begins at this server."""
+        """Records that an attempt at this server begins."""
         ...
 
     def flowing(self) -> None:
-        """The first part of a streamed answer goes to the client."""
+        """Records that the first part of a streamed answer goes to the client."""
         ...
 
     def attempt_ended(self, how: str) -> None:
-        """The attempt under way is over."""
+        """Records the end of the current attempt, and how it ended."""
         ...
 
     def ended(self, status: int | None, how: str = "") -> None:
-        """The request is over: the status of its answer, None if the client got no whole answer."""
+        """Records the end of the request; `status` is that of its answer, None if the client got no
+        complete answer."""
         ...
 
 
 class Recorder(Protocol):
-    """Keeps what becomes of requests."""
+    """Records the progress of all requests."""
 
     def begin(self, request_id: bytes, route: str, service: str, tenant: str | None) -> RequestRecord:
-        """A request has been taken."""
+        """Returns the record for a request that was admitted."""
         ...
 
     def turned_away(self, request_id: bytes, status: int) -> None:
-        """A request was answered before it had a route and a tenant."""
+        """Records a request that was rejected before it had a route and a tenant."""
         ...
 
 
 class NoRecord:
-    """Keeps nothing, as record and as recorder."""
+    """A record and recorder that discards everything."""
 
     def begin(self, request_id: bytes, route: str, service: str, tenant: str | None) -> RequestRecord:
         return self
--- a/cloverrouter/router/quota_turn.py
+++ b/cloverrouter/router/quota_turn.py
@@ -1,62 +1,62 @@
-"""A request's turn at its tenant's quota: it is counted once, after a short wait at most."""
+"""Charges a request against its tenant's quota: once, and after a short wait at most."""
 
 from __future__ import annotations
 
 from typing import Protocol
 
-from cloverrouter.router.admitted import Admitted
+from cloverrouter.router.admitted import AdmittedRequest
 
-QUOTA_PATIENCE_S = 0.03
-"""A request waits so long for more of its tenant's quota; what would take longer is refused."""
-QUOTA_ASKS = 3
-QUOTA_REFUSAL_S = 0.1
+MAX_QUOTA_WAIT_S = 0.03
+"""Longest wait for more quota, in seconds; a request that would wait longer is rejected."""
+MAX_QUOTA_WAITS = 3
+MIN_QUOTA_RETRY_AFTER_S = 0.1
 
 
 class TenantQuotas(Protocol):
-    """Where requests are counted for their tenants."""
+    """Charges requests against the quotas of their tenants."""
 
-    def quota_wait(self, admitted: Admitted, again: bool) -> float:
-        """Count a request: 0.0, or seconds after which to ask again."""
+    def charge_quota(self, admitted: AdmittedRequest, again: bool) -> float:
+        """Charges a request: returns 0.0, or the seconds after which to ask again."""
         ...
 
-    def refund(self, admitted: Admitted) -> None:
-        """A request that was counted never ran."""
+    def refund(self, admitted: AdmittedRequest) -> None:
+        """Refunds a request that was charged but never ran."""
         ...
 
 
-class QuotaTurn:
-    """Counts one request for its tenant, at most once."""
+class QuotaCharge:
+    """Charges one request against its tenant's quota, at most once."""
 
-    __slots__ = ("_admitted", "_asks", "_quotas", "charged", "wait_s")
+    __slots__ = ("_admitted", "_charge_attempts", "_quotas", "charged", "wait_s")
 
-    def __init__(self, quotas: TenantQuotas, admitted: Admitted) -> None:
+    def __init__(self, quotas: TenantQuotas, admitted: AdmittedRequest) -> None:
         self._quotas = quotas
         self._admitted = admitted
-        self._asks = 0
+        self._charge_attempts = 0
         self.charged = False
-        """It has been counted."""
+        """Whether the request has been charged."""
         self.wait_s = 0.0
-        """After an `ask` that was answered no: seconds until there may be more."""
+        """After a failed `try_charge`: seconds until the quota may suffice."""
 
-    def ask(self) -> bool:
-        """Count it, unless that is done. If False, it is to wait or to be refused."""
+    def try_charge(self) -> bool:
+        """Charges the request unless that was done before. Returns False if it has to wait or be rejected."""
         if not self.charged:
-            self.wait_s = self._quotas.quota_wait(self._admitted, again=self._asks > 0)
-            self._asks += 1
+            self.wait_s = self._quotas.charge_quota(self._admitted, again=self._charge_attempts > 0)
+            self._charge_attempts += 1
             self.charged = self.wait_s <= 0
         return self.charged
 
     @property
     def worth_waiting(self) -> bool:
         """Whether the wait is short enough to be waited out here."""
-        return self.wait_s <= QUOTA_PATIENCE_S and self._asks <= QUOTA_ASKS
+        return self.wait_s <= MAX_QUOTA_WAIT_S and self._charge_attempts <= MAX_QUOTA_WAITS
 
     @property
     def retry_after_s(self) -> float:
-        """When a client that is refused should come back."""
-        return max(self.wait_s, QUOTA_REFUSAL_S)
+        """Seconds after which a rejected client should retry."""
+        return max(self.wait_s, MIN_QUOTA_RETRY_AFTER_S)
 
     def refund(self) -> None:
-        """It surely never ran and never will."""
+        """Refunds a request that certainly never ran and never will."""
         if self.charged:
             self._quotas.refund(self._admitted)
--- a/cloverrouter/router/ranks.py
+++ b/cloverrouter/router/ranks.py
@@ -1,30 +1,31 @@
-"""The rank that a request has at a server: its tenant's priority first, then its route's."""
+"""The rank of a request in the queue of a server: by its tenant's priority first, then by its route's."""
 
 from __future__ import annotations
 
 from cloverrouter.control.configuration import Configuration, Route, Tenant
 
-LOWEST = 9
+LOWEST_RANK = 9
 
 
 class Ranks:
-    """The pairs of priorities of one configuration, put in order and spread over 0 (first) to 9."""
+    """The pairs of tenant and route priority in one configuration, in order, mapped to ranks from 0
+    (first) to 9."""
 
     def __init__(self, configuration: Configuration) -> None:
         priorities = {route.priority for route in configuration.routes}
         pairs = {(priority, priority) for priority in priorities}
         for tenant in configuration.tenants:
             pairs |= {_pair(tenant, priority) for priority in priorities}
-        self._order = {pair: place for place, pair in enumerate(sorted(pairs))}
+        self._ranks = {pair: rank for rank, pair in enumerate(sorted(pairs))}
 
     def of(self, tenant: Tenant | None, route: Route) -> int | None:
-        """What goes into ``Priority``; None if there is but one rank."""
-        if len(self._order) < 2:
+        """Returns the value of the `Priority` header; None if all requests have the same rank."""
+        if len(self._ranks) < 2:
             return None
-        place = self._order.get(_pair(tenant, route.priority), 0)
-        if len(self._order) <= LOWEST + 1:
-            return place
-        return place * LOWEST // (len(self._order) - 1)
+        rank = self._ranks.get(_pair(tenant, route.priority), 0)
+        if len(self._ranks) <= LOWEST_RANK + 1:
+            return rank
+        return rank * LOWEST_RANK // (len(self._ranks) - 1)
 
 
 def _pair(tenant: Tenant | None, priority: int) -> tuple[int, int]:
--- a/cloverrouter/router/relay.py
+++ b/cloverrouter/router/relay.py
@@ -1,7 +1,7 @@
-"""An answer that is passed on as it comes, and what is known of how far it got.
+"""Forwards an answer to the client as it arrives, and tracks how far it got.
 
-The head goes to the client with the first part of the body, so that until then another server can still
-answer. Of a stream that can be continued only whole events are passed on.
+The head is sent together with the first part of the body, so that another server can still answer until then.
+Of a stream that can be resumed, only complete events are forwarded.
 """
 
 from __future__ import annotations
@@ -12,48 +12,57 @@
 
 
 class StreamRelay:
-    """`last_id` is the id of the last event that the client has: its own word at first."""
+    """Forwards one answer. `last_id` is the id of the last event that the client has; initially the one
+    that it states itself."""
 
-    __slots__ = ("_exchange", "_head", "_splitter", "_stale", "begun", "flowing", "status")
+    __slots__ = (
+        "_exchange",
+        "_head",
+        "_skipping_repeats",
+        "_splitter",
+        "has_forwarded",
+        "head_sent",
+        "status",
+    )
 
     def __init__(self, exchange: Exchange, resumable: bool, last_id: bytes | None = None) -> None:
         self._exchange = exchange
         self._splitter = EventSplitter(last_id) if resumable else None
         self._head: tuple[int, Headers, int | None] | None = None
-        self._stale = False
-        self.begun = False
-        """The client has the head."""
-        self.flowing = False
-        """The server that answers now has sent something to pass on."""
+        self._skipping_repeats = False
+        self.head_sent = False
+        """Whether the head was sent to the client."""
+        self.has_forwarded = False
+        """Whether the current server has sent something that was forwarded."""
         self.status = 0
 
     @property
     def last_id(self) -> bytes | None:
-        """Where a next server is to continue."""
+        """Id of the event after which the next server is to resume."""
         return self._splitter.last_id if self._splitter is not None else None
 
     @property
     def can_continue(self) -> bool:
-        """Whether another server may go on with what the client has."""
+        """Whether another server can continue after what the client has."""
         return self._splitter is not None and self._splitter.resumable
 
     def opened(self, status: int, headers: Headers, length: int | None) -> None:
-        """A server begins to answer, or to continue the answer."""
-        self.flowing = False
+        """Handles the head of an answer from a server that begins or continues the stream."""
+        self.has_forwarded = False
         if self._splitter is not None:
             self._splitter = EventSplitter(self._splitter.last_id)
-            self._stale = self._splitter.last_id is not None
-        if not self.begun:
+            self._skipping_repeats = self._splitter.last_id is not None
+        if not self.head_sent:
             self._head = (status, headers, length)
 
     def feed(self, data: bytes) -> None:
-        """A part of the body came."""
+        """Handles the next part of the body."""
         if self._splitter is None:
             self._write(data)
             return
         events = self._splitter.feed(data)
-        if self._stale:
-            events = self._without_stale(events)
+        if self._skipping_repeats:
+            events = self._without_repeats(events)
         if not events:
             return
         for event in events:
@@ -61,29 +70,29 @@
         self._write(events[0] if len(events) == 1 else b"".join(events))
 
     def end(self) -> None:
-        """The body is whole."""
+        """Ends the answer, which is complete."""
         if self._splitter is not None and self._splitter.rest:
             self._write(self._splitter.rest)
-        self._begin()
+        self._send_head()
         self._exchange.end()
 
-    def _without_stale(self, events: list[bytes]) -> list[bytes]:
-        """Drop what the client has already."""
+    def _without_repeats(self, events: list[bytes]) -> list[bytes]:
+        """Returns the events without those that the client already has."""
         assert self._splitter is not None
-        for place, event in enumerate(events):
+        for index, event in enumerate(events):
             if is_after(event, self._splitter.last_id):
-                self._stale = False
-                return events[place:]
+                self._skipping_repeats = False
+                return events[index:]
         return []
 
     def _write(self, data: bytes) -> None:
-        self.flowing = True
-        self._begin()
+        self.has_forwarded = True
+        self._send_head()
         self._exchange.write(data)
 
-    def _begin(self) -> None:
-        if self.begun or self._head is None:
+    def _send_head(self) -> None:
+        if self.head_sent or self._head is None:
             return
-        self.begun = True
+        self.head_sent = True
         self.status = self._head[0]
         self._exchange.begin(*self._head)
--- a/cloverrouter/router/router.py
+++ b/cloverrouter/router/router.py
@@ -1,4 +1,5 @@
-"""The data plane of one proxy: requests come in as exchanges and go out to servers by a connection pool."""
+"""The data plane of one proxy: takes client requests as exchanges and sends them to servers by a
+connection pool."""
 
 from __future__ import annotations
 
@@ -24,13 +25,13 @@
     may_begin,
 )
 from cloverrouter.router import answers
-from cloverrouter.router.admitted import Admitted
+from cloverrouter.router.admitted import AdmittedRequest
 from cloverrouter.router.attempt import Attempt
 from cloverrouter.router.bounds import RouterBounds
-from cloverrouter.router.flight import Flight
-from cloverrouter.router.flight_host import HostedFlight
+from cloverrouter.router.flight import ActiveRequest
+from cloverrouter.router.flight_host import HostedRequest
 from cloverrouter.router.headers import ATTEMPT_ID, has_one_id
-from cloverrouter.router.intake import Intake, TurnedAway
+from cloverrouter.router.intake import Rejection, RequestAdmission
 from cloverrouter.router.ports import (
     NO_RECORD,
     Budget,
@@ -44,13 +45,13 @@
 )
 from cloverrouter.router.verdict import End, Verdict
 
-SERVER_ERRORS = 500
+FIRST_SERVER_ERROR = 500
 
 
 class Router:
-    """Handles the requests of clients. Everything that it needs from outside is handed to it.
+    """Handles the requests of clients. All its dependencies are passed in.
 
-    `zone` is the proxy's own; `random` is used for draws and jitter only.
+    `zone` is the proxy's own zone; `random` is used only for random choices and jitter.
     """
 
     def __init__(
@@ -78,49 +79,51 @@
         self.on_trouble: Callable[[str], None] = lambda instance_id: None
         """Called with the id of an instance that failed a request."""
         self.is_behind = False
-        """Newer configurations are known to be in force, and this process has not got any for too long."""
+        """Newer configurations are known to be in force, but this process has not received one for too
+        long."""
         self.keys_hold_until = math.inf
-        """No key is taken later than that: it may have been taken away, and this proxy would not know."""
-        self._leave: ShutdownWindow | None = None
-        self._longest = LongestAnswers()
+        """API keys are accepted until this time on the monotonic clock. Later a key may have been revoked
+        without this proxy having learned of it."""
+        self._shutdown: ShutdownWindow | None = None
+        self._longest_answers = LongestAnswers()
         self._pool = pool
         self._quota = quota
         self._log = log
         self._configuration: Configuration | None = None
-        self._intake: Intake | None = None
+        self._admission: RequestAdmission | None = None
         self._placements: dict[str, ServicePlacement] = {}
-        self._flights: set[HostedFlight] = set()
-        self._waiting: dict[str, dict[HostedFlight, None]] = {}
-        self._keys = 0
+        self._active_requests: set[HostedRequest] = set()
+        self._waiting_for_quota: dict[str, dict[HostedRequest, None]] = {}
+        self._attempt_count = 0
         self._started_at = clock()
         self._fleet_size = 1
 
-    # What the daemon tells and asks
+    # Interface for the daemon
 
     def configure(self, configuration: Configuration, table: RoutingTable | None = None) -> None:
-        """A configuration is in force from now on; requests under way keep the route that they have."""
+        """Puts a configuration into force; requests in progress keep their route."""
         self._configuration = configuration
-        known = self._intake.deadlines if self._intake is not None else {}
-        self._intake = Intake(
+        deadlines = self._admission.deadlines if self._admission is not None else {}
+        self._admission = RequestAdmission(
             configuration,
             table if table is not None else RoutingTable(configuration),
-            self._usable,
+            self._has_ready_server,
             self.random.random,
             self.options,
-            known,
+            deadlines,
         )
         for service in configuration.services:
             kv_tokens = service.engine.kv_cache_tokens if service.engine is not None else None
             self.placement(service.name).configure(kv_tokens)
 
     def fleet_changed(self, size: int) -> None:
-        """So many proxies carry the traffic."""
+        """Sets the number of proxies that share the traffic."""
         self._fleet_size = size
         for placement in self._placements.values():
             placement.fleet_changed(size)
 
     def servers_changed(self, servers: Iterable[Server]) -> None:
-        """Servers were added or changed. Nothing new goes to one that isn't ready, from now on."""
+        """Adds or updates servers. New requests are sent only to ready ones from now on."""
         for server in servers:
             self.placement(server.service).update_server(server)
         for placement in self._placements.values():
@@ -130,95 +133,97 @@
         )
 
     def warned(self, ids: Iterable[str], span_s: float) -> None:
-        """Other proxies found these instances failing."""
+        """Avoids instances that other proxies found failing, for about `span_s` seconds."""
         now = self.clock()
         for placement in self._placements.values():
             placement.apply_warning(ids, span_s, now)
 
     def placement_news(self) -> PlacementNews | None:
-        """What to tell other proxies of servers and requests."""
+        """Returns the update about servers and requests for other proxies; None if there is none."""
         return placement_exchange.outgoing_update(self._placements, self.clock())
 
-    def placement_told(self, told: PlacementNews) -> None:
-        """Another proxy tells of servers and requests."""
-        placement_exchange.apply_update(told, self._placements, self.clock())
+    def placement_told(self, update: PlacementNews) -> None:
+        """Applies an update about servers and requests from another proxy."""
+        placement_exchange.apply_update(update, self._placements, self.clock())
 
     def report_overdue(self) -> None:
-        """Tell of the servers that seem not to answer."""
+        """Reports the servers that seem not to answer."""
         now = self.clock()
         for placement in self._placements.values():
             for instance_id in placement.overdue(now):
                 self.on_trouble(instance_id)
 
     def quota_woken(self, tenant: str) -> None:
-        """Something came for the quota of a tenant: requests that wait for it ask again."""
-        for flight in self._waiting.pop(tenant, {}):
-            flight.quota_woken()
+        """Lets requests that wait for the tenant's quota ask again after an update."""
+        for active_request in self._waiting_for_quota.pop(tenant, {}):
+            active_request.quota_woken()
 
     def leave(self, ends_at: float) -> None:
-        """The process ends then. Answers end their connections from now on, and nothing is begun that might
-        not be over by that time."""
-        self._leave = ShutdownWindow(self.clock(), ends_at)
+        """Begins the shutdown; the process ends at `ends_at`. From now on answers close their connections,
+        and a request is sent only if it is expected to finish by then."""
+        self._shutdown = ShutdownWindow(self.clock(), ends_at)
 
     def end_flights(self) -> None:
-        """The process ends now: what is still under way is given the answer that is true of it."""
-        for flight in list(self._flights):
-            flight.cut_off()
+        """Ends all requests in progress when the process ends, each with an answer that tells whether it
+        may have run."""
+        for active_request in list(self._active_requests):
+            active_request.end_now()
 
     @property
     def draining(self) -> bool:
-        """Whether the process was told to end."""
-        return self._leave is not None
+        """Whether the process is shutting down."""
+        return self._shutdown is not None
 
     @property
     def in_flight(self) -> int:
-        """Requests that are not answered yet."""
-        return len(self._flights)
+        """Number of requests that are not answered yet."""
+        return len(self._active_requests)
 
     def ready(self) -> bool:
-        """Whether clients should come here: configured, and with servers for most services with routes."""
+        """Returns whether clients should be sent here: the proxy is configured, and at least half of the
+        services with routes have a ready server."""
         if self._configuration is None or self.draining or self.is_behind:
             return False
         services = {
             name for route in self._configuration.routes for name, weight in route.targets if weight > 0
         }
-        usable = sum(1 for name in services if self._usable(name))
+        usable = sum(1 for name in services if self._has_ready_server(name))
         return usable * 2 >= len(services)
 
-    def _usable(self, service: str) -> bool:
+    def _has_ready_server(self, service: str) -> bool:
         placement = self._placements.get(service)
         return placement is not None and bool(placement.servers.ready)
 
-    # A request's way: route, tenant, admission; the rest is the flight's
+    # Routing and admission of requests; the rest is done by `ActiveRequest`
 
     def handle(self, exchange: Exchange) -> None:
-        """Answer an exchange, now or later."""
+        """Answers an exchange, now or later."""
         request = exchange.request
         if not has_one_id(request):
             self._respond(exchange, answers.BAD_REQUEST)
             return
-        if self._intake is None:
+        if self._admission is None:
             wait_s = unconfigured_retry_after_s(self.clock() - self._started_at, self.random.random())
-            self._respond(exchange, answers.UNAVAILABLE, answers.retry_after(wait_s))
+            self._respond(exchange, answers.SERVICE_UNAVAILABLE, answers.retry_after(wait_s))
             return
-        found = self._intake.admit(request, self.clock() <= self.keys_hold_until)
-        if isinstance(found, TurnedAway):
+        found = self._admission.admit(request, self.clock() <= self.keys_hold_until)
+        if isinstance(found, Rejection):
             wait = found.retry_after_s
             self._respond(exchange, found.status, answers.retry_after(wait) if wait is not None else None)
             return
-        flight = Flight(self, exchange, found)
-        self._flights.add(flight)
-        flight.start()
+        active_request = ActiveRequest(self, exchange, found)
+        self._active_requests.add(active_request)
+        active_request.start()
 
     def _respond(self, exchange: Exchange, status: int, headers: Headers | None = None) -> None:
-        """Turn a request away that has no flight."""
+        """Answers a request that was not admitted."""
         self.recorder.turned_away(exchange.request.header(ATTEMPT_ID) or b"", status)
         exchange.respond(status, headers or [], b"", self.draining)
 
-    # For flights
+    # Interface for active requests (`RequestHost`)
 
     def placement(self, service: str) -> ServicePlacement:
-        """The servers of a service."""
+        """Returns the placement of a service, which picks its servers."""
         found = self._placements.get(service)
         if found is None:
             found = self._placements[service] = ServicePlacement(
@@ -227,106 +232,112 @@
             found.fleet_changed(self._fleet_size)
         return found
 
-    def may_begin(self, admitted: Admitted) -> bool:
-        """Whether the request may be sent to a server: always, but in a process that ends soon."""
-        if self._leave is None:
+    def may_begin(self, admitted: AdmittedRequest) -> bool:
+        """Returns whether the request may be sent to a server: always, unless the process is shutting
+        down."""
+        if self._shutdown is None:
             return True
         now, route = self.clock(), admitted.route
         expectation = Expectation(admitted.deadline, self._longest_s(route, now), route.can_resume)
-        return may_begin(self._leave, now, expectation)
+        return may_begin(self._shutdown, now, expectation)
 
     def _longest_s(self, route: Route, now: float) -> float | None:
-        """The longest that a request on the route took lately, or is taking now."""
-        ages = [now - one.arrived_at for one in self._flights if one.admitted.route.name == route.name]
-        known = self._longest.of(route.name, now)
-        return known if known is None else max([known, *ages])
-
-    def answered(self, flight: HostedFlight) -> None:
-        """A server's whole answer went to the client."""
+        """Returns the longest duration of recent and current requests on the route, in seconds; None if
+        there are no recent ones."""
+        ages = [
+            now - one.arrived_at for one in self._active_requests if one.admitted.route.name == route.name
+        ]
+        recent_s = self._longest_answers.of(route.name, now)
+        return recent_s if recent_s is None else max([recent_s, *ages])
+
+    def on_answered(self, active_request: HostedRequest) -> None:
+        """Records that a server's complete answer was forwarded to the client."""
         now = self.clock()
-        self._longest.note(flight.admitted.route.name, now - flight.arrived_at, now)
+        self._longest_answers.note(active_request.admitted.route.name, now - active_request.arrived_at, now)
 
-    def next_key(self) -> int:
-        """A number for an attempt."""
-        self._keys += 1
-        return self._keys
+    def next_attempt_number(self) -> int:
+        """Returns the number for a new attempt."""
+        self._attempt_count += 1
+        return self._attempt_count
 
     def send(
         self, attempt: Attempt, message: bytes, request_id: bytes, renewed: Callable[[], bytes | None]
     ) -> Call:
-        """Start a send; `renewed` gives the message for a connection that came up later, if it is wanted."""
-        address = attempt.standing.server.address
+        """Starts a send; `renewed` returns the message for a connection that was established later, or
+        None if the send is no longer wanted."""
+        address = attempt.server_state.server.address
         return self._pool.send(address, message, attempt, request_id, ATTEMPT_ID, renewed)
 
-    def quota_wait(self, admitted: Admitted, again: bool) -> float:
-        """Count a request for its tenant, if it has a quota: 0.0, or seconds after which to ask again."""
+    def charge_quota(self, admitted: AdmittedRequest, again: bool) -> float:
+        """Charges a request against its tenant's quota, if it has one: returns 0.0, or the seconds after
+        which to ask again."""
         tenant = admitted.tenant
         if tenant is None or tenant.rate_per_s is None:
             return 0.0
         return self._quota.admit(tenant.name, admitted.tokens, self.clock(), again=again)
 
-    def waits_for_quota(self, flight: HostedFlight, tenant: str) -> None:
-        """The flight is to hear of news about its tenant's quota."""
-        self._waiting.setdefault(tenant, {})[flight] = None
+    def register_quota_waiter(self, active_request: HostedRequest, tenant: str) -> None:
+        """Registers the request for updates of its tenant's quota."""
+        self._waiting_for_quota.setdefault(tenant, {})[active_request] = None
 
-    def refund(self, admitted: Admitted) -> None:
-        """A request that was counted for its tenant never ran."""
+    def refund(self, admitted: AdmittedRequest) -> None:
+        """Refunds a request that was charged against its tenant's quota but never ran."""
         tenant = admitted.tenant
         if tenant is not None and tenant.rate_per_s is not None:
             self._quota.refund(tenant.name, admitted.tokens)
 
-    def began(self, attempt: Attempt, admitted: Admitted) -> None:
-        """The first part of an answer's body came: how long did the server take?"""
+    def on_first_data(self, attempt: Attempt, admitted: AdmittedRequest) -> None:
+        """Learns how long the server took to send the first data of an answer's body."""
         if attempt.sent_at is None or not admitted.prompt.parts:
             return
         now = self.clock()
         took_ms = (now - attempt.sent_at) * 1000
         model = self.placement(admitted.service).first_token
-        attempt.standing.record_delay(took_ms - model.expected_ms(attempt.missing_tokens), now)
+        attempt.server_state.record_delay(took_ms - model.expected_ms(attempt.missing_tokens), now)
         model.learn(attempt.missing_tokens, took_ms)
 
-    def _learn_time(self, attempt: Attempt, admitted: Admitted, now: float) -> None:
-        """How long a server without a model took for a whole answer."""
+    def _learn_answer_time(self, attempt: Attempt, admitted: AdmittedRequest, now: float) -> None:
+        """Learns from the duration of a complete answer of a server without a model."""
         assert attempt.sent_at is not None
         took_ms = (now - attempt.sent_at) * 1000
         model = self.placement(admitted.service).first_token
-        attempt.standing.record_delay(took_ms - model.expected_ms(0), now)
+        attempt.server_state.record_delay(took_ms - model.expected_ms(0), now)
         model.learn(0, took_ms)
 
-    def succeeded(self, attempt: Attempt, admitted: Admitted) -> None:
-        """The server's own answer is whole."""
+    def on_success(self, attempt: Attempt, admitted: AdmittedRequest) -> None:
+        """Records a complete successful answer of the server."""
         now = self.clock()
-        attempt.standing.record_success(now)
+        attempt.server_state.record_success(now)
         self.budget.earn(admitted.service)
         if not admitted.prompt.parts and attempt.sent_at is not None and not admitted.route.affinity:
-            self._learn_time(attempt, admitted, now)
+            self._learn_answer_time(attempt, admitted, now)
 
-    def failed(self, attempt: Attempt, end: End, admitted: Admitted) -> None:
-        """An attempt ended without an answer of worth."""
-        standing = attempt.standing
+    def on_failure(self, attempt: Attempt, end: End, admitted: AdmittedRequest) -> None:
+        """Records an attempt that ended without a successful answer."""
+        server_state = attempt.server_state
         if attempt.verdict is Verdict.MISPLACED:
-            self._log("another instance has the address", instance=standing.server.id)
-            self.placement(admitted.service).servers.remove_displaced(standing)
+            self._log("another instance has the address", instance=server_state.server.id)
+            self.placement(admitted.service).servers.remove_displaced(server_state)
         elif end in (End.UNREACHED, End.LOST, End.SPOILT):
-            standing.record_lost_connection(self.clock())
-            self.on_trouble(standing.server.id)
-        elif end is End.FAILED and attempt.status >= SERVER_ERRORS:
-            standing.record_error(self.clock())
-            self.on_trouble(standing.server.id)
+            server_state.record_lost_connection(self.clock())
+            self.on_trouble(server_state.server.id)
+        elif end is End.FAILED and attempt.status >= FIRST_SERVER_ERROR:
+            server_state.record_error(self.clock())
+            self.on_trouble(server_state.server.id)
         elif end is not End.UNSENT:
-            standing.reduce_payoff(self.clock())
+            server_state.reduce_payoff(self.clock())
 
-    def timed_out(self, attempt: Attempt) -> None:
-        """A server did not answer in time."""
-        if attempt.heard_at is None:
-            attempt.standing.record_no_answer(self.clock())
-            self.on_trouble(attempt.standing.server.id)
+    def on_timeout(self, attempt: Attempt) -> None:
+        """Records that a server did not answer before the deadline."""
+        if attempt.last_received_at is None:
+            attempt.server_state.record_no_answer(self.clock())
+            self.on_trouble(attempt.server_state.server.id)
         else:
-            attempt.standing.reduce_payoff()
-
-    def landed(self, flight: HostedFlight) -> None:
-        """A flight is over."""
-        self._flights.discard(flight)
-        tenant = flight.admitted.tenant
-        if tenant is not None and tenant.name in self._waiting:
-            self._waiting[tenant.name].pop(flight, None)
+            attempt.server_state.reduce_payoff()
+
+    def on_finished(self, active_request: HostedRequest) -> None:
+        """Removes a request that has ended."""
+        self._active_requests.discard(active_request)
+        tenant = active_request.admitted.tenant
+        if tenant is not None and tenant.name in self._waiting_for_quota:
+            self._waiting_for_quota[tenant.name].pop(active_request, None)
--- a/cloverrouter/router/told_deadlines.py
+++ b/cloverrouter/router/told_deadlines.py
@@ -1,44 +1,47 @@
-"""How much of its time a request has spent before it came, by the deadlines that clients tell.
+"""Estimates how much of its time a request has spent before it arrived, from the deadlines that clients
+state.
 
-A client tells how long it will still wait. On its first try that is all of its time, on later ones less. All
-of its time is told nowhere: it is the longest that clients of the route told lately.
+A client states how long it will still wait. That is its full timeout on the first try, and less on each
+retry. The full timeout is not stated anywhere; it is estimated as the longest time that clients of the route
+stated lately.
 """
 
 from __future__ import annotations
 
-GENERATION = 256
-"""The longest time told is remembered over so many requests at least, and over twice as many at most."""
-LEAST_KNOWN = 8
-"""Before so many requests have come, clients are taken to give a request all that its route allows."""
-ALIKE_PART = 0.9
-"""Who tells this part of the longest time, or more, is taken to be on the first try."""
-ALIKE_WEIGHT = 0.02
-LEAST_ALIKE = 0.5
-"""Where fewer are alike, clients differ in their patience: nothing can be told of what one has spent."""
+GENERATION_REQUESTS = 256
+"""The longest stated time is remembered for at least this many requests, and for twice as many at most."""
+MIN_REQUESTS = 8
+"""Until this many requests have arrived, clients are assumed to use the full timeout of the route."""
+FIRST_TRY_SHARE = 0.9
+"""A request that states at least this share of the longest time is assumed to be a first try."""
+FIRST_TRY_EWMA_WEIGHT = 0.02
+"""Weight of one request in the moving average of the share of first tries."""
+MIN_FIRST_TRY_RATE = 0.5
+"""If the share of first tries is smaller, clients use different timeouts, and the time spent is unknown."""
 
 
-class ToldDeadlines:
-    """The deadlines told on one route. Times in milliseconds."""
+class StatedDeadlines:
+    """The deadlines that clients stated on one route, in milliseconds."""
 
     def __init__(self) -> None:
         self._longest_ms = 0.0
-        self._longest_before_ms = 0.0
-        self._seen = 0
-        self._alike = 1.0
-
-    def spent_ms(self, told_ms: float, timeout_ms: float) -> float:
-        """What a request that tells so much has spent, as far as can be known; the route allows
-        `timeout_ms`."""
-        self._note(told_ms)
-        full_ms = max(self._longest_ms, self._longest_before_ms)
-        if self._seen < LEAST_KNOWN:
+        self._previous_longest_ms = 0.0
+        self._requests_seen = 0
+        self._first_try_rate = 1.0
+
+    def spent_ms(self, stated_ms: float, timeout_ms: float) -> float:
+        """Returns the estimate of the time that a request has spent, given the deadline that it states and
+        the timeout of the route; 0.0 if it is unknown."""
+        self._record(stated_ms)
+        full_ms = max(self._longest_ms, self._previous_longest_ms)
+        if self._requests_seen < MIN_REQUESTS:
             full_ms = max(full_ms, timeout_ms)
-        is_alike = told_ms >= ALIKE_PART * full_ms
-        self._alike += ALIKE_WEIGHT * (is_alike - self._alike)
-        return full_ms - told_ms if self._alike > LEAST_ALIKE else 0.0
-
-    def _note(self, told_ms: float) -> None:
-        self._seen += 1
-        if self._seen % GENERATION == 0:
-            self._longest_before_ms, self._longest_ms = self._longest_ms, 0.0
-        self._longest_ms = max(self._longest_ms, told_ms)
+        is_first_try = stated_ms >= FIRST_TRY_SHARE * full_ms
+        self._first_try_rate += FIRST_TRY_EWMA_WEIGHT * (is_first_try - self._first_try_rate)
+        return full_ms - stated_ms if self._first_try_rate > MIN_FIRST_TRY_RATE else 0.0
+
+    def _record(self, stated_ms: float) -> None:
+        self._requests_seen += 1
+        if self._requests_seen % GENERATION_REQUESTS == 0:
+            self._previous_longest_ms, self._longest_ms = self._longest_ms, 0.0
+        self._longest_ms = max(self._longest_ms, stated_ms)
--- a/cloverrouter/router/verdict.py
+++ b/cloverrouter/router/verdict.py
@@ -1,4 +1,5 @@
-"""What an answer's head, or an attempt's end, says about a request: did it run, and is the answer good?"""
+"""What the head of an answer, or the end of an attempt, tells: whether the request ran, and whether the
+answer is usable."""
 
 from __future__ import annotations
 
@@ -10,36 +11,36 @@
 from cloverrouter.router.headers import CONTENT_ENCODING, NOT_EXECUTED, SIGNATURE
 
 MISDIRECTED = 421
-PROMISES = frozenset((408, 429, 503))
-"""Statuses that promise a client that its request has not run."""
+NOT_EXECUTED_STATUSES = frozenset((408, 429, 503))
+"""Status codes that promise a client that its request was not executed."""
 _IDENTITY = b"identity"
 
 
 class Verdict(Enum):
-    """What the head of an answer makes of it."""
+    """Classification of an answer by its head."""
 
     GOOD = "good"
-    """The server's own success."""
+    """The server's own successful answer."""
     FAILED = "failed"
-    """The server's own failure: the request has run."""
+    """The server's own error answer: the request ran."""
     NOT_EXECUTED = "not executed"
-    """A promise that the request has not run and never will."""
+    """The server promises that the request was not executed and never will be."""
     MISPLACED = "misplaced"
-    """Another instance has the address; the same promise."""
+    """Another instance has the address; the request was not executed either."""
     SPOILT = "spoilt"
-    """Not the answer of the server: the request may have run."""
+    """Not an answer of the server; the request may have run."""
 
 
 def judge_head(status: int, headers: Headers) -> Verdict:
-    """What to make of an answer that begins so."""
+    """Classifies an answer by its status and headers."""
     if status == MISDIRECTED:
         return Verdict.MISPLACED
     if first(headers, NOT_EXECUTED) is not None and status >= 400:
         return Verdict.NOT_EXECUTED
-    if not first(headers, SIGNATURE) or status in PROMISES:
-        return (
-            Verdict.SPOILT
-        )  # danger: without the server's own word that it did not run, no promise may go back
+    if not first(headers, SIGNATURE) or status in NOT_EXECUTED_STATUSES:
+        # Without the server's own word that the request did not run, the client must not get a status that
+        # promises so.
+        return Verdict.SPOILT
     encoding = first(headers, CONTENT_ENCODING)
     if encoding is not None and encoding.lower() != _IDENTITY:
         return Verdict.SPOILT
@@ -47,24 +48,24 @@
 
 
 class End(Enum):
-    """How an attempt ended without an answer that is passed on as it comes."""
+    """How an attempt ended that has no successful answer to forward."""
 
     UNSENT = "unsent"
-    """Nothing of it went out, for no fault of the server's."""
+    """Nothing was sent, and the server is not to blame."""
     UNREACHED = "unreached"
-    """No connection to the server came up: nothing of it ran."""
+    """No connection to the server was established: the request did not run."""
     REJECTED = "rejected"
-    """The server turned it away: it reached it, and has not run."""
+    """The request reached the server, which rejected it without executing it."""
     FAILED = "failed"
-    """The server's own failure."""
+    """The server sent its own error answer."""
     LOST = "lost"
-    """The connection broke: it may have run."""
+    """The connection broke: the request may have run."""
     SPOILT = "spoilt"
-    """What came is not the server's answer: it may have run."""
+    """What arrived is not an answer of the server: the request may have run."""
 
     @property
     def may_have_run(self) -> bool:
-        """Whether the server may have begun to work on the request."""
+        """Whether the server may have started to execute the request."""
         return self in (End.FAILED, End.LOST, End.SPOILT)
 
     @property
@@ -75,7 +76,7 @@
 
 @attrs.frozen(slots=True)
 class Answer:
-    """A whole answer of a server."""
+    """A complete answer of a server."""
 
     status: int
     headers: Headers
--- a/tests/system/plain_proxy.py
+++ b/tests/system/plain_proxy.py
@@ -1,7 +1,8 @@
-"""A fleet of one process without any of the fleet's own code: just enough to try the stand-ins against.
+"""A proxy fleet in a single process that uses none of the fleet's own code, for tests of the lab's clients
+and servers.
 
-It keeps a configuration and a list of servers in memory and forwards each request to any ready server of its
-route. `faults` make it break a rule on purpose.
+It keeps a configuration and a list of servers in memory and forwards each request to a random ready server of
+its route. `faults` make it break a rule on purpose.
 """
 
 from __future__ import annotations
@@ -75,17 +76,17 @@
         elif int(head.get("If-Match")) != self.configuration["version"]:
             _reply(writer, "412 Precondition Failed", b"{}")
         else:
-            told = json.loads(body)
+            document = json.loads(body)
             if "forgets" not in self.faults:
-                self.configuration = told if method == "PUT" else patched(self.configuration, told)
+                self.configuration = document if method == "PUT" else patched(self.configuration, document)
             _reply(writer, "200 OK", b"{}")
 
     def _register(self, method: str, name: str, body: bytes) -> None:
-        told = json.loads(body) if body else {}
-        if method == "DELETE" or told.get("lifecycle-state") == "draining":
+        document = json.loads(body) if body else {}
+        if method == "DELETE" or document.get("lifecycle-state") == "draining":
             self.instances.pop(name, None)
         else:
-            self.instances[name] = told
+            self.instances[name] = document
 
     async def _forward(self, head: Head, body: bytes, writer: asyncio.StreamWriter) -> None:
         path, host = head.first[1], head.get("Host")
--- a/tests/system/router_world.py
+++ b/tests/system/router_world.py
@@ -1,4 +1,5 @@
-"""A router among scripted peers: a fake clock, a pool whose calls tests answer, exchanges that record."""
+"""A router with a fake clock, a connection pool whose calls the test answers, and exchanges that record
+the answers to clients."""
 
 from __future__ import annotations
 
@@ -25,7 +26,7 @@
 
 
 class FakeClock:
-    """Time moves only by `pass_ms`."""
+    """A clock whose time advances only by `pass_ms`, which fires the timers that are due."""
 
     def __init__(self) -> None:
         self.now = 1000.0
@@ -59,7 +60,7 @@
 
 
 class ScriptedCall:
-    """One send, which the test answers as the server would."""
+    """One send, which the test answers in place of the server."""
 
     def __init__(
         self,
@@ -85,14 +86,14 @@
 
     def field(self, name: bytes) -> bytes | None:
         values = [value for own, value in self.fields if own == name]
-        assert len(values) <= 1, f"{name!r} is doubled"
+        assert len(values) <= 1, f"{name!r} is repeated"
         return values[0] if values else None
 
     @property
     def instance(self) -> str:
         return (self.field(b"cypresswinch-expected-instance") or b"").decode()
 
-    # What the router may do
+    # Calls made by the router
 
     def cancel(self) -> None:
         self.cancelled = True
@@ -103,10 +104,10 @@
     def resume(self) -> None:
         self.pauses.append("resume")
 
-    # What the server does
+    # Actions of the server
 
     def write(self) -> bool:
-        """The connection is up: the request goes out if it is still wanted."""
+        """The connection is established: the request goes out if it is still wanted."""
         message = self.renewed() if self.renewed is not None else self.message
         if message is None:
             self.fail(Failure.NOT_SENT)
@@ -140,7 +141,7 @@
         self.end()
 
     def stream(self, *events: bytes) -> None:
-        """A head of events, and the first of them."""
+        """Sends the head of an event stream and its first events."""
         self.head(200, SIGNED, EVENTS, CHUNKED)
         for event in events:
             self.data(event)
@@ -149,7 +150,7 @@
 class ScriptedPool:
     def __init__(self) -> None:
         self.calls: list[ScriptedCall] = []
-        self.kept: set[Address] = set()
+        self.kept_addresses: set[Address] = set()
 
     def send(
         self,
@@ -166,7 +167,7 @@
         return cast(Call, call)
 
     def keep_only(self, addresses: set[Address]) -> None:
-        self.kept = addresses
+        self.kept_addresses = addresses
 
     @property
     def last(self) -> ScriptedCall:
@@ -174,7 +175,7 @@
 
 
 class ScriptedExchange:
-    """Records what its client is sent."""
+    """Records what is sent to its client."""
 
     def __init__(self, request: Request) -> None:
         self.request = request
@@ -224,7 +225,7 @@
         if not self.done:
             self.aborted = True
 
-    # What its client does
+    # Actions of the client
 
     def leave(self) -> None:
         self.left = True
@@ -233,7 +234,7 @@
 
 
 class FakeQuota:
-    """Allows all unless told what `admit` is to answer next."""
+    """Admits everything, unless `waits` holds the next results of `admit`."""
 
     def __init__(self) -> None:
         self.waits: list[float] = []
@@ -251,7 +252,7 @@
 
 
 class FakeBudget:
-    """Counts what is spent, and covers `left` repeats."""
+    """Counts what is spent, and covers `left` retries."""
 
     def __init__(self) -> None:
         self.left = 100
@@ -271,7 +272,7 @@
 
 def route(name: str, **changes: Any) -> Route:
     """A non-idempotent route at ``/NAME/`` to the service `desk`."""
-    plain: dict[str, Any] = {
+    defaults: dict[str, Any] = {
         "name": name,
         "host": "front.example",
         "prefix": f"/{name}/",
@@ -286,11 +287,11 @@
         "resumable": False,
         "gap_aim_ms": None,
     }
-    return Route(**(plain | changes))
+    return Route(**(defaults | changes))
 
 
 def tenant(name: str, **changes: Any) -> Tenant:
-    plain: dict[str, Any] = {
+    defaults: dict[str, Any] = {
         "name": name,
         "keys": (f"key-of-{name}",),
         "priority": 1,
@@ -299,7 +300,7 @@
         "rate_per_s": 1000,
         "burst_size": 1000,
     }
-    return Tenant(**(plain | changes))
+    return Tenant(**(defaults | changes))
 
 
 ENGINE = Engine(12, 10_000, 45, None, None, ("m",))
@@ -321,7 +322,7 @@
 
 @attrs.define(slots=True)
 class World:
-    """A router with three servers of each service."""
+    """A router with three servers for each service."""
 
     clock: FakeClock = attrs.field(factory=FakeClock)
     pool: ScriptedPool = attrs.field(factory=ScriptedPool)
@@ -343,19 +344,19 @@
         )
 
     def set_up(self, servers: int = 3) -> World:
-        """Configure the router and give it servers."""
+        """Configures the router and adds servers."""
         self.router.configure(CONFIGURATION)
         for service in ("desk", "model"):
             self.router.servers_changed([self.server(service, place) for place in range(servers)])
         return self
 
     def slow_routes(self, timeout_ms: int) -> None:
-        """Allow all requests so much time."""
+        """Sets the timeout of all routes."""
         routes = tuple(attrs.evolve(one, timeout_ms=timeout_ms) for one in CONFIGURATION.routes)
         self.router.configure(attrs.evolve(CONFIGURATION, routes=routes))
 
     def server(self, service: str, place: int, **changes: Any) -> Server:
-        plain: dict[str, Any] = {
+        defaults: dict[str, Any] = {
             "id": f"{service}-{place}",
             "service": service,
             "address": (f"10.0.{len(service)}.{place}", 80),
@@ -363,26 +364,26 @@
             "capacity": 12,
             "ready": True,
         }
-        return Server(**(plain | changes))
+        return Server(**(defaults | changes))
 
     def ask(
         self,
         path: str,
-        *more: tuple[bytes, bytes],
+        *extra_headers: tuple[bytes, bytes],
         method: bytes = b"POST",
         body: bytes = b"question",
         key: bytes | None = KEY,
         host: bytes = b"front.example",
         attempt_id: bytes | None = None,
     ) -> ScriptedExchange:
-        """A client's request arrives."""
+        """Lets a client's request arrive, and returns its exchange."""
         self._ids += 1
         headers: Headers = [(b"host", host)]
         if attempt_id != b"":
             headers.append((b"cypresswinch-attempt-id", attempt_id or b"try-%d" % self._ids))
         if key is not None:
             headers.append((b"authorization", b"Bearer " + key))
-        request = Request(method, path.encode(), headers + list(more), body, self.clock())
+        request = Request(method, path.encode(), headers + list(extra_headers), body, self.clock())
         exchange = ScriptedExchange(request)
         self.router.handle(cast(Exchange, exchange))
         return exchange
--- a/tests/system/test_pages_requests.py
+++ b/tests/system/test_pages_requests.py
@@ -1,4 +1,5 @@
-"""What the pages ask of a request's way: what a server is handed, for how long, and who is refused how."""
+"""The documented rules for a request: what is sent to a server, how much time it gets, and how requests
+are rejected."""
 
 from __future__ import annotations
 
@@ -45,8 +46,8 @@
     return World().set_up()
 
 
-def ask_in_bytes(world: World, *lines: bytes) -> ScriptedExchange | None:
-    """A request as it comes off the wire; None if it is refused before it is one."""
+def handle_raw_request(world: World, *lines: bytes) -> ScriptedExchange | None:
+    """Handles a request as read from the wire; returns None if the parser rejects it."""
     reader = RequestReader(ServerLimits(), world.clock)
     head = (
         b"POST /once/x HTTP/1.1",
@@ -64,16 +65,16 @@
     return exchange
 
 
-# UNASKED: what the client says of its prompt
+# Headers in which the client describes its prompt
 
 PROMPT_FIELDS = (b"Cypresswinch-Model", b"Cypresswinch-Token-Usage", b"Cypresswinch-Prompt-Prefix")
 ODD_VALUES = (b"m", b"1460 ,  80", b"5c1e07a2:800,91bd3f06:410", b"", b"  a\t b  ", b"0,0", b"\xff", b"M;q=1")
 
 
-def odd_case(name: bytes, draw: int) -> bytes:
+def mixed_case(name: bytes, draw: int) -> bytes:
     return bytes(
-        letter ^ 0x20 if draw >> place & 1 and chr(letter).isalpha() else letter
-        for place, letter in enumerate(name)
+        letter ^ 0x20 if draw >> index & 1 and chr(letter).isalpha() else letter
+        for index, letter in enumerate(name)
     )
 
 
@@ -86,27 +87,27 @@
     st.booleans(),
 )
 def test_what_the_client_says_of_its_prompt_is_passed_on_unchanged(
-    fields: list[tuple[bytes, int, bytes]], space: bytes, named: bool
+    fields: list[tuple[bytes, int, bytes]], space: bytes, in_connection_header: bool
 ) -> None:
-    """Also doubled, in odd case or spacing, and where its `Connection` names the fields."""
+    """Also if a header is repeated, has unusual case or spacing, or is named by the `Connection` header."""
     world = World().set_up()
-    lines = [odd_case(name, draw) + b":" + space + value + space for name, draw, value in fields]
-    if named:
+    lines = [mixed_case(name, draw) + b":" + space + value + space for name, draw, value in fields]
+    if in_connection_header:
         lines.insert(0, b"Connection: " + b", ".join(PROMPT_FIELDS))
-    assert ask_in_bytes(world, *lines) is not None
+    assert handle_raw_request(world, *lines) is not None
     names = {name.lower() for name in PROMPT_FIELDS}
-    passed = [field for field in world.last.fields if field[0] in names]
-    assert passed == [(name.lower(), value.strip()) for name, _, value in fields]
+    forwarded = [field for field in world.last.fields if field[0] in names]
+    assert forwarded == [(name.lower(), value.strip()) for name, _, value in fields]
 
 
 def test_a_field_over_two_lines_is_refused_rather_than_changed(world: World) -> None:
-    exchange = ask_in_bytes(world, b"Cypresswinch-Prompt-Prefix: 5c1e07a2:800,", b" 91bd3f06:410")
+    exchange = handle_raw_request(world, b"Cypresswinch-Prompt-Prefix: 5c1e07a2:800,", b" 91bd3f06:410")
     if exchange is not None:
         values = [value for name, value in world.last.fields if name == b"cypresswinch-prompt-prefix"]
         assert values == [b"5c1e07a2:800, 91bd3f06:410"]
 
 
-# On the wire: what the system may say to a server, and clients may not
+# Headers that only the system may send to a server
 
 
 def test_the_version_that_a_server_is_to_have_is_not_the_client_s_to_say(world: World) -> None:
@@ -125,18 +126,18 @@
 
 def test_an_event_that_tells_a_version_is_passed_on_as_it_is_and_keeps_its_id(world: World) -> None:
     exchange = world.ask("/resume/x")
-    told = b"versions: 4\n" + event(2)
-    world.last.stream(event(1), told[:15])
-    world.last.data(told[15:])
-    assert exchange.body == event(1) + told
+    versioned = b"versions: 4\n" + event(2)
+    world.last.stream(event(1), versioned[:15])
+    world.last.data(versioned[15:])
+    assert exchange.body == event(1) + versioned
     world.last.fail(Failure.BROKEN)
     assert world.last.field(b"last-event-id") == b"2"
     world.last.stream(b"versions: 5\n" + event(3))
     world.last.end()
-    assert exchange.body == event(1) + told + b"versions: 5\n" + event(3)
+    assert exchange.body == event(1) + versioned + b"versions: 5\n" + event(3)
 
 
-# DENIED: nobody is refused by a machine that knows no configuration
+# A machine without a configuration rejects no request for good
 
 
 @pytest.mark.parametrize("key", [b"key-of-a", b"nobody's", None])
@@ -145,7 +146,7 @@
 def test_without_a_configuration_every_request_is_answered_503(
     path: str, key: bytes | None, up_ms: int
 ) -> None:
-    """For as long as it lasts: a machine that is out of touch may be without one for the whole day."""
+    """Regardless of the uptime: a machine that is cut off may be without a configuration all day."""
     world = World()
     world.clock.pass_ms(up_ms)
     world.router.servers_changed([world.server("desk", 0)])
@@ -156,43 +157,43 @@
 
 
 def test_a_state_without_a_configuration_is_none() -> None:
-    """What the replicas hold before the first order is handed to all machines; put in force it would know no
-    route and answer 404."""
-    taken: list[ConfigurationState] = []
-    feed = ConfigurationFeed(taken.append, lambda *how, **why: pytest.fail(str(why)))
+    """The state of the replicas before the first order is distributed to all machines. If it were put into
+    force, it would have no routes, and requests would be answered with 404."""
+    applied: list[ConfigurationState] = []
+    feed = ConfigurationFeed(applied.append, lambda *how, **why: pytest.fail(str(why)))
     feed.take(Replace(NOTHING + 1, ConfigurationMachine().snapshot()))
-    assert not taken
+    assert not applied
 
 
-# LOST: a configuration that comes into force
+# A new configuration comes into force
 
 
 def test_a_request_under_way_keeps_its_route_whatever_is_configured(world: World) -> None:
-    asked = [world.ask("/once/x"), world.ask("/resume/x"), world.ask("/again/x")]
+    exchanges = [world.ask("/once/x"), world.ask("/resume/x"), world.ask("/again/x")]
     calls = list(world.calls)
     calls[1].stream(event(1))
     world.router.configure(Configuration(9, (), ()))
     world.clock.pass_ms(1500)
-    assert not any(call.cancelled for call in calls) and not any(exchange.done for exchange in asked)
+    assert not any(call.cancelled for call in calls) and not any(exchange.done for exchange in exchanges)
     calls[0].answer(200, SIGNED)
     calls[1].data(event(2))
     calls[1].end()
     calls[2].fail(Failure.BROKEN)
     world.clock.pass_ms(100)
     world.last.answer(200, SIGNED)
-    assert [exchange.status for exchange in asked] == [200, 200, 200]
-    assert all(exchange.ended for exchange in asked)
+    assert [exchange.status for exchange in exchanges] == [200, 200, 200]
+    assert all(exchange.ended for exchange in exchanges)
     assert world.ask("/once/x").status == 404
 
 
-# BUDGET: the time that a server is handed
+# The deadline that a server is given
 
-ENDS = ("broken", "spoilt", "unreached", "full", "misplaced", "event and broken")
+SEND_OUTCOMES = ("broken", "spoilt", "unreached", "full", "misplaced", "event and broken")
 
 
-def end_send(world: World, how: str, numbers: Callable[[], int]) -> None:
+def end_send(world: World, outcome: str, next_number: Callable[[], int]) -> None:
     call = world.last
-    match how:
+    match outcome:
         case "broken":
             call.fail(Failure.BROKEN)
         case "spoilt":
@@ -204,7 +205,7 @@
         case "misplaced":
             call.answer(421)
         case _:
-            call.stream(event(numbers()))
+            call.stream(event(next_number()))
             call.fail(Failure.BROKEN)
 
 
@@ -212,38 +213,40 @@
     st.sampled_from(["/once/x", "/again/x", "/talk/x", "/resume/x"]),
     st.sampled_from([None, 300, 1500, 15_000]),
     st.lists(
-        st.tuples(st.integers(0, 400), st.integers(0, 900), st.sampled_from(ENDS)), min_size=1, max_size=6
+        st.tuples(st.integers(0, 400), st.integers(0, 900), st.sampled_from(SEND_OUTCOMES)),
+        min_size=1,
+        max_size=6,
     ),
 )
 def test_every_send_is_handed_what_is_left_of_the_first_deadline(
-    path: str, told_ms: int | None, sends: list[tuple[int, int, str]]
+    path: str, stated_ms: int | None, sends: list[tuple[int, int, str]]
 ) -> None:
     world = World().set_up()
-    began = world.clock()
+    started_at = world.clock()
     numbers = count(1)
-    fields = [] if told_ms is None else [(DEADLINE, b"%d" % told_ms)]
+    fields = [] if stated_ms is None else [(DEADLINE, b"%d" % stated_ms)]
     world.ask(path, *fields)
-    allowed_ms = min(told_ms or TIMEOUT_MS, TIMEOUT_MS)
-    for connecting_ms, working_ms, how in sends:
-        made, call = len(world.calls), world.last
+    allowed_ms = min(stated_ms or TIMEOUT_MS, TIMEOUT_MS)
+    for connecting_ms, working_ms, outcome in sends:
+        sends_before, call = len(world.calls), world.last
         world.clock.pass_ms(connecting_ms)
         if world.last is not call or call.cancelled or not call.write():
             break
-        handed_ms = int(call.field(DEADLINE) or b"0")
-        left_ms = allowed_ms - (world.clock() - began) * 1000
-        assert 0 < handed_ms <= left_ms + 0.001
+        given_ms = int(call.field(DEADLINE) or b"0")
+        left_ms = allowed_ms - (world.clock() - started_at) * 1000
+        assert 0 < given_ms <= left_ms + 0.001
         world.clock.pass_ms(working_ms)
         if call.cancelled or world.last is not call:
             break
-        end_send(world, how, lambda: next(numbers))
+        end_send(world, outcome, lambda: next(numbers))
         world.clock.pass_ms(200)
-        if len(world.calls) == made:
+        if len(world.calls) == sends_before:
             break
 
 
-@pytest.mark.parametrize("told", [b"1500", b"15000", None])
-def test_the_second_send_ends_with_the_first(world: World, told: bytes | None) -> None:
-    world.ask("/again/x", *([] if told is None else [(DEADLINE, told)]))
+@pytest.mark.parametrize("stated", [b"1500", b"15000", None])
+def test_the_second_send_ends_with_the_first(world: World, stated: bytes | None) -> None:
+    world.ask("/again/x", *([] if stated is None else [(DEADLINE, stated)]))
     world.last.write()
     first_ms = int(world.last.field(DEADLINE) or b"0")
     world.clock.pass_ms(900)
@@ -270,113 +273,113 @@
     assert int(world.last.field(DEADLINE) or b"0") <= TIMEOUT_MS - 1500
 
 
-# Where a request may be when its client leaves (GONE), or its time runs out (CONFIG)
+# Phases of a request in which its client may leave, or its deadline may pass
 
-Field = tuple[bytes, bytes]
-Place = Callable[..., ScriptedExchange]
+Header = tuple[bytes, bytes]
+PhaseSetup = Callable[..., ScriptedExchange]
 
 
-def at_the_quota(world: World, *more: Field) -> ScriptedExchange:
+def waiting_for_quota(world: World, *extra_headers: Header) -> ScriptedExchange:
     world.quota.waits = [0.025] * 9
-    return world.ask("/again/x", *more)
+    return world.ask("/again/x", *extra_headers)
 
 
-def connecting(world: World, *more: Field) -> ScriptedExchange:
-    return world.ask("/again/x", *more)
+def connecting(world: World, *extra_headers: Header) -> ScriptedExchange:
+    return world.ask("/again/x", *extra_headers)
 
 
-def at_work(world: World, *more: Field) -> ScriptedExchange:
-    exchange = world.ask("/again/x", *more)
+def being_executed(world: World, *extra_headers: Header) -> ScriptedExchange:
+    exchange = world.ask("/again/x", *extra_headers)
     world.last.write()
     return exchange
 
 
-def between_two_sends(world: World, *more: Field) -> ScriptedExchange:
-    exchange = at_work(world, *more)
+def between_two_attempts(world: World, *extra_headers: Header) -> ScriptedExchange:
+    exchange = being_executed(world, *extra_headers)
     world.last.fail(Failure.BROKEN)
     return exchange
 
 
-def at_work_again(world: World, *more: Field) -> ScriptedExchange:
-    exchange = between_two_sends(world, *more)
+def executed_again(world: World, *extra_headers: Header) -> ScriptedExchange:
+    exchange = between_two_attempts(world, *extra_headers)
     world.clock.pass_ms(200)
     world.last.write()
     return exchange
 
 
-def before_its_first_event(world: World, *more: Field) -> ScriptedExchange:
-    exchange = world.ask("/talk/x", *more)
+def before_its_first_event(world: World, *extra_headers: Header) -> ScriptedExchange:
+    exchange = world.ask("/talk/x", *extra_headers)
     world.last.head(200, SIGNED, EVENTS)
     return exchange
 
 
-def in_a_stream(world: World, *more: Field) -> ScriptedExchange:
-    exchange = world.ask("/talk/x", *more)
+def streaming(world: World, *extra_headers: Header) -> ScriptedExchange:
+    exchange = world.ask("/talk/x", *extra_headers)
     world.last.stream(event(1))
     return exchange
 
 
-def in_a_stream_that_is_continued(world: World, *more: Field) -> ScriptedExchange:
-    exchange = world.ask("/resume/x", *more)
+def streaming_after_resumption(world: World, *extra_headers: Header) -> ScriptedExchange:
+    exchange = world.ask("/resume/x", *extra_headers)
     world.last.stream(event(1))
     world.last.fail(Failure.BROKEN)
     world.last.stream(event(2))
     return exchange
 
 
-def in_a_stream_that_the_client_does_not_read(world: World, *more: Field) -> ScriptedExchange:
-    exchange = in_a_stream(world, *more)
+def streaming_to_a_paused_client(world: World, *extra_headers: Header) -> ScriptedExchange:
+    exchange = streaming(world, *extra_headers)
     exchange.paused = True
     assert exchange.on_pause is not None
     exchange.on_pause()
     return exchange
 
 
-PLACES = (
-    at_the_quota,
+PHASES = (
+    waiting_for_quota,
     connecting,
-    at_work,
-    between_two_sends,
-    at_work_again,
+    being_executed,
+    between_two_attempts,
+    executed_again,
     before_its_first_event,
-    in_a_stream,
-    in_a_stream_that_is_continued,
-    in_a_stream_that_the_client_does_not_read,
+    streaming,
+    streaming_after_resumption,
+    streaming_to_a_paused_client,
 )
 
 
-@pytest.mark.parametrize("place", PLACES)
-def test_when_its_client_leaves_nothing_is_at_work_or_goes_out(world: World, place: Place) -> None:
-    exchange = place(world)
-    under_way = world.calls[-1] if world.calls and place is not between_two_sends else None
-    sent = len(world.calls)
+@pytest.mark.parametrize("phase", PHASES)
+def test_when_its_client_leaves_nothing_is_at_work_or_goes_out(world: World, phase: PhaseSetup) -> None:
+    exchange = phase(world)
+    call_in_progress = world.calls[-1] if world.calls and phase is not between_two_attempts else None
+    sent_before = len(world.calls)
     exchange.leave()
-    assert under_way is None or under_way.cancelled
+    assert call_in_progress is None or call_in_progress.cancelled
     assert world.router.in_flight == 0
     world.quota.waits = []
     world.router.quota_woken("a")
     world.clock.pass_ms(10_000)
-    assert len(world.calls) == sent
+    assert len(world.calls) == sent_before
 
 
-@pytest.mark.parametrize("told", [[], [(DEADLINE, b"15000")]])
-@pytest.mark.parametrize("place", PLACES)
+@pytest.mark.parametrize("stated", [[], [(DEADLINE, b"15000")]])
+@pytest.mark.parametrize("phase", PHASES)
 def test_at_the_route_s_timeout_there_is_a_final_answer(
-    world: World, place: Place, told: list[Field]
+    world: World, phase: PhaseSetup, stated: list[Header]
 ) -> None:
-    began = world.clock()
-    exchange = place(world, *told)
-    world.clock.pass_ms(TIMEOUT_MS + HALF_A_SECOND_MS - (world.clock() - began) * 1000)
+    started_at = world.clock()
+    exchange = phase(world, *stated)
+    world.clock.pass_ms(TIMEOUT_MS + HALF_A_SECOND_MS - (world.clock() - started_at) * 1000)
     assert exchange.done
     assert world.router.in_flight == 0
-    assert all(cast(Attempt, call.listener).over for call in world.calls)
+    assert all(cast(Attempt, call.listener).is_over for call in world.calls)
 
 
-# Prices: the more urgent first
+# More urgent requests come first
 
 
 def test_a_less_urgent_request_never_has_the_better_rank(world: World) -> None:
-    """Over all pairs of tenants and routes: the tenant's priority decides first, then the route's."""
+    """For all pairs of tenants and routes: the tenant's priority comes first, then the route's."""
     routes = tuple(route(f"r{rank}", priority=rank) for rank in (0, 2, 5))
     tenants = (tenant("a"), tenant("b", priority=0), tenant("c", priority=7), tenant("d", priority=None))
     world.router.configure(attrs.evolve(CONFIGURATION, version=4, routes=routes, tenants=tenants))
@@ -393,13 +396,13 @@
     assert ranks[0][-1] < ranks[-1][-1]
 
 
-# ORDER, MIXED: what continues a stream
+# What may continue a stream
 
 
 @pytest.mark.parametrize(
     "status, kind", [(201, EVENTS), (206, EVENTS), (200, (b"content-type", b"application/json"))]
 )
-def test_only_events_with_the_same_status_continue_a_stream(world: World, status: int, kind: Field) -> None:
+def test_only_events_with_the_same_status_continue_a_stream(world: World, status: int, kind: Header) -> None:
     world.budget.left = 1
     exchange = world.ask("/resume/x")
     world.last.stream(event(1))
@@ -413,19 +416,19 @@
 
 @given(st.binary(max_size=60), st.binary(max_size=20), st.binary(max_size=30), st.binary(max_size=30))
 def test_whatever_a_client_says_of_its_prompt_its_request_is_sent(
-    prefix: bytes, usage: bytes, model: bytes, told: bytes
+    prefix: bytes, usage: bytes, model: bytes, stated: bytes
 ) -> None:
-    """Only quotas and the choice of a server depend on it."""
+    """These headers affect only quotas and the choice of the server."""
     world = World().set_up()
     world.ask(
         "/talk/x",
         (b"cypresswinch-prompt-prefix", prefix),
         (b"cypresswinch-token-usage", usage),
         (b"cypresswinch-model", model),
-        (DEADLINE, told),
+        (DEADLINE, stated),
         key=b"key-of-a",
     )
-    left_ms = deadline_ms(Request(b"GET", b"/", [(DEADLINE, told)], b"", 0.0))
+    left_ms = deadline_ms(Request(b"GET", b"/", [(DEADLINE, stated)], b"", 0.0))
     assert len(world.calls) == 1 or (left_ms is not None and left_ms < MIN_TIME_LEFT_MS)
 
 
--- a/tests/system/test_pages_wire.py
+++ b/tests/system/test_pages_wire.py
@@ -1,4 +1,5 @@
-"""What the pages say of connections, with real ones: clients that leave, early answers, unframed ones."""
+"""The documented rules for connections, with real sockets: clients that leave, early answers, and answers
+without a length."""
 
 from __future__ import annotations
 
@@ -11,10 +12,10 @@
 from tests.system.peers import Peer, play, until
 from tests.system.wire_world import WireWorld, head, request
 
-AT_MOST_S = 0.5
+MAX_DELAY_S = 0.5
 EVENT = b"id: 1\ndata: word\n\n"
 EVENTS_HEAD = head(200, b"t1", b"Content-Type: text/event-stream", b"Transfer-Encoding: chunked")
-LARGE = b"x" * 20_000_000
+LARGE_BODY = b"x" * 20_000_000
 LEAVING = [Peer.close, Peer.reset, Peer.half_close]
 
 
@@ -22,25 +23,25 @@
     return b"%x\r\n%b\r\n" % (len(data), data)
 
 
-async def ends_soon(peer: Peer) -> None:
-    """The server sees its connection end in time, and nothing more comes on it."""
+async def assert_ends_soon(peer: Peer) -> None:
+    """Checks that the server sees its connection end in time, with no more data on it."""
     loop = asyncio.get_running_loop()
-    began = loop.time()
+    started_at = loop.time()
     with suppress(ConnectionResetError):
         assert await peer.rest() == b""
-    assert loop.time() - began < AT_MOST_S
+    assert loop.time() - started_at < MAX_DELAY_S
 
 
-async def all_that_comes(peer: Peer) -> bytes:
-    """Until its end, orderly or not."""
-    found = []
+async def read_to_end(peer: Peer) -> bytes:
+    """Reads until the connection ends, whether by a close or by a reset."""
+    parts = []
     with suppress(ConnectionResetError):
         while data := await peer.reader.read(1 << 20):
-            found.append(data)
-    return b"".join(found)
+            parts.append(data)
+    return b"".join(parts)
 
 
-# GONE
+# Clients that leave
 
 
 @pytest.mark.parametrize("leave", LEAVING)
@@ -53,7 +54,7 @@
         server = await world.upstream.peer()
         await server.head()
         leave(client)
-        await ends_soon(server)
+        await assert_ends_soon(server)
         assert world.router.in_flight == 0 and len(world.upstream.peers) == 1
         world.close()
 
@@ -72,7 +73,7 @@
         server.send(EVENTS_HEAD + chunk(EVENT))
         await client.reader.readuntil(EVENT)
         leave(client)
-        await ends_soon(server)
+        await assert_ends_soon(server)
         assert world.router.in_flight == 0 and len(world.upstream.peers) == 1
         world.close()
 
@@ -81,7 +82,7 @@
 
 @pytest.mark.parametrize("leave", LEAVING)
 def test_a_client_that_leaves_with_more_requests_behind_is_seen_to(leave: Callable[[Peer], None]) -> None:
-    """So many that nothing more is read of it while the first is at work."""
+    """There are so many that the proxy reads no more from the client while the first is in progress."""
 
     async def scene() -> None:
         world = await WireWorld().start()
@@ -91,7 +92,7 @@
         await server.head()
         await until(lambda: world.server.deaf)
         leave(client)
-        await ends_soon(server)
+        await assert_ends_soon(server)
         await until(lambda: world.server.connections == 0)
         assert len(world.upstream.peers) == 1 and world.router.in_flight == 0
         world.close()
@@ -107,24 +108,24 @@
         client.send(request("/talk/x", b"t1"))
         server = await world.upstream.peer()
         await server.head()
-        server.send(EVENTS_HEAD + chunk(LARGE))
-        await until(lambda: world.stuck)
+        server.send(EVENTS_HEAD + chunk(LARGE_BODY))
+        await until(lambda: world.has_blocked_client)
         leave(client)
-        await ends_soon(server)
+        await assert_ends_soon(server)
         assert world.router.in_flight == 0
         world.close()
 
     play(scene())
 
 
-# UNASKED: a server that answers before it has read a long body, and reads on
+# Servers that answer before they have read a long body, and keep reading
 
 
 def test_behind_an_early_answer_the_rest_of_the_body_goes_on_or_the_connection_ends() -> None:
     async def scene() -> None:
         world = await WireWorld().start()
         client = await world.client()
-        client.send(request("/once/x", b"t1", LARGE))
+        client.send(request("/once/x", b"t1", LARGE_BODY))
         server = await world.upstream.peer()
         read = await server.head()
         server.send(head(503, b"t1", b"Cypresswinch-Not-Executed: 1", b"Content-Length: 0"))
@@ -132,16 +133,16 @@
         client.send(request("/once/x", b"t2"))
         other = await world.upstream.peer(1)
         assert b"cypresswinch-attempt-id: t2\r\n" in await other.head()
-        rest = await all_that_comes(server)
-        assert read.startswith(b"POST /once/x HTTP/1.1\r\n") and LARGE.startswith(rest)
-        assert len(rest) < len(LARGE)  # else this has shown nothing
+        rest = await read_to_end(server)
+        assert read.startswith(b"POST /once/x HTTP/1.1\r\n") and LARGE_BODY.startswith(rest)
+        assert len(rest) < len(LARGE_BODY)  # otherwise the body was not cut off
         world.close()
 
     play(scene())
 
 
 def test_behind_an_early_answer_the_next_request_follows_the_whole_body() -> None:
-    """A body that has left this process goes on by itself: the connection may be used again."""
+    """A body that was already written to the kernel is sent in any case, so the connection can be reused."""
 
     async def scene() -> None:
         world = await WireWorld().start()
@@ -154,15 +155,15 @@
         assert (await client.answer())[0] == 404
         client.send(request("/once/x", b"t2", b"next"))
         assert await server.reader.readexactly(len(body)) == body
-        again = await server.head()
-        assert b"cypresswinch-attempt-id: t2\r\n" in again
+        next_head = await server.head()
+        assert b"cypresswinch-attempt-id: t2\r\n" in next_head
         assert await server.reader.readexactly(4) == b"next"
         world.close()
 
     play(scene())
 
 
-# MIXED: answers without a length
+# Answers without a length
 
 
 @pytest.mark.parametrize("path", ["/once/x", "/talk/x"])
@@ -176,9 +177,9 @@
         await server.head()
         server.send(head(200, b"t1", b"Connection: close") + b"z" * size)
         server.close()
-        came = await all_that_comes(client)
-        assert came.startswith(b"HTTP/1.1 200 ") and came.count(b"z") == size
-        assert came.endswith(b"0\r\n\r\n") or b"Content-Length: %d\r\n" % size in came
+        received = await read_to_end(client)
+        assert received.startswith(b"HTTP/1.1 200 ") and received.count(b"z") == size
+        assert received.endswith(b"0\r\n\r\n") or b"Content-Length: %d\r\n" % size in received
         world.close()
 
     play(scene())
@@ -200,21 +201,21 @@
         if events or size > 200_000:
             await client.reader.readexactly(1)
         else:
-            await until(lambda: world.heard)
+            await until(lambda: world.has_answer_data)
         server.reset()
-        came = await all_that_comes(client)
-        assert not came.endswith(b"0\r\n\r\n") and not came.startswith(b"HTTP/1.1 200")
+        received = await read_to_end(client)
+        assert not received.endswith(b"0\r\n\r\n") and not received.startswith(b"HTTP/1.1 200")
         world.close()
 
     play(scene())
 
 
 @pytest.mark.parametrize("path", ["/talk/x", "/resume/x"])
-@pytest.mark.parametrize("kept", [0, 1, 9, len(EVENT) - 1, len(EVENT), len(EVENT) + 5, 2 * len(EVENT)])
+@pytest.mark.parametrize("sent_bytes", [0, 1, 9, len(EVENT) - 1, len(EVENT), len(EVENT) + 5, 2 * len(EVENT)])
 def test_events_that_end_with_their_connection_are_whole_only_behind_a_whole_event(
-    path: str, kept: int
+    path: str, sent_bytes: int
 ) -> None:
-    """A server that breaks off inside an event may do so by an orderly end."""
+    """A server that breaks off inside an event may close its connection cleanly."""
 
     async def scene() -> None:
         world = await WireWorld().start()
@@ -222,13 +223,13 @@
         client.send(request(path, b"t1", close=True))
         server = await world.upstream.peer()
         await server.head()
-        body = (EVENT + EVENT.replace(b"1", b"2"))[:kept]
+        body = (EVENT + EVENT.replace(b"1", b"2"))[:sent_bytes]
         server.send(head(200, b"t1", b"Connection: close", b"Content-Type: text/event-stream") + body)
         server.close()
-        came = await all_that_comes(client)
-        is_whole = kept in (len(EVENT), 2 * len(EVENT))
-        assert came.endswith(b"0\r\n\r\n") == is_whole
-        assert is_whole or path == "/talk/x" or came.count(b"data:") == came.count(b"word\n\n")
+        received = await read_to_end(client)
+        is_whole = sent_bytes in (len(EVENT), 2 * len(EVENT))
+        assert received.endswith(b"0\r\n\r\n") == is_whole
+        assert is_whole or path == "/talk/x" or received.count(b"data:") == received.count(b"word\n\n")
         world.close()
 
     play(scene())
--- a/tests/system/test_router_failures.py
+++ b/tests/system/test_router_failures.py
@@ -1,4 +1,4 @@
-"""What happens to a request when servers fail: what may be sent again, and what the client is told."""
+"""Requests whose servers fail: when they are sent again, and what the client is answered."""
 
 from __future__ import annotations
 
@@ -13,8 +13,9 @@
     return World().set_up()
 
 
-def refused(exchange: ScriptedExchange) -> bool:
-    """Told that it has not run, and when to come back; nothing bears a server's stamp."""
+def is_rejection(exchange: ScriptedExchange) -> bool:
+    """Whether the client was told that the request was not executed and when to retry, without a server's
+    signature."""
     stamped = exchange.field(b"cypresswinch-server-signature")
     return exchange.status == 503 and exchange.field(b"retry-after") is not None and stamped is None
 
@@ -60,7 +61,7 @@
     world.budget.left = 0
     exchange = world.ask("/once/x")
     world.last.answer(503, NOT_EXECUTED)
-    assert refused(exchange)
+    assert is_rejection(exchange)
     assert len(world.calls) == 1
     assert world.quota.refunded == [("a", 200)]
 
@@ -69,7 +70,7 @@
     exchange = world.ask("/once/x")
     for _ in range(3):
         world.last.answer(503, NOT_EXECUTED)
-    assert refused(exchange)
+    assert is_rejection(exchange)
     assert len(world.calls) == 3
     assert len({call.instance for call in world.calls}) == 3
 
@@ -170,13 +171,13 @@
     exchange = world.ask("/once/x")
     for _ in range(3):
         world.last.answer(421)
-    assert refused(exchange)
+    assert is_rejection(exchange)
 
 
 def test_with_no_server_the_answer_comes_at_once_and_costs_no_quota(world: World) -> None:
     world.router.servers_changed([world.server("desk", place, ready=False) for place in range(3)])
     exchange = world.ask("/once/x")
-    assert refused(exchange)
+    assert is_rejection(exchange)
     assert not world.quota.taken
 
 
@@ -191,7 +192,7 @@
         assert world.last.instance != running.instance
     running.answer(200, SIGNED, body=b"kept")
     assert (exchange.status, exchange.body) == (200, b"kept")
-    assert running.address in world.pool.kept
+    assert running.address in world.pool.kept_addresses
 
 
 def test_a_request_whose_server_drains_while_it_connects_goes_elsewhere(world: World) -> None:
@@ -234,7 +235,7 @@
 def test_at_the_deadline_what_was_never_sent_is_answered_with_503(world: World) -> None:
     exchange = world.ask("/once/x")
     world.clock.pass_ms(2100)
-    assert refused(exchange)
+    assert is_rejection(exchange)
     assert world.last.cancelled
 
 
--- a/tests/system/test_router_requests.py
+++ b/tests/system/test_router_requests.py
@@ -1,4 +1,4 @@
-"""What goes to a server, and what a client gets back when all goes well or nothing may be sent."""
+"""What is sent to a server, and what the client gets back if all goes well or if the request is rejected."""
 
 from __future__ import annotations
 
@@ -201,7 +201,7 @@
 def test_events_are_passed_on_as_they_come(world: World) -> None:
     exchange = world.ask("/talk/x")
     world.last.head(200, SIGNED, EVENTS)
-    assert not exchange.headers  # the head goes out with the first event
+    assert not exchange.headers  # the head is sent with the first event
     world.last.data(event(1))
     assert (exchange.status, exchange.body) == (200, event(1))
     world.last.data(event(2))
@@ -255,7 +255,7 @@
 
 
 def test_what_the_router_is_handed_fits() -> None:
-    """Checked by mypy: the ports are those of the pool and of the quota."""
+    """Checked by mypy: the pool and the quota implement the ports."""
     pool: type[Pool] = ConnectionPool
     quota: Quota = QuotaHolder(1, 0.0)
     assert pool
--- a/tests/system/test_router_streams.py
+++ b/tests/system/test_router_streams.py
@@ -1,4 +1,4 @@
-"""Streams that are continued at another server inside one answer, and the events that their bytes make up."""
+"""Streams that are resumed at another server within one answer, and the splitting of bytes into events."""
 
 from __future__ import annotations
 
@@ -112,7 +112,7 @@
 def test_a_long_answer_that_is_no_continuation_is_not_joined(
     world: World, status: int, fields: tuple[tuple[bytes, bytes], ...]
 ) -> None:
-    """Events of another status, and a body too long to be held back that is no events."""
+    """An event stream with another status, and a body without events that is too long to be buffered."""
     world.budget.left = 1
     exchange = world.ask("/resume/x")
     world.last.stream(event(1))
@@ -169,12 +169,12 @@
 LINE_ENDS = st.sampled_from([b"\n", b"\r\n"])
 FIELDS = st.sampled_from([b"data: x", b"id: 7", b"id:8", b": note", b"versions: 3", b"data:", b"event: y"])
 
-TAILS = st.sampled_from([b"", b"i", b"id: 9", b"data: hal", b": half a note"])  # of an event without its end
+TAILS = st.sampled_from([b"", b"i", b"id: 9", b"data: hal", b": half a note"])  # beginnings of an event
 
 
 @st.composite
 def streams(draw: st.DrawFn) -> tuple[list[bytes], bytes]:
-    """Whole events, and all their bytes."""
+    """Complete events, and all their bytes."""
     end = draw(LINE_ENDS)
     lines = draw(st.lists(st.lists(FIELDS, min_size=1, max_size=4), min_size=1, max_size=8))
     events = [b"".join(field + end for field in fields) + end for fields in lines]
@@ -194,7 +194,7 @@
         found += splitter.feed(data[start:cut])
         start = cut
     assert b"".join(found) + splitter.rest == data
-    # A line end may be counted to the event behind it, where it says nothing.
+    # A line end may become the beginning of the next event, where it has no meaning.
     assert [one.strip(b"\r\n") for one in found] == [one.strip(b"\r\n") for one in events]
 
 
@@ -232,7 +232,7 @@
     assert is_after(event(1), None)
     assert is_after(b"data: x\n\n", b"9")
     assert is_after(event(10), b"009") and not is_after(event(9), b"010")
-    assert is_after(b"id: " + b"9" * 5000 + b"\n\n", b"9" * 4999), "more digits than Python reads"
+    assert is_after(b"id: " + b"9" * 5000 + b"\n\n", b"9" * 4999), "more digits than `int` accepts"
 
 
 def test_an_event_without_end_is_passed_on_in_parts() -> None:
@@ -245,6 +245,6 @@
             splitter.passed_on(each)
             found.append(each)
             ended = not splitter.rest and each.startswith(b"id")
-            assert splitter.resumable == (ended and len(each) < 100), "none may go on inside of an event"
+            assert splitter.resumable == (ended and len(each) < 100), "not resumable inside an event"
     assert b"".join(found) + splitter.rest == b"".join(pieces)
     assert (splitter.last_id, splitter.resumable) == (b"3", True)
--- a/tests/system/test_told_deadlines.py
+++ b/tests/system/test_told_deadlines.py
@@ -1,58 +1,58 @@
-"""What a request has spent of its time before it came, and the rank that it gets at a server for it."""
+"""The estimate of the time that a request has spent before it arrived, and the rank that it gets for it."""
 
 from __future__ import annotations
 
 from random import Random
 
-from cloverrouter.router.told_deadlines import GENERATION, LEAST_KNOWN, ToldDeadlines
+from cloverrouter.router.told_deadlines import GENERATION_REQUESTS, MIN_REQUESTS, StatedDeadlines
 from tests.system.router_world import World
 
 TIMEOUT_MS = 2000.0
 
 
-def after_first_tries(count: int = 50, told_ms: float = 2000.0) -> ToldDeadlines:
-    told = ToldDeadlines()
+def history_of_first_tries(count: int = 50, stated_ms: float = 2000.0) -> StatedDeadlines:
+    history = StatedDeadlines()
     for _ in range(count):
-        assert told.spent_ms(told_ms, TIMEOUT_MS) == 0.0
-    return told
+        assert history.spent_ms(stated_ms, TIMEOUT_MS) == 0.0
+    return history
 
 
 def test_a_first_try_has_spent_nothing() -> None:
-    after_first_tries()
+    history_of_first_tries()
 
 
 def test_a_later_try_has_spent_what_it_tells_less() -> None:
-    assert after_first_tries().spent_ms(1200.0, TIMEOUT_MS) == 800.0
+    assert history_of_first_tries().spent_ms(1200.0, TIMEOUT_MS) == 800.0
 
 
 def test_the_clients_own_patience_counts_where_it_is_known_not_the_route_s() -> None:
-    told = ToldDeadlines()
-    for _ in range(LEAST_KNOWN):
-        told.spent_ms(1500.0, 9000.0)
-    assert told.spent_ms(1500.0, 9000.0) == 0.0
-    assert told.spent_ms(1000.0, 9000.0) == 500.0
+    history = StatedDeadlines()
+    for _ in range(MIN_REQUESTS):
+        history.spent_ms(1500.0, 9000.0)
+    assert history.spent_ms(1500.0, 9000.0) == 0.0
+    assert history.spent_ms(1000.0, 9000.0) == 500.0
 
 
 def test_a_process_that_has_just_started_goes_by_the_route() -> None:
-    assert ToldDeadlines().spent_ms(900.0, TIMEOUT_MS) == 1100.0
+    assert StatedDeadlines().spent_ms(900.0, TIMEOUT_MS) == 1100.0
 
 
 def test_nothing_is_told_of_clients_that_differ_in_their_patience() -> None:
-    random, told = Random(5), ToldDeadlines()
+    random, history = Random(5), StatedDeadlines()
     for _ in range(200):
-        told.spent_ms(random.choice((500.0, 700.0, 900.0, 2000.0)), TIMEOUT_MS)
-    assert told.spent_ms(500.0, TIMEOUT_MS) == 0.0
+        history.spent_ms(random.choice((500.0, 700.0, 900.0, 2000.0)), TIMEOUT_MS)
+    assert history.spent_ms(500.0, TIMEOUT_MS) == 0.0
 
 
 def test_a_patience_that_nobody_has_any_more_is_forgotten() -> None:
-    told = after_first_tries(told_ms=2000.0)
-    for _ in range(2 * GENERATION):
-        told.spent_ms(1900.0, TIMEOUT_MS)
-    assert told.spent_ms(1900.0, TIMEOUT_MS) == 0.0
+    history = history_of_first_tries(stated_ms=2000.0)
+    for _ in range(2 * GENERATION_REQUESTS):
+        history.spent_ms(1900.0, TIMEOUT_MS)
+    assert history.spent_ms(1900.0, TIMEOUT_MS) == 0.0
 
 
-def rank(world: World, told_ms: int, *fields: tuple[bytes, bytes]) -> bytes | None:
-    world.ask("/resume/x", (b"cypresswinch-deadline-ms", b"%d" % told_ms), *fields)
+def rank(world: World, stated_ms: int, *fields: tuple[bytes, bytes]) -> bytes | None:
+    world.ask("/resume/x", (b"cypresswinch-deadline-ms", b"%d" % stated_ms), *fields)
     return world.last.field(b"priority")
 
 
--- a/tests/system/wire_world.py
+++ b/tests/system/wire_world.py
@@ -1,4 +1,4 @@
-"""A router between real sockets on loopback: scripted clients on one side, scripted servers on the other."""
+"""A router between real sockets on the loopback interface, with scripted clients and scripted servers."""
 
 from __future__ import annotations
 
@@ -23,11 +23,11 @@
     route("talk", kind="streaming", timeout_ms=10_000),
     route("resume", kind="streaming", resumable=True, attempts=3, timeout_ms=10_000),
 )
-LARGEST_BODY = 64_000_000
+LARGEST_BODY_BYTES = 64_000_000
 
 
 class WireWorld:
-    """`start` it within a loop. All requests go to one scripted server."""
+    """A router whose requests all go to one scripted server. `start` must be called within an event loop."""
 
     def __init__(self, script: Callable[[Peer], Awaitable[None]] | None = None) -> None:
         self.upstream = Upstream(script)
@@ -50,7 +50,7 @@
         listed = ListedServer("desk-0", "desk", self.upstream.address, "east", 12, True)
         self.router.servers_changed([listed])
         self.server = Server(
-            self.router.handle, ServerLimits(body_bytes=LARGEST_BODY, held_bytes=LARGEST_BODY)
+            self.router.handle, ServerLimits(body_bytes=LARGEST_BODY_BYTES, held_bytes=LARGEST_BODY_BYTES)
         )
         self.address: Address = await self.server.listen("127.0.0.1", 0)
         return self
@@ -60,13 +60,13 @@
         self.pool.close()
 
     @property
-    def stuck(self) -> bool:
+    def has_blocked_client(self) -> bool:
         """Whether a client doesn't read its answer."""
         return any(connection.paused for connection in self.server._stages[Stage.STUCK])
 
     @property
-    def heard(self) -> bool:
-        """Whether a part of an answer has come from a server."""
+    def has_answer_data(self) -> bool:
+        """Whether a part of an answer has arrived from a server."""
         return any(connection._status for connection in self.pool.connections)
 
     async def client(self) -> Peer:
@@ -85,7 +85,7 @@
 
 
 def head(status: int, attempt_id: bytes, *lines: bytes) -> bytes:
-    """The beginning of a server's own answer."""
+    """The head of a server's own answer."""
     fields = b"".join(line + b"\r\n" for line in lines)
     own = b"Cypresswinch-Attempt-Id: %b\r\n%b" % (attempt_id, SIGNED_LINE)
     return b"HTTP/1.1 %d X\r\n%b%b\r\n" % (status, own, fields)
