--- a/cloverrouter/router/attempt.py
+++ b/cloverrouter/router/attempt.py
@@ -32,7 +32,7 @@
         ...
 
     def on_stream_start(
-        self, attempt: Attempt, status: int, headers: Headers, length: int | None, events: bool
+        self, attempt: Attempt, status: int, headers: Headers, length: int | None, has_events: bool
     ) -> None:
         """Handles the head of a successful answer that is forwarded as it arrives."""
         ...
@@ -118,11 +118,13 @@
             return
         self._record_load(headers)
         self._headers = end_to_end(headers)
-        events = is_event_stream(headers)
-        if events and is_unframed(headers, length):
+        has_events = is_event_stream(headers)
+        if has_events and is_unframed(headers, length):
             self._event_end = EventEndDetector()
-        if self.verdict is Verdict.GOOD and (events or (length or 0) > self.owner.max_buffered_answer_bytes):
-            self._begin_stream(length, events)
+        if self.verdict is Verdict.GOOD and (
+            has_events or (length or 0) > self.owner.max_buffered_answer_bytes
+        ):
+            self._begin_stream(length, has_events)
 
     def on_data(self, data: bytes) -> None:
         """Handles the next part of the body."""
@@ -182,9 +184,9 @@
         if load is not None and self.last_received_at is not None:
             self.server_state.update_load(load, self.last_received_at)
 
-    def _begin_stream(self, length: int | None, events: bool) -> None:
+    def _begin_stream(self, length: int | None, has_events: bool) -> None:
         self._streaming = True
-        self.owner.on_stream_start(self, self._status, self._headers, length, events)
+        self.owner.on_stream_start(self, self._status, self._headers, length, has_events)
 
     def _on_oversized_body(self) -> None:
         """Handles a body of unknown length that has outgrown the buffer for complete answers."""
@@ -192,7 +194,7 @@
             self._abort(End.SPOILT if self.verdict is Verdict.FAILED else End.REJECTED)
             return
         body, self._body = b"".join(self._body), []
-        self._begin_stream(None, events=False)
+        self._begin_stream(None, has_events=False)
         if not self.is_over:
             self.owner.on_stream_data(self, body)
 
--- a/cloverrouter/router/flight.py
+++ b/cloverrouter/router/flight.py
@@ -114,7 +114,7 @@
     def _wait_for_quota(self) -> None:
         """Waits until the tenant's quota may suffice, or rejects the request."""
         tenant = self.admitted.tenant
-        if self._quota.worth_waiting and tenant is not None:
+        if self._quota.should_wait and tenant is not None:
             self._retry_timer = self._router.call_later(self._quota.wait_s, self._try_send)
             self._router.register_quota_waiter(self, tenant.name)
         else:
@@ -207,21 +207,21 @@
         self._forward_answer(answer)
 
     def on_stream_start(
-        self, attempt: Attempt, status: int, headers: Headers, length: int | None, events: bool
+        self, attempt: Attempt, status: int, headers: Headers, length: int | None, has_events: bool
     ) -> None:
         """Forwards the server's successful answer as it arrives. Only an event stream can continue a
         stream."""
         relay = self._relay
         if relay is not None and relay.head_sent:
-            if not events or status != relay.status:
+            if not has_events or status != relay.status:
                 attempt.cancel()
                 self.on_attempt_failed(attempt, End.SPOILT, None)
                 return
         else:
-            resumable = events and self.admitted.route.may_repeat and self.admitted.route.resumable
+            resumable = has_events and self.admitted.route.may_repeat and self.admitted.route.resumable
             last_id = relay.last_id if relay is not None else None
             relay = self._relay = StreamRelay(self.exchange, resumable, last_id)
-        relay.opened(status, headers, None if events else length)
+        relay.opened(status, headers, None if has_events else length)
         if self.exchange.paused and attempt.call is not None:
             attempt.call.pause()
 
@@ -263,6 +263,7 @@
             self._finish_failed()
 
     def _may_retry(self) -> bool:
+        """Returns whether the request, or the rest of its stream, may be sent to another server."""
         if self._relay is not None and self._relay.head_sent and not self._relay.can_continue:
             return False
         if not self._may_send():
@@ -342,6 +343,7 @@
         self._finish_failed()
 
     def _on_client_gone(self) -> None:
+        """Ends the request of a client that has disconnected, and refunds its quota if it never ran."""
         attempt = self._attempt
         never_ran = not self._retry_state.may_have_run and (attempt is None or not attempt.may_have_run)
         self._close()
--- a/cloverrouter/router/patience.py
+++ b/cloverrouter/router/patience.py
@@ -26,7 +26,8 @@
 
 
 class HangDetector:
-    """Watches one attempt until it is over, and calls `abandon` when its server seems to hang."""
+    """Watches one attempt until it is over, and calls `abandon` when its server seems to hang. `abandon`
+    returns whether it gave up the attempt; if not, the watch goes on."""
 
     __slots__ = ("_abandon", "_attempt", "_call_later", "_clock", "_placement", "_timer")
 
--- a/cloverrouter/router/quota_turn.py
+++ b/cloverrouter/router/quota_turn.py
@@ -47,7 +47,7 @@
         return self.charged
 
     @property
-    def worth_waiting(self) -> bool:
+    def should_wait(self) -> bool:
         """Whether the wait is short enough to be waited out here."""
         return self.wait_s <= MAX_QUOTA_WAIT_S and self._charge_attempts <= MAX_QUOTA_WAITS
 
--- a/cloverrouter/router/relay.py
+++ b/cloverrouter/router/relay.py
@@ -12,8 +12,8 @@
 
 
 class StreamRelay:
-    """Forwards one answer. `last_id` is the id of the last event that the client has; initially the one
-    that it states itself."""
+    """Forwards one answer. `last_id` is the id of the last event that the client has: at first, the one
+    that the client itself stated."""
 
     __slots__ = (
         "_exchange",
--- a/cloverrouter/router/router.py
+++ b/cloverrouter/router/router.py
@@ -206,12 +206,12 @@
             wait_s = unconfigured_retry_after_s(self.clock() - self._started_at, self.random.random())
             self._respond(exchange, answers.SERVICE_UNAVAILABLE, answers.retry_after(wait_s))
             return
-        found = self._admission.admit(request, self.clock() <= self.keys_hold_until)
-        if isinstance(found, Rejection):
-            wait = found.retry_after_s
-            self._respond(exchange, found.status, answers.retry_after(wait) if wait is not None else None)
+        result = self._admission.admit(request, self.clock() <= self.keys_hold_until)
+        if isinstance(result, Rejection):
+            wait = result.retry_after_s
+            self._respond(exchange, result.status, answers.retry_after(wait) if wait is not None else None)
             return
-        active_request = ActiveRequest(self, exchange, found)
+        active_request = ActiveRequest(self, exchange, result)
         self._active_requests.add(active_request)
         active_request.start()
 
--- a/tests/system/test_pages_requests.py
+++ b/tests/system/test_pages_requests.py
@@ -257,7 +257,7 @@
     assert int(world.last.field(DEADLINE) or b"0") <= first_ms - 900
 
 
-def test_a_request_without_time_to_run_is_handed_to_nobody(world: World) -> None:
+def test_a_request_without_time_to_run_is_not_sent(world: World) -> None:
     exchange = world.ask("/once/x", (DEADLINE, b"%d" % (MIN_TIME_LEFT_MS - 1)))
     assert not world.calls and exchange.status == 503
 
@@ -349,7 +349,7 @@
 
 
 @pytest.mark.parametrize("phase", PHASES)
-def test_when_its_client_leaves_nothing_is_at_work_or_goes_out(world: World, phase: PhaseSetup) -> None:
+def test_when_its_client_leaves_the_attempt_ends_and_nothing_is_sent(world: World, phase: PhaseSetup) -> None:
     exchange = phase(world)
     call_in_progress = world.calls[-1] if world.calls and phase is not between_two_attempts else None
     sent_before = len(world.calls)
--- a/tests/system/test_pages_wire.py
+++ b/tests/system/test_pages_wire.py
@@ -46,7 +46,7 @@
 
 @pytest.mark.parametrize("leave", LEAVING)
 @pytest.mark.parametrize("path", ["/once/x", "/again/x", "/talk/x"])
-def test_a_server_at_work_is_let_go_when_the_client_leaves(path: str, leave: Callable[[Peer], None]) -> None:
+def test_the_server_connection_ends_when_the_client_leaves(path: str, leave: Callable[[Peer], None]) -> None:
     async def scene() -> None:
         world = await WireWorld().start()
         client = await world.client()
@@ -63,7 +63,7 @@
 
 @pytest.mark.parametrize("leave", LEAVING)
 @pytest.mark.parametrize("path", ["/talk/x", "/resume/x"])
-def test_a_stream_is_called_off_when_the_client_leaves(path: str, leave: Callable[[Peer], None]) -> None:
+def test_a_stream_is_cancelled_when_the_client_leaves(path: str, leave: Callable[[Peer], None]) -> None:
     async def scene() -> None:
         world = await WireWorld().start()
         client = await world.client()
@@ -81,7 +81,7 @@
 
 
 @pytest.mark.parametrize("leave", LEAVING)
-def test_a_client_that_leaves_with_more_requests_behind_is_seen_to(leave: Callable[[Peer], None]) -> None:
+def test_a_client_that_leaves_with_pipelined_requests_is_noticed(leave: Callable[[Peer], None]) -> None:
     """There are so many that the proxy reads no more from the client while the first is in progress."""
 
     async def scene() -> None:
@@ -101,7 +101,7 @@
 
 
 @pytest.mark.parametrize("leave", LEAVING)
-def test_a_client_that_leaves_without_reading_its_answer_is_seen_to(leave: Callable[[Peer], None]) -> None:
+def test_a_client_that_leaves_without_reading_its_answer_is_noticed(leave: Callable[[Peer], None]) -> None:
     async def scene() -> None:
         world = await WireWorld().start()
         client = await world.client()
--- a/tests/system/test_router_failures.py
+++ b/tests/system/test_router_failures.py
@@ -66,7 +66,7 @@
     assert world.quota.refunded == [("a", 200)]
 
 
-def test_a_wave_of_refusals_ends(world: World) -> None:
+def test_repeated_rejections_end_the_request(world: World) -> None:
     exchange = world.ask("/once/x")
     for _ in range(3):
         world.last.answer(503, NOT_EXECUTED)
@@ -143,7 +143,7 @@
     assert (exchange.status, exchange.body) == (502, b"")
 
 
-def test_a_large_answer_cut_short_is_torn_off(world: World) -> None:
+def test_a_large_answer_cut_short_is_aborted(world: World) -> None:
     exchange = world.ask("/again/x")
     world.last.head(200, SIGNED, length=500_000)
     world.last.data(b"half")
@@ -167,7 +167,7 @@
         world.last.answer(200, SIGNED)
 
 
-def test_a_421_is_never_handed_on(world: World) -> None:
+def test_a_421_is_never_forwarded(world: World) -> None:
     exchange = world.ask("/once/x")
     for _ in range(3):
         world.last.answer(421)
@@ -204,7 +204,7 @@
     assert world.budget.spent == 0
 
 
-def test_when_its_client_leaves_the_server_is_let_go(world: World) -> None:
+def test_when_its_client_leaves_the_attempt_is_cancelled(world: World) -> None:
     exchange = world.ask("/again/x")
     world.last.write()
     exchange.leave()
@@ -214,7 +214,7 @@
     assert len(world.calls) == 1
 
 
-def test_a_client_that_left_while_connecting_costs_the_server_nothing(world: World) -> None:
+def test_nothing_is_sent_for_a_client_that_left_while_connecting(world: World) -> None:
     exchange = world.ask("/once/x")
     exchange.left = True
     assert not world.last.write()
--- a/tests/system/test_router_patience.py
+++ b/tests/system/test_router_patience.py
@@ -87,7 +87,7 @@
     assert not world.last.cancelled
 
 
-def test_without_a_retry_to_spend_it_is_waited_for(world: World) -> None:
+def test_without_retry_budget_a_hung_server_is_waited_for(world: World) -> None:
     world.budget.left = 0
     world.ask("/again/x")
     world.last.write()
@@ -95,7 +95,7 @@
     assert not world.last.cancelled and len(world.calls) == 1
 
 
-def test_with_no_other_server_to_ask_it_is_waited_for(world: World) -> None:
+def test_without_another_server_a_hung_server_is_waited_for(world: World) -> None:
     exchange = world.ask("/again/x")
     first = world.last
     first.answer(503, NOT_EXECUTED)
--- a/tests/system/test_router_requests.py
+++ b/tests/system/test_router_requests.py
@@ -254,7 +254,7 @@
     assert not bare.router.ready()
 
 
-def test_what_the_router_is_handed_fits() -> None:
+def test_the_pool_and_the_quota_implement_the_ports() -> None:
     """Checked by mypy: the pool and the quota implement the ports."""
     pool: type[Pool] = ConnectionPool
     quota: Quota = QuotaHolder(1, 0.0)
--- a/tests/system/test_router_streams.py
+++ b/tests/system/test_router_streams.py
@@ -65,7 +65,7 @@
     assert world.last.field(b"last-event-id") == b"3"
 
 
-def test_a_stream_that_may_not_be_continued_is_torn_off(world: World) -> None:
+def test_a_stream_that_may_not_be_continued_is_aborted(world: World) -> None:
     exchange = world.ask("/talk/x")
     world.last.stream(event(1), event(2)[:5])
     world.last.fail(Failure.BROKEN)
@@ -74,7 +74,7 @@
     assert len(world.calls) == 1
 
 
-def test_a_stream_that_nobody_can_continue_is_torn_off(world: World) -> None:
+def test_a_stream_that_nobody_can_continue_is_aborted(world: World) -> None:
     world.budget.left = 0
     exchange = world.ask("/resume/x")
     world.last.stream(event(1))
@@ -141,7 +141,7 @@
     assert not exchange.aborted
 
 
-def test_a_stream_that_goes_on_past_its_deadline_is_torn_off(world: World) -> None:
+def test_a_stream_that_goes_on_past_its_deadline_is_aborted(world: World) -> None:
     exchange = world.ask("/resume/x")
     world.last.stream(event(1))
     world.clock.pass_ms(2100)
--- a/tests/system/test_told_deadlines.py
+++ b/tests/system/test_told_deadlines.py
@@ -21,11 +21,11 @@
     history_of_first_tries()
 
 
-def test_a_later_try_has_spent_what_it_tells_less() -> None:
+def test_a_retry_has_spent_the_difference_to_the_full_timeout() -> None:
     assert history_of_first_tries().spent_ms(1200.0, TIMEOUT_MS) == 800.0
 
 
-def test_the_clients_own_patience_counts_where_it_is_known_not_the_route_s() -> None:
+def test_the_timeout_of_clients_counts_once_it_is_known() -> None:
     history = StatedDeadlines()
     for _ in range(MIN_REQUESTS):
         history.spent_ms(1500.0, 9000.0)
@@ -37,14 +37,14 @@
     assert StatedDeadlines().spent_ms(900.0, TIMEOUT_MS) == 1100.0
 
 
-def test_nothing_is_told_of_clients_that_differ_in_their_patience() -> None:
+def test_nothing_is_estimated_for_clients_with_different_timeouts() -> None:
     random, history = Random(5), StatedDeadlines()
     for _ in range(200):
         history.spent_ms(random.choice((500.0, 700.0, 900.0, 2000.0)), TIMEOUT_MS)
     assert history.spent_ms(500.0, TIMEOUT_MS) == 0.0
 
 
-def test_a_patience_that_nobody_has_any_more_is_forgotten() -> None:
+def test_a_timeout_that_no_client_uses_any_more_is_forgotten() -> None:
     history = history_of_first_tries(stated_ms=2000.0)
     for _ in range(2 * GENERATION_REQUESTS):
         history.spent_ms(1900.0, TIMEOUT_MS)
