--- a/cloverrouter/daemon/control_plane.py
+++ b/cloverrouter/daemon/control_plane.py
@@ -276,7 +276,7 @@
         bounds = self._settings.bounds
         if bounds.enforces_revocation:
             known_s = self.subscriber.complete_as_of() + bounds.revocation_s
-            self.traffic.router.keys_hold_until = known_s - REVOCATION_MARGIN_S
+            self.traffic.router.keys_valid_until = known_s - REVOCATION_MARGIN_S
 
     def _look(self, now: float) -> None:
         """Pass on what was discovered, and how many proxies there are."""
@@ -342,13 +342,13 @@
 
     def _tell_placement(self, ip: str) -> None:
         """Tell a proxy of the own zone what is known of servers and requests."""
-        news = self.traffic.router.placement_news()
+        news = self.traffic.router.outgoing_placement_update()
         if news is not None:
             self.transport.send(ip, news)
 
     def _on_placement(self, now: float, ip: str, message: object) -> None:
         assert isinstance(message, placement_messages.PlacementNews)
-        self.traffic.router.placement_told(message)
+        self.traffic.router.apply_placement_update(message)
 
     def _on_registry(self, now: float, ip: str, message: object) -> None:
         self._registered(self.registry.receive(now, ip, message))
--- a/cloverrouter/daemon/drain.py
+++ b/cloverrouter/daemon/drain.py
@@ -18,7 +18,7 @@
         """Those that are not answered yet."""
         ...
 
-    def end_flights(self) -> None:
+    def end_requests(self) -> None:
         """Give each the answer that is true of it now."""
         ...
 
@@ -36,5 +36,5 @@
         await sleep(END_LOOK_S)
         quiet = 0 if is_busy() else quiet + 1
     if requests.in_flight:
-        requests.end_flights()
+        requests.end_requests()
         await sleep(LAST_WORDS_S)
--- a/cloverrouter/daemon/node.py
+++ b/cloverrouter/daemon/node.py
@@ -70,7 +70,7 @@
         if self._stopping.is_set():
             return
         self._ends_at = self._looked_at + self._settings.bounds.grace_period_s - END_MARGIN_S
-        self._traffic.router.leave(self._ends_at)
+        self._traffic.router.begin_shutdown(self._ends_at)
         self._stopping.set()
 
     def reload(self) -> None:
--- a/cloverrouter/daemon/traffic.py
+++ b/cloverrouter/daemon/traffic.py
@@ -77,7 +77,7 @@
             self.traces,
         )
         self.trouble = FailureReporter(settings.zone)
-        self.router.on_trouble = self._trouble_met
+        self.router.on_server_failure = self._trouble_met
         self.rests = IdleResetReporter()
         self._pool.on_forgotten = self._connection_forgotten
         self.on_trouble: Callable[[], None] = _nothing
@@ -97,7 +97,7 @@
             self._sender(ip, message)
 
     def _quota_woken(self, tenant: str) -> None:
-        self.router.quota_woken(tenant)
+        self.router.on_quota_update(tenant)
 
     def configure(self, configuration: Configuration) -> None:
         """A configuration is in force from now on."""
@@ -157,7 +157,7 @@
         if isinstance(warning, RestWarning):
             self._pool.rest_at_most(warning.limit_ms / 1000, warning.for_ms / 1000)
         elif warning.zone in ("", self._settings.zone):
-            self.router.warned(warning.ids, warning.for_ms / 1000)
+            self.router.apply_warning(warning.ids, warning.for_ms / 1000)
 
     def instances_changed(self, instances: Iterable[Instance], is_silent: Callable[[str], bool]) -> None:
         """Servers are new, changed or gone."""
--- a/cloverrouter/fuzz/event_streams.py
+++ b/cloverrouter/fuzz/event_streams.py
@@ -74,11 +74,11 @@
     splitter, found = EventSplitter(), list[bytes]()
     for part in parts:
         for event in splitter.feed(part):
-            splitter.passed_on(event)
+            splitter.record_forwarded(event)
             found.append(event.strip(BLANK))
     return (
         [event for event in found if event],
-        splitter.rest.lstrip(BLANK),
+        splitter.remainder.lstrip(BLANK),
         splitter.last_id,
         splitter.resumable,
     )
@@ -87,7 +87,7 @@
 def _check_relay(data: bytes, parts: Sequence[bytes], resumable: bool) -> None:
     client = _Exchange()
     relay = StreamRelay(cast(Any, client), resumable)
-    relay.opened(200, [], None)
+    relay.on_head(200, [], None)
     for part in parts:
         relay.feed(part)
     relay.end()
@@ -99,13 +99,13 @@
     """The stream breaks off after some pieces and comes again whole: no event with a known id comes twice."""
     client = _Exchange()
     relay = StreamRelay(cast(Any, client), resumable=True)
-    relay.opened(200, [], None)
+    relay.on_head(200, [], None)
     for part in parts[: random.randrange(len(parts) + 1)]:
         relay.feed(part)
     if not relay.can_continue:
         return
     had, last_id = len(client.body), relay.last_id
-    relay.opened(200, [], None)
+    relay.on_head(200, [], None)
     for part in parts:
         relay.feed(part)
     first = EventSplitter().feed(client.body[had:] + b"\n\n")[:1]
--- a/cloverrouter/fuzz/http_requests.py
+++ b/cloverrouter/fuzz/http_requests.py
@@ -76,7 +76,7 @@
 def _check_request(request: Request) -> None:
     expect(request.target.startswith(b"/"), "a target that is no path")
     expect(len(request.body) <= LIMITS.body_bytes, "a body above its limit")
-    for read in (headers.bearer_key, headers.has_one_id, headers.deadline_ms, headers.token_usage):
+    for read in (headers.bearer_key, headers.has_single_attempt_id, headers.deadline_ms, headers.token_usage):
         read(request)
     headers.text(request, headers.PROMPT_PREFIX)
     head, rest = headers.encode_request(request, "tenant", 3)
--- a/cloverrouter/router/flight.py
+++ b/cloverrouter/router/active_request.py
@@ -13,15 +13,15 @@
 from cloverrouter.placement.servers import ServerState
 from cloverrouter.placement.shutdown import shutdown_retry_after_s
 from cloverrouter.router import answers
-from cloverrouter.router.admitted import AdmittedRequest
+from cloverrouter.router.admitted_request import AdmittedRequest
 from cloverrouter.router.attempt import Attempt
-from cloverrouter.router.flight_host import RequestHost
+from cloverrouter.router.hang_detection import MIN_TIME_LEFT_S, HangDetector
 from cloverrouter.router.headers import ATTEMPT_ID, DEADLINE, EXPECTED_INSTANCE, LAST_EVENT_ID, encode_request
-from cloverrouter.router.patience import MIN_TIME_LEFT_S, HangDetector
 from cloverrouter.router.ports import Timer
-from cloverrouter.router.quota_turn import QuotaCharge
+from cloverrouter.router.quota_charge import QuotaCharge
 from cloverrouter.router.relay import StreamRelay
-from cloverrouter.router.tries import RetryState
+from cloverrouter.router.request_host import RequestHost
+from cloverrouter.router.retry_state import RetryState
 from cloverrouter.router.verdict import Answer, End
 
 
@@ -120,7 +120,7 @@
         else:
             self._respond(answers.TOO_MANY_REQUESTS, answers.retry_after(self._quota.retry_after_s))
 
-    def quota_woken(self) -> None:
+    def on_quota_update(self) -> None:
         """Retries now that the tenant's quota was updated.
 
         A request that was charged already was sent when its timer fired; sending it here too would execute it
@@ -221,7 +221,7 @@
             resumable = has_events and self.admitted.route.may_repeat and self.admitted.route.resumable
             last_id = relay.last_id if relay is not None else None
             relay = self._relay = StreamRelay(self.exchange, resumable, last_id)
-        relay.opened(status, headers, None if has_events else length)
+        relay.on_head(status, headers, None if has_events else length)
         if self.exchange.paused and attempt.call is not None:
             attempt.call.pause()
 
--- a/cloverrouter/router/events.py
+++ b/cloverrouter/router/events.py
@@ -34,7 +34,7 @@
         fields has an id."""
 
     @property
-    def rest(self) -> bytes:
+    def remainder(self) -> bytes:
         """The beginning of an event whose end has not arrived."""
         return self._remainder
 
@@ -56,7 +56,7 @@
         self._search_start = max(0, len(self._remainder) - 2)
         return events
 
-    def passed_on(self, event: bytes) -> None:
+    def record_forwarded(self, event: bytes) -> None:
         """Records that the event was forwarded to the client."""
         was_inside_event, self._inside_event = self._inside_event, not event.endswith(_EVENT_TERMINATORS)
         if was_inside_event or self._inside_event:
--- a/cloverrouter/router/headers.py
+++ b/cloverrouter/router/headers.py
@@ -58,7 +58,7 @@
     return value[len(BEARER) :].strip()
 
 
-def has_one_id(request: Request) -> bool:
+def has_single_attempt_id(request: Request) -> bool:
     """Returns whether the request carries exactly one attempt id, and it is not empty."""
     return request.count(ATTEMPT_ID) == 1 and bool(request.header(ATTEMPT_ID))
 
--- a/cloverrouter/router/quota_turn.py
+++ b/cloverrouter/router/quota_charge.py
@@ -4,7 +4,7 @@
 
 from typing import Protocol
 
-from cloverrouter.router.admitted import AdmittedRequest
+from cloverrouter.router.admitted_request import AdmittedRequest
 
 MAX_QUOTA_WAIT_S = 0.03
 """Longest wait for more quota, in seconds; a request that would wait longer is rejected."""
--- a/cloverrouter/router/relay.py
+++ b/cloverrouter/router/relay.py
@@ -46,7 +46,7 @@
         """Whether another server can continue after what the client has."""
         return self._splitter is not None and self._splitter.resumable
 
-    def opened(self, status: int, headers: Headers, length: int | None) -> None:
+    def on_head(self, status: int, headers: Headers, length: int | None) -> None:
         """Handles the head of an answer from a server that begins or continues the stream."""
         self.has_forwarded = False
         if self._splitter is not None:
@@ -66,13 +66,13 @@
         if not events:
             return
         for event in events:
-            self._splitter.passed_on(event)
+            self._splitter.record_forwarded(event)
         self._write(events[0] if len(events) == 1 else b"".join(events))
 
     def end(self) -> None:
         """Ends the answer, which is complete."""
-        if self._splitter is not None and self._splitter.rest:
-            self._write(self._splitter.rest)
+        if self._splitter is not None and self._splitter.remainder:
+            self._write(self._splitter.remainder)
         self._send_head()
         self._exchange.end()
 
--- a/cloverrouter/router/intake.py
+++ b/cloverrouter/router/request_admission.py
@@ -13,7 +13,7 @@
 from cloverrouter.placement.options import PlacementOptions
 from cloverrouter.placement.prefix import NO_PROMPT, Prompt, mix, parse_prompt
 from cloverrouter.router import answers
-from cloverrouter.router.admitted import AdmittedRequest
+from cloverrouter.router.admitted_request import AdmittedRequest
 from cloverrouter.router.headers import (
     LAST_EVENT_ID,
     MODEL,
@@ -24,7 +24,7 @@
     token_usage,
 )
 from cloverrouter.router.ranks import LOWEST_RANK, Ranks
-from cloverrouter.router.told_deadlines import StatedDeadlines
+from cloverrouter.router.stated_deadlines import StatedDeadlines
 
 SPLIT_SALT = 0x5DEECE66D
 STALE_KEYS_RETRY_AFTER_S = 0.3
--- a/cloverrouter/router/flight_host.py
+++ b/cloverrouter/router/request_host.py
@@ -9,11 +9,11 @@
 from cloverrouter.http.client import Call
 from cloverrouter.placement.options import PlacementOptions
 from cloverrouter.placement.pick import ServicePlacement
-from cloverrouter.router.admitted import AdmittedRequest
+from cloverrouter.router.admitted_request import AdmittedRequest
 from cloverrouter.router.attempt import Attempt
 from cloverrouter.router.bounds import RouterBounds
 from cloverrouter.router.ports import Budget, CallLater, Clock, Recorder
-from cloverrouter.router.quota_turn import TenantQuotas
+from cloverrouter.router.quota_charge import TenantQuotas
 from cloverrouter.router.verdict import End
 
 
@@ -31,7 +31,7 @@
         """Ends the request now."""
         ...
 
-    def quota_woken(self) -> None:
+    def on_quota_update(self) -> None:
         """Retries now that the tenant's quota was updated."""
         ...
 
--- a/cloverrouter/router/router.py
+++ b/cloverrouter/router/router.py
@@ -25,13 +25,11 @@
     may_begin,
 )
 from cloverrouter.router import answers
-from cloverrouter.router.admitted import AdmittedRequest
+from cloverrouter.router.active_request import ActiveRequest
+from cloverrouter.router.admitted_request import AdmittedRequest
 from cloverrouter.router.attempt import Attempt
 from cloverrouter.router.bounds import RouterBounds
-from cloverrouter.router.flight import ActiveRequest
-from cloverrouter.router.flight_host import HostedRequest
-from cloverrouter.router.headers import ATTEMPT_ID, has_one_id
-from cloverrouter.router.intake import Rejection, RequestAdmission
+from cloverrouter.router.headers import ATTEMPT_ID, has_single_attempt_id
 from cloverrouter.router.ports import (
     NO_RECORD,
     Budget,
@@ -43,6 +41,8 @@
     Recorder,
     no_log,
 )
+from cloverrouter.router.request_admission import Rejection, RequestAdmission
+from cloverrouter.router.request_host import HostedRequest
 from cloverrouter.router.verdict import End, Verdict
 
 FIRST_SERVER_ERROR = 500
@@ -76,12 +76,12 @@
         self.bounds = bounds
         self.budget = budget
         self.recorder = recorder
-        self.on_trouble: Callable[[str], None] = lambda instance_id: None
+        self.on_server_failure: Callable[[str], None] = lambda instance_id: None
         """Called with the id of an instance that failed a request."""
         self.is_behind = False
         """Newer configurations are known to be in force, but this process has not received one for too
         long."""
-        self.keys_hold_until = math.inf
+        self.keys_valid_until = math.inf
         """API keys are accepted until this time on the monotonic clock. Later a key may have been revoked
         without this proxy having learned of it."""
         self._shutdown: ShutdownWindow | None = None
@@ -132,17 +132,17 @@
             {address for one in self._placements.values() for address in one.servers.addresses()}
         )
 
-    def warned(self, ids: Iterable[str], span_s: float) -> None:
+    def apply_warning(self, ids: Iterable[str], span_s: float) -> None:
         """Avoids instances that other proxies found failing, for about `span_s` seconds."""
         now = self.clock()
         for placement in self._placements.values():
             placement.apply_warning(ids, span_s, now)
 
-    def placement_news(self) -> PlacementNews | None:
+    def outgoing_placement_update(self) -> PlacementNews | None:
         """Returns the update about servers and requests for other proxies; None if there is none."""
         return placement_exchange.outgoing_update(self._placements, self.clock())
 
-    def placement_told(self, update: PlacementNews) -> None:
+    def apply_placement_update(self, update: PlacementNews) -> None:
         """Applies an update about servers and requests from another proxy."""
         placement_exchange.apply_update(update, self._placements, self.clock())
 
@@ -151,19 +151,19 @@
         now = self.clock()
         for placement in self._placements.values():
             for instance_id in placement.overdue(now):
-                self.on_trouble(instance_id)
+                self.on_server_failure(instance_id)
 
-    def quota_woken(self, tenant: str) -> None:
+    def on_quota_update(self, tenant: str) -> None:
         """Lets requests that wait for the tenant's quota ask again after an update."""
         for active_request in self._waiting_for_quota.pop(tenant, {}):
-            active_request.quota_woken()
+            active_request.on_quota_update()
 
-    def leave(self, ends_at: float) -> None:
+    def begin_shutdown(self, ends_at: float) -> None:
         """Begins the shutdown; the process ends at `ends_at`. From now on answers close their connections,
         and a request is sent only if it is expected to finish by then."""
         self._shutdown = ShutdownWindow(self.clock(), ends_at)
 
-    def end_flights(self) -> None:
+    def end_requests(self) -> None:
         """Ends all requests in progress when the process ends, each with an answer that tells whether it
         may have run."""
         for active_request in list(self._active_requests):
@@ -199,14 +199,14 @@
     def handle(self, exchange: Exchange) -> None:
         """Answers an exchange, now or later."""
         request = exchange.request
-        if not has_one_id(request):
+        if not has_single_attempt_id(request):
             self._respond(exchange, answers.BAD_REQUEST)
             return
         if self._admission is None:
             wait_s = unconfigured_retry_after_s(self.clock() - self._started_at, self.random.random())
             self._respond(exchange, answers.SERVICE_UNAVAILABLE, answers.retry_after(wait_s))
             return
-        result = self._admission.admit(request, self.clock() <= self.keys_hold_until)
+        result = self._admission.admit(request, self.clock() <= self.keys_valid_until)
         if isinstance(result, Rejection):
             wait = result.retry_after_s
             self._respond(exchange, result.status, answers.retry_after(wait) if wait is not None else None)
@@ -320,10 +320,10 @@
             self.placement(admitted.service).servers.remove_displaced(server_state)
         elif end in (End.UNREACHED, End.LOST, End.SPOILT):
             server_state.record_lost_connection(self.clock())
-            self.on_trouble(server_state.server.id)
+            self.on_server_failure(server_state.server.id)
         elif end is End.FAILED and attempt.status >= FIRST_SERVER_ERROR:
             server_state.record_error(self.clock())
-            self.on_trouble(server_state.server.id)
+            self.on_server_failure(server_state.server.id)
         elif end is not End.UNSENT:
             server_state.reduce_payoff(self.clock())
 
@@ -331,7 +331,7 @@
         """Records that a server did not answer before the deadline."""
         if attempt.last_received_at is None:
             attempt.server_state.record_no_answer(self.clock())
-            self.on_trouble(attempt.server_state.server.id)
+            self.on_server_failure(attempt.server_state.server.id)
         else:
             attempt.server_state.reduce_payoff()
 
--- a/tests/system/test_leaving_process.py
+++ b/tests/system/test_leaving_process.py
@@ -47,7 +47,7 @@
 def leave(world: World, grace_s: float = GRACE_S) -> float:
     """SIGTERM; when the process will end."""
     ends_at = world.clock() + grace_s
-    world.router.leave(ends_at)
+    world.router.begin_shutdown(ends_at)
     return ends_at
 
 
@@ -204,7 +204,7 @@
         call.data(event(number))
     call.data(b"id: 8\ndata: ha")
     world.clock.pass_ms((ends_at - world.clock()) * 1000)
-    world.router.end_flights()
+    world.router.end_requests()
     assert exchange.aborted
     assert exchange.body == b"".join(event(number) for number in range(1, 8))
 
@@ -287,7 +287,7 @@
     world.last.stream(event(1), b"id: 2\ndata: ha")
     leave(world, 0.5)
     world.clock.pass_ms(500)
-    world.router.end_flights()
+    world.router.end_requests()
     assert running.status == 502
     assert call.cancelled
     assert unsent_call is not None
@@ -303,7 +303,7 @@
     assert call is not None
     call.head(503, NOT_EXECUTED, length=4)
     leave(world, 0.1)
-    world.router.end_flights()
+    world.router.end_requests()
     assert_refused(exchange)
 
 
@@ -334,7 +334,7 @@
     def in_flight(self) -> int:
         return int(self._clock() < self._until and self.ended_at is None)
 
-    def end_flights(self) -> None:
+    def end_requests(self) -> None:
         self.ended_at = self._clock()
 
 
@@ -394,7 +394,7 @@
     async def scene() -> None:
         process = node(tmp_path)
         told: list[float] = []
-        monkeypatch.setattr(process._traffic.router, "leave", told.append)
+        monkeypatch.setattr(process._traffic.router, "begin_shutdown", told.append)
         now = asyncio.get_running_loop().time()
         process.stop()
         process.stop()
--- a/tests/system/test_pages_requests.py
+++ b/tests/system/test_pages_requests.py
@@ -357,7 +357,7 @@
     assert call_in_progress is None or call_in_progress.cancelled
     assert world.router.in_flight == 0
     world.quota.waits = []
-    world.router.quota_woken("a")
+    world.router.on_quota_update("a")
     world.clock.pass_ms(10_000)
     assert len(world.calls) == sent_before
 
--- a/tests/system/test_revocation.py
+++ b/tests/system/test_revocation.py
@@ -77,14 +77,14 @@
 
 def limited(enforced: bool, complete_as_of: float) -> float:
     """Until when keys are taken."""
-    router = SimpleNamespace(keys_hold_until=math.inf)
+    router = SimpleNamespace(keys_valid_until=math.inf)
     plane: Any = SimpleNamespace(
         _settings=SimpleNamespace(bounds=SimpleNamespace(enforces_revocation=enforced, revocation_s=5.0)),
         subscriber=SimpleNamespace(complete_as_of=lambda: complete_as_of),
         traffic=SimpleNamespace(router=router),
     )
     ControlPlane._limit_keys(plane)
-    return float(router.keys_hold_until)
+    return float(router.keys_valid_until)
 
 
 def test_keys_hold_for_as_long_as_a_revocation_may_be_late() -> None:
@@ -95,7 +95,7 @@
 
 def test_a_key_that_may_have_been_taken_away_is_not_taken() -> None:
     world = World().set_up()
-    world.router.keys_hold_until = world.clock() + 1.0
+    world.router.keys_valid_until = world.clock() + 1.0
     assert not world.ask("/once/x").status
     world.clock.pass_ms(1500)
     refused = world.ask("/once/x")
@@ -107,7 +107,7 @@
 
 def test_routes_for_everybody_are_served_on() -> None:
     world = World().set_up()
-    world.router.keys_hold_until = world.clock() - 1.0
+    world.router.keys_valid_until = world.clock() - 1.0
     world.ask("/open/x", key=None)
     assert len(world.calls) == 1
 
--- a/tests/system/test_router_patience.py
+++ b/tests/system/test_router_hung_servers.py
@@ -5,7 +5,7 @@
 import attrs
 import pytest
 
-from cloverrouter.router.patience import FIRST_BYTE_TIMEOUT_S, STALL_TIMEOUT_S
+from cloverrouter.router.hang_detection import FIRST_BYTE_TIMEOUT_S, STALL_TIMEOUT_S
 from tests.system.router_world import CONFIGURATION, EVENTS, NOT_EXECUTED, SIGNED, World, event
 
 FIRST_BYTE_TIMEOUT_MS = FIRST_BYTE_TIMEOUT_S * 1000
--- a/tests/system/test_router_requests.py
+++ b/tests/system/test_router_requests.py
@@ -156,7 +156,7 @@
     world.quota.waits = [0.02]
     world.ask("/once/x")
     assert not world.calls
-    world.router.quota_woken("a")
+    world.router.on_quota_update("a")
     assert len(world.calls) == 1
     world.clock.pass_ms(100)
     assert len(world.calls) == 1
@@ -168,7 +168,7 @@
     world.ask("/once/x")
     world.clock.pass_ms(25)
     assert len(world.calls) == 1
-    world.router.quota_woken("a")
+    world.router.on_quota_update("a")
     assert len(world.calls) == 1
     assert len(world.quota.taken) == 1
 
@@ -241,7 +241,7 @@
 
 def test_while_draining_answers_end_their_connections(world: World) -> None:
     exchange = world.ask("/once/x")
-    world.router.leave(world.clock() + 7.0)
+    world.router.begin_shutdown(world.clock() + 7.0)
     world.last.answer(200, SIGNED, body=b"x")
     assert exchange.closed
     assert not world.router.ready()
--- a/tests/system/test_router_tries.py
+++ b/tests/system/test_router_retry_state.py
@@ -4,7 +4,7 @@
 
 from random import Random
 
-from cloverrouter.router.tries import RetryState
+from cloverrouter.router.retry_state import RetryState
 from cloverrouter.router.verdict import End
 from tests.system.router_world import FakeBudget, route
 
--- a/tests/system/test_router_streams.py
+++ b/tests/system/test_router_streams.py
@@ -193,7 +193,7 @@
     for cut in [*sorted(min(cut, len(data)) for cut in cuts), len(data)]:
         found += splitter.feed(data[start:cut])
         start = cut
-    assert b"".join(found) + splitter.rest == data
+    assert b"".join(found) + splitter.remainder == data
     # A line end may become the beginning of the next event, where it has no meaning.
     assert [one.strip(b"\r\n") for one in found] == [one.strip(b"\r\n") for one in events]
 
@@ -206,7 +206,7 @@
     for cut in [*sorted(min(cut, len(data)) for cut in cuts), len(data)]:
         found += b"".join(splitter.feed(data[start:cut]))
         start = cut
-    assert found + splitter.rest == data
+    assert found + splitter.remainder == data
 
 
 @pytest.mark.parametrize(
@@ -240,11 +240,11 @@
     found: list[bytes] = []
     pieces = [event(1), b"id: 2\ndata: ", *[b"x" * 65536] * 40, b"\n\n", event(3)]
     for piece in pieces:
-        assert len(splitter.rest) <= MAX_EVENT_BYTES
+        assert len(splitter.remainder) <= MAX_EVENT_BYTES
         for each in splitter.feed(piece):
-            splitter.passed_on(each)
+            splitter.record_forwarded(each)
             found.append(each)
-            ended = not splitter.rest and each.startswith(b"id")
+            ended = not splitter.remainder and each.startswith(b"id")
             assert splitter.resumable == (ended and len(each) < 100), "not resumable inside an event"
-    assert b"".join(found) + splitter.rest == b"".join(pieces)
+    assert b"".join(found) + splitter.remainder == b"".join(pieces)
     assert (splitter.last_id, splitter.resumable) == (b"3", True)
--- a/tests/system/test_told_deadlines.py
+++ b/tests/system/test_stated_deadlines.py
@@ -4,7 +4,7 @@
 
 from random import Random
 
-from cloverrouter.router.told_deadlines import GENERATION_REQUESTS, MIN_REQUESTS, StatedDeadlines
+from cloverrouter.router.stated_deadlines import GENERATION_REQUESTS, MIN_REQUESTS, StatedDeadlines
 from tests.system.router_world import World
 
 TIMEOUT_MS = 2000.0
