--- a/tests/system/test_router_requests.py
+++ b/tests/system/test_router_requests.py
@@ -1,4 +1,4 @@
-"""What goes to a server, and what a client gets back when all goes well or nothing may be sent."""
+"""What is sent to a server, and what the client gets back if all goes well or if the request is rejected."""
 
 from __future__ import annotations
 
@@ -156,7 +156,7 @@
     world.quota.waits = [0.02]
     world.ask("/once/x")
     assert not world.calls
-    world.router.quota_woken("a")
+    world.router.on_quota_update("a")
     assert len(world.calls) == 1
     world.clock.pass_ms(100)
     assert len(world.calls) == 1
@@ -168,7 +168,7 @@
     world.ask("/once/x")
     world.clock.pass_ms(25)
     assert len(world.calls) == 1
-    world.router.quota_woken("a")
+    world.router.on_quota_update("a")
     assert len(world.calls) == 1
     assert len(world.quota.taken) == 1
 
@@ -201,7 +201,7 @@
 def test_events_are_passed_on_as_they_come(world: World) -> None:
     exchange = world.ask("/talk/x")
     world.last.head(200, SIGNED, EVENTS)
-    assert not exchange.headers  # the head goes out with the first event
+    assert not exchange.headers  # the head is sent with the first event
     world.last.data(event(1))
     assert (exchange.status, exchange.body) == (200, event(1))
     world.last.data(event(2))
@@ -241,7 +241,7 @@
 
 def test_while_draining_answers_end_their_connections(world: World) -> None:
     exchange = world.ask("/once/x")
-    world.router.leave(world.clock() + 7.0)
+    world.router.begin_shutdown(world.clock() + 7.0)
     world.last.answer(200, SIGNED, body=b"x")
     assert exchange.closed
     assert not world.router.ready()
@@ -254,8 +254,8 @@
     assert not bare.router.ready()
 
 
-def test_what_the_router_is_handed_fits() -> None:
-    """Checked by mypy: the ports are those of the pool and of the quota."""
+def test_the_pool_and_the_quota_implement_the_ports() -> None:
+    """Checked by mypy: the pool and the quota implement the ports."""
     pool: type[Pool] = ConnectionPool
     quota: Quota = QuotaHolder(1, 0.0)
     assert pool
--- a/tests/system/test_router_streams.py
+++ b/tests/system/test_router_streams.py
@@ -1,4 +1,4 @@
-"""Streams that are continued at another server inside one answer, and the events that their bytes make up."""
+"""Streams that are resumed at another server within one answer, and the splitting of bytes into events."""
 
 from __future__ import annotations
 
@@ -65,7 +65,7 @@
     assert world.last.field(b"last-event-id") == b"3"
 
 
-def test_a_stream_that_may_not_be_continued_is_torn_off(world: World) -> None:
+def test_a_stream_that_may_not_be_continued_is_aborted(world: World) -> None:
     exchange = world.ask("/talk/x")
     world.last.stream(event(1), event(2)[:5])
     world.last.fail(Failure.BROKEN)
@@ -74,7 +74,7 @@
     assert len(world.calls) == 1
 
 
-def test_a_stream_that_nobody_can_continue_is_torn_off(world: World) -> None:
+def test_a_stream_that_nobody_can_continue_is_aborted(world: World) -> None:
     world.budget.left = 0
     exchange = world.ask("/resume/x")
     world.last.stream(event(1))
@@ -112,7 +112,7 @@
 def test_a_long_answer_that_is_no_continuation_is_not_joined(
     world: World, status: int, fields: tuple[tuple[bytes, bytes], ...]
 ) -> None:
-    """Events of another status, and a body too long to be held back that is no events."""
+    """An event stream with another status, and a body without events that is too long to be buffered."""
     world.budget.left = 1
     exchange = world.ask("/resume/x")
     world.last.stream(event(1))
@@ -141,7 +141,7 @@
     assert not exchange.aborted
 
 
-def test_a_stream_that_goes_on_past_its_deadline_is_torn_off(world: World) -> None:
+def test_a_stream_that_goes_on_past_its_deadline_is_aborted(world: World) -> None:
     exchange = world.ask("/resume/x")
     world.last.stream(event(1))
     world.clock.pass_ms(2100)
@@ -169,12 +169,12 @@
 LINE_ENDS = st.sampled_from([b"\n", b"\r\n"])
 FIELDS = st.sampled_from([b"data: x", b"id: 7", b"id:8", b": note", b"versions: 3", b"data:", b"event: y"])
 
-TAILS = st.sampled_from([b"", b"i", b"id: 9", b"data: hal", b": half a note"])  # of an event without its end
+TAILS = st.sampled_from([b"", b"i", b"id: 9", b"data: hal", b": half a note"])  # beginnings of an event
 
 
 @st.composite
 def streams(draw: st.DrawFn) -> tuple[list[bytes], bytes]:
-    """Whole events, and all their bytes."""
+    """Complete events, and all their bytes."""
     end = draw(LINE_ENDS)
     lines = draw(st.lists(st.lists(FIELDS, min_size=1, max_size=4), min_size=1, max_size=8))
     events = [b"".join(field + end for field in fields) + end for fields in lines]
@@ -193,8 +193,8 @@
     for cut in [*sorted(min(cut, len(data)) for cut in cuts), len(data)]:
         found += splitter.feed(data[start:cut])
         start = cut
-    assert b"".join(found) + splitter.rest == data
-    # A line end may be counted to the event behind it, where it says nothing.
+    assert b"".join(found) + splitter.remainder == data
+    # A line end may become the beginning of the next event, where it has no meaning.
     assert [one.strip(b"\r\n") for one in found] == [one.strip(b"\r\n") for one in events]
 
 
@@ -206,7 +206,7 @@
     for cut in [*sorted(min(cut, len(data)) for cut in cuts), len(data)]:
         found += b"".join(splitter.feed(data[start:cut]))
         start = cut
-    assert found + splitter.rest == data
+    assert found + splitter.remainder == data
 
 
 @pytest.mark.parametrize(
@@ -232,7 +232,7 @@
     assert is_after(event(1), None)
     assert is_after(b"data: x\n\n", b"9")
     assert is_after(event(10), b"009") and not is_after(event(9), b"010")
-    assert is_after(b"id: " + b"9" * 5000 + b"\n\n", b"9" * 4999), "more digits than Python reads"
+    assert is_after(b"id: " + b"9" * 5000 + b"\n\n", b"9" * 4999), "more digits than `int` accepts"
 
 
 def test_an_event_without_end_is_passed_on_in_parts() -> None:
@@ -240,11 +240,11 @@
     found: list[bytes] = []
     pieces = [event(1), b"id: 2\ndata: ", *[b"x" * 65536] * 40, b"\n\n", event(3)]
     for piece in pieces:
-        assert len(splitter.rest) <= MAX_EVENT_BYTES
+        assert len(splitter.remainder) <= MAX_EVENT_BYTES
         for each in splitter.feed(piece):
-            splitter.passed_on(each)
+            splitter.record_forwarded(each)
             found.append(each)
-            ended = not splitter.rest and each.startswith(b"id")
-            assert splitter.resumable == (ended and len(each) < 100), "none may go on inside of an event"
-    assert b"".join(found) + splitter.rest == b"".join(pieces)
+            ended = not splitter.remainder and each.startswith(b"id")
+            assert splitter.resumable == (ended and len(each) < 100), "not resumable inside an event"
+    assert b"".join(found) + splitter.remainder == b"".join(pieces)
     assert (splitter.last_id, splitter.resumable) == (b"3", True)
