--- a/cloverrouter/control/__init__.py
+++ b/cloverrouter/control/__init__.py
@@ -1,1 +1,1 @@
-"""The control plane: configuration, registrations, their distribution, the API for operators and servers."""
+"""The control plane: configuration, server registry, distribution, and the API for operators and servers."""
--- a/cloverrouter/control/api.py
+++ b/cloverrouter/control/api.py
@@ -1,7 +1,7 @@
-"""The calls of the operator and of servers: which coroutine answers which, and what its outcome is in HTTP.
+"""The HTTP API of the control plane for operators and model servers: request routing and HTTP responses.
 
-bottle's router finds the coroutine; it runs on the loop of the server that took the request. What the calls
-do is the business of a `ControlBackend`.
+bottle's router selects the handler coroutine, which runs on the event loop of the server that received the
+request. The operations themselves are implemented by a `ControlBackend`.
 """
 
 from __future__ import annotations
@@ -35,80 +35,80 @@
 
 
 class ControlRequest(Protocol):
-    """What the API reads of a request."""
+    """The parts of an HTTP request that the API reads."""
 
     @property
     def method(self) -> bytes: ...
 
     @property
     def target(self) -> bytes:
-        """Path and query."""
+        """The path and the query."""
 
     @property
     def body(self) -> bytes: ...
 
     def header(self, name: bytes) -> bytes | None:
-        """The value of the first field of that name, in lower case."""
+        """Returns the value of the first header field of that name, which is given in lower case."""
 
     def count(self, name: bytes) -> int:
-        """How many fields of that name there are."""
+        """Returns the number of header fields of that name."""
 
 
 class ControlExchange(Protocol):
-    """A request that waits for its answer."""
+    """A request that waits for its response."""
 
     @property
     def request(self) -> ControlRequest: ...
 
     def respond(self, status: int, headers: Headers, body: bytes) -> None:
-        """The whole answer."""
+        """Sends the complete response."""
 
 
 @attrs.frozen(slots=True)
 class RegisterReply:
-    """What a server is told after its announcement."""
+    """The result of a server's registration."""
 
     heartbeat_endpoint: str | None = None
-    """HOST:PORT for later announcements; None for no preference."""
+    """HOST:PORT where the server should send its heartbeats; None for no preference."""
 
 
 class ControlBackend(Protocol):
-    """What the calls do. The coroutines may raise `Unavailable` or `Redirected`."""
+    """The operations behind the API. The coroutines may raise `Unavailable` or `Redirected`."""
 
     async def order(self, method: str, if_match: str | None, body: bytes) -> OrderReply:
-        """Decides on an order; a reply with status 200 says that it is safe."""
+        """Decides on a configuration order. A reply with status 200 means that the change is committed."""
 
     async def read(self) -> bytes | None:
-        """The newest configuration as JSON, or None before the first."""
+        """Returns the newest configuration as JSON, or None before the first one."""
 
     async def register(self, instance_id: str, body: dict[str, Any]) -> RegisterReply:
-        """Takes a server's announcement, whose fields have been checked."""
+        """Registers a server. The fields of `body` are already validated."""
 
     async def withdraw(self, instance_id: str) -> bool:
-        """Takes a server from the list; false if it was not on it."""
+        """Removes a server from the list of servers. Returns False if the server was not on the list."""
 
     def instances(self) -> dict[str, Any]:
-        """The list of servers as this process knows it."""
+        """Returns the list of servers as this process knows it."""
 
     def status(self) -> dict[str, Any]:
-        """This process, for people."""
+        """Returns the state of this process, for operators."""
 
     def view(self) -> dict[str, Any]:
-        """The chain and its voters as this process knows them."""
+        """Returns the replica chain and its voters as this process knows them."""
 
     def history(self) -> list[dict[str, Any]]:
-        """The latest changes of the configuration."""
+        """Returns the latest changes of the configuration."""
 
     def trace(self, request_id: str) -> dict[str, Any] | None:
-        """What is remembered of a request."""
+        """Returns the recorded steps of a request, or None if nothing is recorded."""
 
     def figures(self) -> Iterable[Figure]:
-        """The metrics of this process."""
+        """Returns the metrics of this process."""
 
 
 @attrs.frozen(slots=True)
 class Answer:
-    """What goes back."""
+    """An HTTP response."""
 
     status: int
     body: bytes
@@ -116,7 +116,7 @@
     headers: tuple[tuple[bytes, bytes], ...] = ()
 
     def all_headers(self) -> Headers:
-        """The fields, without those of the framing."""
+        """Returns the header fields, without those for message framing such as Content-Length."""
         return [(b"Content-Type", self.content_type.encode()), *self.headers]
 
 
@@ -124,7 +124,7 @@
 
 
 class ControlApi:
-    """Answers the calls of the operator and of servers."""
+    """Answers the API calls of operators and servers."""
 
     def __init__(self, backend: ControlBackend) -> None:
         self._backend = backend
@@ -146,7 +146,7 @@
             yield "GET", f"/-/{name}", self._report(getattr(self._backend, name))
 
     def handle(self, exchange: ControlExchange) -> None:
-        """Sees to it that the exchange gets its answer."""
+        """Starts a task that answers the exchange."""
         task = asyncio.get_running_loop().create_task(self._serve(exchange))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
@@ -156,9 +156,9 @@
         exchange.respond(answer.status, answer.all_headers(), answer.body)
 
     async def answer(self, request: ControlRequest) -> Answer:
-        """The answer to a call; every error has one."""
+        """Returns the response to a request. Every error is turned into a response."""
         try:
-            handler, arguments = self._found(request)
+            handler, arguments = self._match_route(request)
             async with asyncio.timeout(ORDER_TIMEOUT_S if handler == self._order else CALL_TIMEOUT_S):
                 return await handler(request, **arguments)
         except bottle.HTTPError as error:
@@ -170,10 +170,10 @@
         except (Unavailable, TimeoutError) as error:
             return _unavailable(str(error) or "no answer in time")
         except Exception:
-            log.exception("a call failed: %s %s", request.method, request.target)
+            log.exception("internal error while handling %s %s", request.method, request.target)
             return _failure(500, "an error of the proxy's own; it is in its log")
 
-    def _found(self, request: ControlRequest) -> tuple[Handler, dict[str, str]]:
+    def _match_route(self, request: ControlRequest) -> tuple[Handler, dict[str, str]]:
         path = request.target.partition(b"?")[0].decode("latin-1")
         environment = {"REQUEST_METHOD": request.method.decode("latin-1"), "PATH_INFO": path}
         handler, arguments = self._router.match(environment)
@@ -182,7 +182,7 @@
         return handler, {name: unquote(value) for name, value in (arguments or {}).items()}
 
     async def _order(self, request: ControlRequest) -> Answer:
-        # An order sent again may have been taken, so that it can't be told to be refused for want of room.
+        # The status is 503, not a refusal: the order may be a retry of one that was already accepted.
         if self._orders_under_way >= MAX_ORDERS_UNDER_WAY:
             raise Unavailable(f"{MAX_ORDERS_UNDER_WAY} orders are under way")
         if request.count(b"if-match") > 1:
--- a/cloverrouter/control/checks.py
+++ b/cloverrouter/control/checks.py
@@ -1,6 +1,7 @@
-"""Checks of what callers send: JSON, items against their schemas, and items against one another.
+"""Validation of request bodies: JSON syntax, items against their schemas, and items against one another.
 
-Every check adds to a list of findings, each with its place, so that the caller learns of all of them at once.
+Each check appends its findings, with their places in the document, to a list. The caller thus gets all
+findings in one response.
 """
 
 from __future__ import annotations
@@ -18,63 +19,68 @@
 
 Findings = list[Finding]
 KnownValues = set[tuple[str, type, Any]]
-"""Fields with plain values that were found sound."""
+"""Scalar fields that passed their schema: name, type and value."""
 
 
 class _NotJson(ValueError):
-    """JSON that can't be taken whole: a number that no field can hold, or a field that stands twice."""
+    """JSON that can't be read without loss: a number out of range, or a duplicate key in an object."""
 
 
-def _whole_number(text: str) -> int:
+def _parse_int(text: str) -> int:
     if len(text) > MAX_NUMBER_CHARACTERS:
         raise _NotJson(f"a number of {len(text)} characters")
     return int(text)
 
 
-def _fraction(text: str) -> float:
+def _parse_float(text: str) -> float:
     number = float(text)
     if number in (float("inf"), float("-inf")):
         raise _NotJson(f"{shown(text)}, a number that is too large")
     return number
 
 
-def _no_number(text: str) -> float:
+def _reject_constant(text: str) -> float:
     raise _NotJson(f"{text}, which is no JSON")
 
 
-class _Fields:
-    """Makes the objects of one document. Equal texts in them are one string: in long lists most are equal."""
+class _ObjectBuilder:
+    """Builds the JSON objects of one document and interns their strings.
+
+    Most strings in long lists are equal, so interning saves memory.
+    """
 
     def __init__(self) -> None:
-        self._texts: dict[str, str] = {}
+        self._interned: dict[str, str] = {}
 
-    def made(self, pairs: list[tuple[str, Any]]) -> dict[str, Any]:
-        """The fields of one object, none of which may stand twice."""
-        share = self._texts.setdefault
-        return _fields([(name, share(each, each) if type(each) is str else each) for name, each in pairs])
+    def build(self, pairs: list[tuple[str, Any]]) -> dict[str, Any]:
+        """Returns the object with these fields. Raises `_NotJson` for a duplicate key."""
+        intern = self._interned.setdefault
+        return _unique_fields(
+            [(name, intern(each, each) if type(each) is str else each) for name, each in pairs]
+        )
 
 
-def _fields(pairs: list[tuple[str, Any]]) -> dict[str, Any]:
+def _unique_fields(pairs: list[tuple[str, Any]]) -> dict[str, Any]:
     fields = dict(pairs)
     if len(fields) < len(pairs):
         names = [name for name, _ in pairs]
-        twice = next(name for name in fields if names.count(name) > 1)
-        raise _NotJson(f"{shown(twice)} twice in one object, of which one would be lost")
+        duplicate = next(name for name in fields if names.count(name) > 1)
+        raise _NotJson(f"{shown(duplicate)} twice in one object, of which one would be lost")
     return fields
 
 
 def _decoder() -> json.JSONDecoder:
-    """Of its own for each document, as threads may read at the same time."""
+    """Returns a new decoder. Each document needs its own, because several threads may decode at once."""
     return json.JSONDecoder(
-        parse_int=_whole_number,
-        parse_float=_fraction,
-        parse_constant=_no_number,
-        object_pairs_hook=_Fields().made,
+        parse_int=_parse_int,
+        parse_float=_parse_float,
+        parse_constant=_reject_constant,
+        object_pairs_hook=_ObjectBuilder().build,
     )
 
 
 def read_object(body: bytes, findings: Findings) -> dict[str, Any]:
-    """The JSON object of a body. What can't be read adds a finding and gives an empty object."""
+    """Returns the JSON object of a body. If it can't be read, adds a finding and returns an empty object."""
     try:
         document = _decoder().decode(body.decode("utf-8-sig"))
     except json.JSONDecodeError as error:
@@ -86,15 +92,15 @@
     except RecursionError:
         findings.append(Finding("", "nested too deeply"))
     else:
-        problem = _unfit(document, body)
+        problem = _document_problem(document, body)
         if problem is None:
             return dict(document)
         findings.append(Finding("", problem))
     return {}
 
 
-def _unfit(document: Any, body: bytes) -> str | None:
-    """Why a JSON value can't be a document."""
+def _document_problem(document: Any, body: bytes) -> str | None:
+    """Returns why a JSON value is not acceptable as a document, or None if it is."""
     if _is_deeper(document, MAX_DEPTH):
         return f"nested deeper than {MAX_DEPTH}"
     if not isinstance(document, dict):
@@ -128,30 +134,30 @@
 def check_fields(
     schema: str, value: Any, place: str, findings: Findings, known: KnownValues | None = None
 ) -> bool:
-    """Whether a value keeps one of `schemas.SCHEMAS`.
+    """Returns whether a value conforms to one of `schemas.SCHEMAS`; adds a finding for each violation.
 
-    Fields have no rules for one another, so that values in `known`, which were sound in other items of the
-    same schema, aren't checked again; most fields of a long list are spared by that.
+    `known` holds scalar values that were valid in other items of the same schema. They are not checked again,
+    which is safe because no rule of a field depends on another field. This skips most fields of a long list.
     """
-    from cloverrouter.control.schemas import validator  # what only applies updates never pays for cerberus
+    from cloverrouter.control.schemas import validator  # avoids loading cerberus only to apply updates
 
     if not isinstance(value, dict):
         findings.append(Finding(place, f"found {shown(value)}, wanted an object"))
         return False
     rules = validator(schema)
-    if known is not None and _are_known(rules, value, known):
+    if known is not None and _is_clearly_valid(rules, value, known):
         return True
     if rules.validate(value, normalize=False):
         if known is not None:
-            known.update(_values(value))
+            known.update(_scalar_fields(value))
         return True
-    for error in _leaves(rules._errors):
+    for error in _leaf_errors(rules._errors):
         findings.append(_finding(error, rules.schema, value, place))
     return False
 
 
-def _are_known(rules: Any, item: dict[str, Any], known: KnownValues) -> bool:
-    """Whether all values are known, or surely sound. What is found to be neither is cerberus' to look at."""
+def _is_clearly_valid(rules: Any, item: dict[str, Any], known: KnownValues) -> bool:
+    """Returns True if every value is in `known` or passes the plain rules. On False, cerberus must decide."""
     from cloverrouter.control.schemas import is_plainly_sound
 
     if not rules.required_fields <= item.keys():
@@ -165,37 +171,40 @@
         elif (field, kind, value) not in known:
             if not is_plainly_sound(schema.get(field), value):
                 return False
-            if field not in required:  # those differ from item to item
+            if field not in required:  # required fields, such as the name, differ from item to item
                 known.add((field, kind, value))
     return True
 
 
-def _values(item: dict[str, Any]) -> Iterable[tuple[str, type, Any]]:
+def _scalar_fields(item: dict[str, Any]) -> Iterable[tuple[str, type, Any]]:
     return [
         (field, type(value), value) for field, value in item.items() if not isinstance(value, list | dict)
     ]
 
 
-def _leaves(errors: Iterable[Any]) -> Iterable[Any]:
+def _leaf_errors(errors: Iterable[Any]) -> Iterable[Any]:
     for error in errors:
         if error.child_errors:
-            yield from _leaves(error.child_errors)
+            yield from _leaf_errors(error.child_errors)
         else:
             yield error
 
 
 def _finding(error: Any, schema: Any, document: Mapping[str, Any], place: str) -> Finding:
-    path = _joined(place, error.document_path)
+    path = _join_path(place, error.document_path)
     is_too_large = error.rule == "max"
-    wanted = f"at most {error.constraint}" if is_too_large else _wanted(schema, error.document_path)
-    found, present = _at(document, error.document_path)
-    if not present:
+    wanted = f"at most {error.constraint}" if is_too_large else _expected_value(schema, error.document_path)
+    found, is_present = _value_at(document, error.document_path)
+    if not is_present:
         return Finding(path, f"missing, wanted {wanted}")
     return Finding(path, f"found {shown(found)}, wanted {wanted}")
 
 
-def _wanted(schema: Any, path: tuple[Any, ...]) -> str:
-    """The meta of the rules at a path: by a list's ``schema``, an object's fields, or its values."""
+def _expected_value(schema: Any, path: tuple[Any, ...]) -> str:
+    """Returns the ``meta`` text of the rules at a path.
+
+    The path leads through a list's ``schema``, an object's fields, or an object's ``valuesrules``.
+    """
     rules: Mapping[str, Any] = {"schema": schema}
     for step in path:
         if "valuesrules" in rules:
@@ -207,7 +216,8 @@
     return str(rules["meta"])
 
 
-def _at(document: Any, path: tuple[Any, ...]) -> tuple[Any, bool]:
+def _value_at(document: Any, path: tuple[Any, ...]) -> tuple[Any, bool]:
+    """Returns the value at a path and whether it is present."""
     for step in path:
         try:
             document = document[step]
@@ -216,7 +226,7 @@
     return document, True
 
 
-def _joined(place: str, path: tuple[Any, ...]) -> str:
+def _join_path(place: str, path: tuple[Any, ...]) -> str:
     for step in path:
         if isinstance(step, int):
             place += f"[{step}]"
@@ -226,12 +236,12 @@
 
 
 def is_number(value: Any) -> TypeGuard[int | float]:
-    """Whether a value is a number; true and false are none."""
+    """Returns whether a value is a number. Booleans are not numbers."""
     return isinstance(value, int | float) and not isinstance(value, bool)
 
 
 def shown(value: Any) -> str:
-    """A value as JSON, cut short."""
+    """Returns a value as JSON, truncated to `MAX_SHOWN_CHARACTERS`."""
     text = json.dumps(value)
     return text if len(text) <= MAX_SHOWN_CHARACTERS else f"{text[:MAX_SHOWN_CHARACTERS]}..."
 
@@ -239,9 +249,9 @@
 def check_routes(
     routes: Iterable[Route], services: Mapping[str, Any], place: Callable[[str, str], str]
 ) -> Findings:
-    """Routes against the services that are known, and against one another.
+    """Checks routes against the existing services and against one another.
 
-    `place` gives the place of an item from its list and its name.
+    `place` returns the place of an item in the document, given its list and its name.
     """
     findings: Findings = []
     owners: dict[tuple[str, str], str] = {}
@@ -250,8 +260,8 @@
         if owner != route.name:
             where = place(ROUTES, route.name)
             findings.append(Finding(where, f"same host and prefix as {place(ROUTES, owner)}"))
-        named = [service for service, _ in route.targets]
-        for service in named if route.unused is None else [*named, route.unused]:
+        referenced = [service for service, _ in route.targets]
+        for service in referenced if route.unused is None else [*referenced, route.unused]:
             if service not in services:
                 findings.append(
                     Finding(place(ROUTES, route.name), f"found {shown(service)}, wanted a known service")
@@ -263,7 +273,7 @@
 
 
 def check_tenants(tenants: Iterable[Tenant], place: Callable[[str, str], str]) -> Findings:
-    """No key may belong to two tenants. The key itself is not told."""
+    """Checks that no API key belongs to two tenants. Findings don't contain the key, which is a secret."""
     findings: Findings = []
     owners: dict[str, str] = {}
     for tenant in tenants:
--- a/cloverrouter/control/document.py
+++ b/cloverrouter/control/document.py
@@ -1,7 +1,7 @@
-"""The configuration as the operator sent it, with its typed model: an immutable value a version.
+"""The configuration document as the operator sent it, with its typed model; one immutable value per version.
 
-Items of named lists are held as compact JSON text by name, which is a third of what they take as objects. A
-change makes a new state that shares everything the change didn't touch, the typed items included.
+Items of named lists are stored as compact JSON text by name, which takes a third of the memory of objects. A
+change creates a new state that shares all unchanged items, including the typed ones, with the previous state.
 """
 
 from __future__ import annotations
@@ -32,7 +32,7 @@
 NamedList = dict[str, str]
 """The JSON of each item by its name, in the order of the list."""
 Section = NamedList | str
-"""A named list, or the JSON of anything else."""
+"""A top-level field of the document: a named list, or the JSON of any other value."""
 
 Document = Mapping[str, Any]
 
@@ -43,15 +43,15 @@
 }
 
 compact = json.JSONEncoder(separators=(",", ":"), allow_nan=False).encode
-"""The compact JSON of a value, in ASCII."""
+"""Returns the compact JSON of a value, in ASCII."""
 
 
 TextOf = Callable[[Any], str]
-"""Gives the compact JSON of an item, where somebody else may have it already."""
+"""A function that returns the compact JSON of an item, possibly from a cache."""
 
 
 def is_named_list(value: Any) -> bool:
-    """Whether a value is a list of objects with a name each, all different: such lists can be patched."""
+    """Returns whether a value is a list of objects with unique names. Such lists can be patched."""
     if not isinstance(value, list):
         return False
     names = [item.get("name") if isinstance(item, dict) else None for item in value]
@@ -60,9 +60,9 @@
 
 @attrs.frozen(slots=True, eq=False)
 class ConfigurationState:
-    """One version of the configuration: document and model. The empty state has version 0.
+    """One version of the configuration: document and typed model. The empty state has version 0.
 
-    `replaced` and `patched` take only what the checks have found sound.
+    `replaced` and `patched` accept only validated documents.
     """
 
     version: int = 0
@@ -72,21 +72,21 @@
 
     @property
     def routes(self) -> Mapping[str, Route]:
-        """Routes by name."""
+        """The routes by name."""
         return self._models[ROUTES]
 
     @property
     def services(self) -> Mapping[str, Service]:
-        """Services by name."""
+        """The services by name."""
         return self._models[SERVICES]
 
     @property
     def tenants(self) -> Mapping[str, Tenant]:
-        """Tenants by name."""
+        """The tenants by name."""
         return self._models[TENANTS]
 
     def configuration(self) -> Configuration:
-        """The typed configuration."""
+        """Returns the typed configuration."""
         return Configuration(
             version=self.version,
             routes=tuple(self.routes.values()),
@@ -96,30 +96,30 @@
         )
 
     def json(self) -> bytes:
-        """The document as compact JSON."""
+        """Returns the document as compact JSON."""
         parts = (f"{compact(name)}:{_section_json(section)}" for name, section in self._sections.items())
         return f"{{{','.join(parts)}}}".encode("ascii")
 
     def document(self) -> dict[str, Any]:
-        """The document: as JSON value, exactly what the orders made of it."""
+        """Returns the document as a JSON value, including unknown fields."""
         return dict(json.loads(self.json()))
 
     def section(self, name: str) -> Section | None:
-        """A part of the document."""
+        """Returns a section of the document, or None."""
         return self._sections.get(name)
 
-    def has(self, section: str, name: str) -> bool:
-        """Whether there is a named item."""
+    def has_item(self, section: str, name: str) -> bool:
+        """Returns whether the section is a named list with an item of that name."""
         items = self._sections.get(section)
         return isinstance(items, dict) and name in items
 
-    def holds(self, section: str, name: str, text: str) -> bool:
-        """Whether the named item has exactly that JSON."""
+    def item_equals(self, section: str, name: str, text: str) -> bool:
+        """Returns whether the named item has exactly this JSON."""
         items = self._sections.get(section)
         return isinstance(items, dict) and items.get(name) == text
 
     def replaced(self, document: Document, text_of: TextOf = compact) -> ConfigurationState:
-        """The state after a whole configuration."""
+        """Returns the state after the whole document has been replaced."""
         sections: dict[str, Section] = {}
         models: dict[str, dict[str, Any]] = {name: {} for name in _BUILDERS}
         for name, value in document.items():
@@ -128,20 +128,20 @@
                 continue
             sections[name] = {item["name"]: text_of(item) for item in value}
             if name in _BUILDERS:
-                models[name] = {item["name"]: self._model(name, item, sections[name]) for item in value}
+                models[name] = {item["name"]: self._typed_item(name, item, sections[name]) for item in value}
         limits = limits_from(document.get(LIMITS))
         return ConfigurationState(int(document[VERSION]), limits, sections, models)
 
-    def _model(self, section: str, item: Document, texts: Section) -> Any:
-        """The typed item, the present one where its JSON stays."""
+    def _typed_item(self, section: str, item: Document, texts: Section) -> Any:
+        """Returns the typed item; reuses the current one if its JSON is unchanged."""
         name = item["name"]
         assert isinstance(texts, dict)
-        if self.holds(section, name, texts[name]):
+        if self.item_equals(section, name, texts[name]):
             return self._models[section][name]
         return _BUILDERS[section](item)
 
     def patched(self, patch: Document, text_of: TextOf = compact) -> ConfigurationState:
-        """The state after a patch: deletions first, then items are replaced in place or added last."""
+        """Returns the state after a patch: first deletions, then items are replaced in place or appended."""
         sections = dict(self._sections)
         models = dict(self._models)
         for name, names in (patch.get("delete") or {}).items():
@@ -161,7 +161,7 @@
 
 
 def _object(section: Section | None) -> dict[str, Any]:
-    """A section that is an object; empty where it is none."""
+    """Returns a section as an object, or an empty object if it is not one."""
     if not isinstance(section, str) or not section.startswith("{"):
         return {}
     return dict(json.loads(section))
@@ -171,15 +171,15 @@
     sections: dict[str, Section], models: dict[str, dict[str, Any]], name: str, names: Iterable[str]
 ) -> None:
     section = sections.get(name)
-    gone = set(names)
+    deleted = set(names)
     if section is None or isinstance(section, str):
         fields = _object(section)
-        if gone & fields.keys():
-            sections[name] = compact({field: value for field, value in fields.items() if field not in gone})
+        if deleted & fields.keys():
+            sections[name] = compact({key: value for key, value in fields.items() if key not in deleted})
         return
-    sections[name] = {item: text for item, text in section.items() if item not in gone}
+    sections[name] = {item: text for item, text in section.items() if item not in deleted}
     if name in models:
-        models[name] = {item: model for item, model in models[name].items() if item not in gone}
+        models[name] = {item: model for item, model in models[name].items() if item not in deleted}
 
 
 def _upsert(
--- a/cloverrouter/control/errors.py
+++ b/cloverrouter/control/errors.py
@@ -1,4 +1,4 @@
-"""What can be wrong with an order of the operator, a registration, or an update of the configuration."""
+"""Errors of the control plane: invalid orders and registrations, updates out of order, unavailability."""
 
 from __future__ import annotations
 
@@ -13,10 +13,10 @@
 
 @attrs.frozen(slots=True)
 class Finding:
-    """One thing that is wrong: where, and what was found and wanted there."""
+    """One validation error: its place, and what was found and expected there."""
 
     place: str
-    """A path into the document, such as ``route-table[3].timeout-ms``; empty for the document itself."""
+    """The path in the document, such as ``route-table[3].timeout-ms``; empty for the document itself."""
     problem: str
 
     def __str__(self) -> str:
@@ -24,11 +24,11 @@
 
 
 class ControlError(CypresswinchError):
-    """An error of the control plane."""
+    """Base class of the errors of the control plane."""
 
 
 class Invalid(ControlError):
-    """A document does not keep the rules. Holds all findings, in the order in which they were made."""
+    """A document breaks validation rules. Contains all findings, in the order in which they were made."""
 
     subject = "document"
 
@@ -37,7 +37,7 @@
         self.findings = tuple(findings)
 
     def body(self) -> dict[str, Any]:
-        """What the caller is told, to be sent as JSON."""
+        """Returns the response body, to be sent as JSON. Lists at most `MAX_REPORTED_FINDINGS` findings."""
         count = len(self.findings)
         return {
             "error-message": f"the {self.subject} is invalid: {count} finding{'s' * (count != 1)}",
@@ -46,27 +46,30 @@
 
 
 class ConfigurationInvalid(Invalid):
-    """The configuration that an order would bring is invalid; nothing of it is taken."""
+    """The configuration that an order would lead to is invalid. The order is refused as a whole."""
 
     subject = "configuration"
 
 
 class RegistrationInvalid(Invalid):
-    """The announcement of a server is malformed."""
+    """The registration of a server is malformed."""
 
     subject = "registration"
 
 
 class UpdateOutOfOrder(ControlError):
-    """An update builds on another version than the one it was applied to."""
+    """An update builds on another version than the one to which it is applied."""
 
 
 class Unavailable(ControlError):
-    """The call can't be decided now: no head is known, or it did not answer. It may still be taken."""
+    """The call can't be decided now: no head is known, or the head did not answer.
+
+    The outcome is unknown: an order may still be accepted.
+    """
 
 
 class Redirected(ControlError):
-    """Another proxy is to be asked: `location` is the address to send the caller to."""
+    """Another proxy must handle the call. `location` is the URL to redirect the caller to."""
 
     def __init__(self, location: str) -> None:
         super().__init__(location)
--- a/cloverrouter/control/forwarding.py
+++ b/cloverrouter/control/forwarding.py
@@ -1,7 +1,8 @@
-"""Calls that only the head of the chain can answer, from whichever proxy took them: sent, resent, given up.
+"""Forwarding of calls that only the head of the chain can answer, with retries and timeouts.
 
-A pure core: calls come with a ticket of the caller's choosing, answers go back by it. The head may change
-while a call is under way; sending an order twice is harmless, as the head knows orders that it has taken.
+Any proxy may receive such a call. This is a pure core without I/O: each call has a ticket chosen by the
+caller, and the answer carries the same ticket. The head may change while a call is pending. Sending an order
+twice is harmless, because the head recognizes orders that it has already accepted.
 """
 
 from __future__ import annotations
@@ -15,30 +16,33 @@
 from cloverrouter.messages import message
 
 RESEND_S = 0.35
-LIFE_BITS = 42
-CALL_BITS = 20  # a process takes fewer calls than 2 ** 20 in its life
-GIVE_UP_S = 3.6  # an order wants its acknowledgement within 4 s; a read is asked again by its caller
-OUT_OF_TOUCH_S = 1.0  # where no majority of the voters is heard, an answer is waited for only for so long
-SLOWEST_BYTES_A_SECOND = 250_000  # that a link surely carries: what is still on its way is not sent again
+TICKET_RANDOM_BITS = 42
+TICKET_COUNTER_BITS = 20  # a process forwards fewer than 2 ** 20 calls
+GIVE_UP_S = 3.6  # an order must be acknowledged within 4 s; clients retry a read themselves
+OUT_OF_TOUCH_S = 1.0  # timeout while no majority of the voters is reachable
+SLOWEST_BYTES_A_SECOND = 250_000  # minimum throughput of a link; a call still in transfer is not resent
 
 
 def first_ticket(random: Random) -> int:
-    """Where a process begins to number its calls, apart from all processes that had its address before.
+    """Returns the first ticket of a process. It differs from those of earlier processes at its address.
 
-    Danger: a head may still hold a call of an earlier process at the same address. Numbered alike, a new call
-    would be taken for that one sent again, and its caller would get the answer to the other."""
-    return random.getrandbits(LIFE_BITS) << CALL_BITS
+    A head may still hold a call of an earlier process at the same address. If a new call had the same ticket,
+    the head would treat it as a retry of that call, and its caller would get the answer to the other call.
+    """
+    return random.getrandbits(TICKET_RANDOM_BITS) << TICKET_COUNTER_BITS
 
 
 class Kind(Enum):
+    """The kind of a call."""
+
     ORDER = 0
     READ = 1
 
 
 @message(330)
 class HeadCall:
-    """A call for the head. `ticket`: see `first_ticket`; `kind`: see `Kind`; `command`: of an order, empty
-    for a read."""
+    """A call for the head. `ticket`: see `first_ticket`; `kind`: a value of `Kind`; `command`: the encoded
+    order, empty for a read."""
 
     ticket: int
     kind: int
@@ -47,7 +51,7 @@
 
 @message(331)
 class HeadAnswer:
-    """The head's answer. Where `done` is false it is not the head, or can't tell now: ask again later."""
+    """The answer to a `HeadCall`. `done` is false if the sender is not the head or can't decide now."""
 
     ticket: int
     done: bool
@@ -56,14 +60,16 @@
 
 @attrs.frozen(slots=True)
 class SendCall:
+    """The call is to be sent to the machine `ip`."""
+
     ip: str
     call: HeadCall
 
 
 @attrs.frozen(slots=True)
 class Finished:
-    """The call has its answer; `reply` is None if it was given up. `was_sent`: it went out to some head,
-    which may have taken it."""
+    """The call is finished. `reply` is None if it timed out. `was_sent`: it was sent to some head, which may
+    have accepted it."""
 
     ticket: int
     reply: bytes | None
@@ -73,40 +79,40 @@
 @attrs.define(slots=True)
 class _Pending:
     call: HeadCall
-    asked_at: float
+    submitted_at: float
     send_at: float
     was_sent: bool = False
-    unsent: int = 0  # bytes that wait for the link to the head
-    progress_at: float = 0.0  # when they were last fewer
+    unsent_bytes: int = 0  # in the send buffer of the link to the head
+    progress_at: float = 0.0  # when `unsent_bytes` last decreased
 
     @property
-    def on_its_way_s(self) -> float:
-        """For how long the call may be on its way once the link has taken all of it."""
+    def transfer_s(self) -> float:
+        """The longest transfer time of the call, once all of it has left the send buffer."""
         return len(self.call.command) / SLOWEST_BYTES_A_SECOND
 
-    def notice_progress(self, now: float, unsent: int) -> None:
-        """So many bytes wait for the link now."""
-        if unsent < self.unsent:
+    def record_progress(self, now: float, unsent_bytes: int) -> None:
+        """Records the number of bytes in the send buffer."""
+        if unsent_bytes < self.unsent_bytes:
             self.progress_at = now
-        self.unsent = unsent
+        self.unsent_bytes = unsent_bytes
 
-    def is_late(self, now: float, patience_s: float) -> bool:
-        """Whether it has waited too long since it was asked, or since the link took a part of it."""
-        return now - max(self.asked_at, self.progress_at) >= patience_s
+    def has_timed_out(self, now: float, timeout_s: float) -> bool:
+        """Returns whether the timeout has passed since the call was submitted and the send buffer shrank."""
+        return now - max(self.submitted_at, self.progress_at) >= timeout_s
 
 
 class Forwarder:
     """The calls of one proxy that wait for the head's answer."""
 
-    def __init__(self, unsent: Callable[[str], int] = lambda ip: 0) -> None:
-        """`unsent`: how many bytes wait for the link to a machine."""
-        self._unsent = unsent
+    def __init__(self, unsent_bytes: Callable[[str], int] = lambda ip: 0) -> None:
+        """`unsent_bytes`: returns the number of bytes in the send buffer of the link to a machine."""
+        self._unsent_bytes = unsent_bytes
         self._head: str | None = None
-        self._is_in_touch = True
+        self._has_quorum_contact = True
         self._pending: dict[int, _Pending] = {}
 
     def head_changed(self, now: float, head: str | None) -> list[SendCall | Finished]:
-        """Another machine is head now, or none is known."""
+        """Records that another machine is the head, or that none is known. Resends pending calls at once."""
         if head == self._head:
             return []
         self._head = head
@@ -114,16 +120,18 @@
             pending.send_at = now
         return self.tick(now)
 
-    def in_touch(self, confirmed: bool) -> None:
-        """Whether this machine has heard a majority of the voters lately: else no head can answer it."""
-        self._is_in_touch = confirmed
+    def in_touch(self, has_contact: bool) -> None:
+        """Sets whether a majority of the voters was heard from lately. Without it no head can answer."""
+        self._has_quorum_contact = has_contact
 
     def ask(self, now: float, ticket: int, kind: Kind, command: bytes) -> list[SendCall | Finished]:
+        """Submits a call. It is sent once a head is known."""
         call = HeadCall(ticket, kind.value, command)
         self._pending[ticket] = _Pending(call, now, now)
         return self.tick(now)
 
     def answered(self, now: float, answer: HeadAnswer) -> list[SendCall | Finished]:
+        """Handles an answer: finishes the call, or schedules a retry if the answer is not `done`."""
         pending = self._pending.get(answer.ticket)
         if pending is None:
             return []
@@ -134,16 +142,17 @@
         return [Finished(answer.ticket, answer.reply)]
 
     def tick(self, now: float) -> list[SendCall | Finished]:
+        """Resends calls without an answer and finishes those that have timed out. Called periodically."""
         effects: list[SendCall | Finished] = []
-        unsent = self._unsent(self._head) if self._head is not None else 0
+        unsent_bytes = self._unsent_bytes(self._head) if self._head is not None else 0
         for ticket, pending in list(self._pending.items()):
-            pending.notice_progress(now, unsent)
-            patience_s = GIVE_UP_S + pending.on_its_way_s if self._is_in_touch else OUT_OF_TOUCH_S
-            if pending.is_late(now, patience_s):
+            pending.record_progress(now, unsent_bytes)
+            timeout_s = GIVE_UP_S + pending.transfer_s if self._has_quorum_contact else OUT_OF_TOUCH_S
+            if pending.has_timed_out(now, timeout_s):
                 del self._pending[ticket]
                 effects.append(Finished(ticket, None, pending.was_sent))
             elif self._head is not None and now >= pending.send_at:
-                pending.send_at = now + max(RESEND_S, pending.on_its_way_s)
+                pending.send_at = now + max(RESEND_S, pending.transfer_s)
                 pending.was_sent = True
                 effects.append(SendCall(self._head, pending.call))
         return effects
--- a/cloverrouter/control/metrics.py
+++ b/cloverrouter/control/metrics.py
@@ -1,4 +1,4 @@
-"""Figures in Prometheus' text format."""
+"""Metrics in the Prometheus text exposition format."""
 
 from __future__ import annotations
 
@@ -20,16 +20,16 @@
     """``counter`` or ``gauge``."""
     meaning: str
     samples: tuple[tuple[Mapping[str, str], float], ...]
-    """Labels with a value each."""
+    """The labels and the value of each sample."""
 
     @classmethod
     def single(cls, name: str, kind: str, meaning: str, value: float) -> Figure:
-        """A metric without labels."""
+        """Returns a metric with one sample that has no labels."""
         return cls(name, kind, meaning, (({}, value),))
 
 
 def prometheus_text(figures: Iterable[Figure]) -> bytes:
-    """The text of all figures, in their order."""
+    """Returns the text of all metrics, in their order."""
     lines: list[str] = []
     for figure in figures:
         lines.append(f"# HELP {figure.name} {figure.meaning.translate(_ESCAPES)}")
--- a/cloverrouter/control/orders.py
+++ b/cloverrouter/control/orders.py
@@ -1,8 +1,8 @@
-"""The replicated state of the configuration: what an order of the operator is answered, and what it changes.
+"""The replicated state machine of the configuration: decides on operators' orders and applies updates.
 
-A pure state machine for the chain of replicas to embed. The head decides on orders; every replica, the head
-too, applies the updates that this gives, in their order. A reply without an update rests on all updates that
-were applied before it, so it may only go out once those are committed.
+The chain of replicas embeds it. The head decides on orders. Every replica, including the head, applies the
+resulting updates in order. A reply without an update depends on all updates applied before it, so it may be
+sent only after those are committed.
 """
 
 from __future__ import annotations
@@ -34,11 +34,11 @@
 MAX_TAKEN_ORDERS = 4096
 DIGEST_BYTES = 16
 
-_TAKEN = struct.Struct(f">{DIGEST_BYTES}sQ")
+_ACCEPTED_ORDER = struct.Struct(f">{DIGEST_BYTES}sQ")
 
 
 class Status:
-    """Answers to orders, as in HTTP."""
+    """The HTTP status codes of replies to orders."""
 
     TAKEN = 200
     INVALID = 400
@@ -50,7 +50,7 @@
 
 @message(300)
 class Order:
-    """An order of the operator, as it came."""
+    """An operator's request to change the configuration, as received."""
 
     method: str
     """PUT or PATCH."""
@@ -60,24 +60,24 @@
 
 @message(301)
 class OrderReply:
-    """The answer to an order."""
+    """The reply to an order."""
 
     status: int
     body: bytes
     """JSON for the operator."""
     version: int
-    """The version that is current after the order."""
+    """The version in force after the order."""
 
 
 @message(302)
 class MachineSnapshot:
-    """The whole state of a `ConfigurationMachine`."""
+    """The full state of a `ConfigurationMachine`."""
 
     version: int
     document: bytes
     """JSON; empty while there is no configuration."""
     taken: bytes
-    """Digests of orders with the versions that they brought, oldest first."""
+    """The digests of accepted orders with the versions that they created, oldest first."""
 
 
 Review = Callable[[bytes, ConfigurationState], tuple[dict[str, Any], ConfigurationState]]
@@ -85,18 +85,18 @@
 
 @attrs.frozen(slots=True)
 class Reviewed:
-    """What the review of an order has found, good for the state that it was made on."""
+    """The result of reviewing an order. It is valid only for the state `base`."""
 
     digest: bytes
     base: ConfigurationState
     reply: bytes
     update: bytes | None
     candidate: ConfigurationState | None
-    """The state that the update leads to."""
+    """The state after the update."""
 
 
 class ConfigurationMachine:
-    """The configuration in force with the orders that were taken, the newest `MAX_TAKEN_ORDERS` of them."""
+    """The configuration in force, and the digests of the newest `MAX_TAKEN_ORDERS` accepted orders."""
 
     def __init__(self) -> None:
         self._state = ConfigurationState()
@@ -120,8 +120,8 @@
         return self._state.document()
 
     def decide(self, command: bytes) -> Decision:
-        """The answer to an encoded `Order`, and the update that it brings where it is taken."""
-        from cloverrouter.coordination.effects import Decision  # only replicas load the chain
+        """Returns the reply to an encoded `Order`, and the update if the order is accepted."""
+        from cloverrouter.coordination.effects import Decision  # imported here so that only replicas load it
 
         try:
             order = decoded(command, Order)
@@ -129,9 +129,9 @@
             return Decision(self._refused(Status.INVALID, f"not an order: {error}"), None)
         reviewed, self._expected = self._expected, None
         digest = order_digest(order)
-        taken = self._taken.get(digest)
-        if taken is not None:
-            return Decision(self._reply(Status.TAKEN, {"version": taken}), None)
+        accepted_version = self._taken.get(digest)
+        if accepted_version is not None:
+            return Decision(self._reply(Status.TAKEN, {"version": accepted_version}), None)
         refusal = self._refusal(order)
         if refusal is not None:
             return Decision(refusal, None)
@@ -142,8 +142,9 @@
         return Decision(reviewed.reply, reviewed.update)
 
     def prepare(self, command: bytes) -> Reviewed | None:
-        """The long part of the decision on an order, for a thread of its own. Changes nothing; None where
-        there is nothing to review.
+        """Reviews an order ahead of `decide`. This is the slow part of the decision and may run in a thread.
+
+        Changes nothing. Returns None if there is nothing to review.
         """
         state = self._state
         try:
@@ -156,11 +157,11 @@
         return review(order, digest, state) if order.method in ("PUT", "PATCH") else None
 
     def expect(self, reviewed: Reviewed) -> None:
-        """An order that was prepared is about to be decided on."""
+        """Hands in the result of `prepare` for the next call of `decide`."""
         self._expected = reviewed
 
     def _refusal(self, order: Order) -> bytes | None:
-        """The answer to an order that needs no reading to be refused."""
+        """Returns the refusal of an order that can be refused without reading its body, or None."""
         if order.method not in ("PUT", "PATCH"):
             return self._refused(Status.OTHER_METHOD, f"no order is given by {order.method}")
         if order.if_match is None:
@@ -174,7 +175,7 @@
         return None
 
     def _may_be_forgotten(self, base: int) -> bool:
-        """Whether an order on that version may have been taken so long ago that its digest is gone."""
+        """Returns whether an order on that version may have been accepted and its digest dropped since."""
         return len(self._taken) >= MAX_TAKEN_ORDERS and base < next(iter(self._taken.values()))
 
     def _refused(self, status: int, text: str) -> bytes:
@@ -184,7 +185,7 @@
         return encode(OrderReply(status, _json(body), self.version))
 
     def apply(self, update: bytes) -> None:
-        """Makes an update's change. Raises `UpdateOutOfOrder` where it builds on another version."""
+        """Applies an update. Raises `UpdateOutOfOrder` if it builds on another version."""
         prepared, self._prepared = self._prepared, None
         self._expected = None
         change = decoded_update(update)
@@ -200,33 +201,33 @@
             del self._taken[next(iter(self._taken))]
 
     def snapshot(self) -> bytes:
-        """The whole state, as an encoded `MachineSnapshot`."""
+        """Returns the full state as an encoded `MachineSnapshot`."""
         document = self._state.json() if self.version else b""
-        taken = b"".join(_TAKEN.pack(digest, version) for digest, version in self._taken.items())
-        return encode(MachineSnapshot(self.version, document, taken))
+        accepted = b"".join(_ACCEPTED_ORDER.pack(digest, version) for digest, version in self._taken.items())
+        return encode(MachineSnapshot(self.version, document, accepted))
 
     def restore(self, snapshot: bytes) -> None:
-        """Takes over a whole state. Empty bytes are the state before the first order."""
+        """Replaces the state by a snapshot. Empty bytes stand for the state before the first order."""
         self._prepared = self._expected = None
         self._taken = {}
         self._state = state_of_snapshot(snapshot, self._state)
         if snapshot:
-            self._taken = dict(_TAKEN.iter_unpack(decoded(snapshot, MachineSnapshot).taken))
+            self._taken = dict(_ACCEPTED_ORDER.iter_unpack(decoded(snapshot, MachineSnapshot).taken))
 
 
 def review(order: Order, digest: bytes, state: ConfigurationState) -> Reviewed:
-    """What an order brings on top of the state that it builds on. Takes a second for some megabytes."""
-    from cloverrouter.control.review import review_document, review_patch  # only the head ever checks
+    """Validates an order and returns its reply and update. Takes about a second for some megabytes."""
+    from cloverrouter.control.review import review_document, review_patch  # only the head validates orders
 
-    look: Review = review_document if order.method == "PUT" else review_patch
+    review_body: Review = review_document if order.method == "PUT" else review_patch
     kind: Callable[..., Update] = ConfigurationReplaced if order.method == "PUT" else ConfigurationPatched
     try:
-        content, candidate = look(order.body, state)
+        content, candidate = review_body(order.body, state)
     except ConfigurationInvalid as error:
         refusal = OrderReply(Status.INVALID, _json(error.body()), state.version)
         return Reviewed(digest, state, encode(refusal), None, None)
     if order.method == "PUT":
-        content = {}  # megabytes, not needed any more: the state's own text is that of the document
+        content = {}  # frees megabytes: the update uses the JSON that the state already has
         text = candidate.json()
     else:
         text = compact(content).encode("ascii")
@@ -236,7 +237,7 @@
 
 
 def state_of_snapshot(snapshot: bytes, known: ConfigurationState | None = None) -> ConfigurationState:
-    """The configuration of a machine's snapshot. Typed items that are the same in `known` are shared."""
+    """Returns the configuration in a snapshot. Typed items that are equal in `known` are shared with it."""
     document = decoded(snapshot, MachineSnapshot).document if snapshot else b""
     if not document:
         return ConfigurationState()
@@ -244,7 +245,7 @@
 
 
 def order_digest(order: Order) -> bytes:
-    """What two sendings of the same order share, and no other order."""
+    """Returns the digest that identifies an order. A retry of the same order has the same digest."""
     hashed = hashlib.sha256()
     for part in (order.method.encode(), normal_match(order.if_match).encode("utf-8", "replace"), order.body):
         hashed.update(struct.pack(">Q", len(part)))
@@ -253,12 +254,12 @@
 
 
 def normal_match(if_match: str | None) -> str:
-    """The value of If-Match without blanks and quotes; an entity tag is the version in quotes."""
+    """Returns the value of If-Match without blanks and quotes; an entity tag is the version in quotes."""
     return "" if if_match is None else if_match.strip().strip('"')
 
 
 def base_version(if_match: str) -> int | None:
-    """The version that an If-Match names, or None for what is no version."""
+    """Returns the version in an If-Match value, or None if it is not a version."""
     text = normal_match(if_match)
     return int(text) if text.isascii() and text.isdigit() and len(text) <= 18 else None
 
--- a/cloverrouter/control/review.py
+++ b/cloverrouter/control/review.py
@@ -1,7 +1,7 @@
-"""The review of an order's document: every check on it, and the state that it would bring.
+"""The review of an order: validates its document or patch and computes the resulting state.
 
-Items whose JSON is in force already have been checked and are not checked again. Where some items are faulty,
-the others are still checked against one another, so that all findings come at once.
+Items whose JSON is already in force were validated before and are skipped. If some items are invalid, the
+others are still checked against one another, so that the operator gets all findings at once.
 """
 
 from __future__ import annotations
@@ -32,29 +32,29 @@
 
 
 def review_document(body: bytes, current: ConfigurationState) -> tuple[dict[str, Any], ConfigurationState]:
-    """The document of a PUT and the state after it. Raises `ConfigurationInvalid`."""
+    """Returns the document of a PUT and the resulting state. Raises `ConfigurationInvalid`."""
     review = _Review(current)
     document = review.read("document", body)
-    sound = {name: review.sound_items(name, document.get(name), name) for name in NAMED_SECTIONS}
-    return document, review.finish(document, sound, current.replaced)
+    valid = {name: review.valid_items(name, document.get(name), name) for name in NAMED_SECTIONS}
+    return document, review.finish(document, valid, current.replaced)
 
 
 def review_patch(body: bytes, current: ConfigurationState) -> tuple[dict[str, Any], ConfigurationState]:
-    """The patch of a PATCH and the state after it. Raises `ConfigurationInvalid`."""
+    """Returns the patch of a PATCH and the resulting state. Raises `ConfigurationInvalid`."""
     review = _Review(current)
     patch = review.read("patch", body)
     upsert, delete = _object(patch.get("upsert")), _object(patch.get("delete"))
-    sound: dict[str, list[Any]] = {}
+    valid: dict[str, list[Any]] = {}
     for section, value in upsert.items():
         place = f"upsert.{section}"
         review.check_target(section, value, place)
-        items = review.sound_items(section, value, place)
+        items = review.valid_items(section, value, place)
         if section in NAMED_SECTIONS:
-            sound[section] = items
+            valid[section] = items
         if section == LIMITS:
             check_fields(LIMITS, value, place, review.findings)
         review.check_contradiction(section, value, delete.get(section))
-    return patch, review.finish(patch, {"upsert": sound}, current.patched)
+    return patch, review.finish(patch, {"upsert": valid}, current.patched)
 
 
 def _object(value: Any) -> dict[str, Any]:
@@ -63,16 +63,20 @@
 
 @attrs.define
 class _Review:
+    """The review of one order on top of the state `current`."""
+
     current: ConfigurationState
     findings: Findings = attrs.field(factory=list)
     _places: dict[tuple[str, str], str] = attrs.field(factory=dict)
-    _faulty_services: set[str] = attrs.field(factory=set)
+    _invalid_services: set[str] = attrs.field(factory=set)
     _texts: dict[int, str] = attrs.field(factory=dict)
-    """By the identity of the item, which the order's document holds all the while."""
+    """The JSON of items by `id(item)`; the ids stay valid because the document keeps the items alive."""
     _known: dict[str, KnownValues] = attrs.field(factory=lambda: defaultdict(set))
 
     def read(self, schema: str, body: bytes) -> dict[str, Any]:
-        """The object of a body, its own fields checked, and that its version rises."""
+        """Returns the object of a body. Checks its top-level fields and that its version is higher than the
+        current one. Raises `ConfigurationInvalid` if the body can't be read.
+        """
         document = read_object(body, self.findings)
         if self.findings:
             raise ConfigurationInvalid(self.findings)
@@ -83,15 +87,15 @@
             self.findings.append(Finding(VERSION, problem))
         return document
 
-    def sound_items(self, section: str, items: Any, place: str) -> list[Any]:
-        """The items of a list that keep their schema and have a name of their own."""
+    def valid_items(self, section: str, items: Any, place: str) -> list[Any]:
+        """Returns the items of a list that conform to their schema and have a unique name."""
         if not isinstance(items, list):
             return []
         return [
-            item for index, item in enumerate(items) if self._is_sound(section, item, f"{place}[{index}]")
+            item for index, item in enumerate(items) if self._is_valid(section, item, f"{place}[{index}]")
         ]
 
-    def _is_sound(self, section: str, item: Any, place: str) -> bool:
+    def _is_valid(self, section: str, item: Any, place: str) -> bool:
         name = item.get("name") if isinstance(item, dict) else None
         if not isinstance(name, str):
             check_fields(section, item, place, self.findings)
@@ -99,26 +103,28 @@
         first = self._places.setdefault((section, name), place)
         if first != place:
             self.findings.append(Finding(f"{place}.name", f"the same name as {first}"))
-        unchanged = self.current.has(section, name) and self.current.holds(section, name, self._text(item))
-        sound = unchanged or check_fields(section, item, place, self.findings, self._known[section])
-        if section == SERVICES and not sound:
-            self._faulty_services.add(name)
-        return sound and first == place
+        unchanged = self.current.has_item(section, name) and self.current.item_equals(
+            section, name, self._text(item)
+        )
+        conforms = unchanged or check_fields(section, item, place, self.findings, self._known[section])
+        if section == SERVICES and not conforms:
+            self._invalid_services.add(name)
+        return conforms and first == place
 
     def check_target(self, section: str, value: Any, place: str) -> None:
-        """A list can only be put into a named list, and an object into an object."""
-        held = self.current.section(section)
-        if section in NAMED_SECTIONS or isinstance(held, dict):
+        """Checks that a list is merged only into a named list, and an object only into an object."""
+        present = self.current.section(section)
+        if section in NAMED_SECTIONS or isinstance(present, dict):
             fits, wanted = isinstance(value, list), "a list of objects"
-        elif section == LIMITS or (held is not None and held.startswith("{")):
+        elif section == LIMITS or (present is not None and present.startswith("{")):
             fits, wanted = isinstance(value, dict), "an object"
         else:
-            fits, wanted = held is None, "a list of objects with names, or an object"
+            fits, wanted = present is None, "a list of objects with names, or an object"
         if not fits:
             self.findings.append(Finding(place, f"found {shown(value)}, wanted {wanted}"))
 
     def check_contradiction(self, section: str, upserted: Any, deleted: Any) -> None:
-        """What is to be there and to be gone after one patch can't be meant."""
+        """Checks that a patch doesn't both upsert and delete the same item."""
         if not isinstance(deleted, list) or not isinstance(upserted, list):
             return
         names = [item.get("name") for item in upserted if isinstance(item, dict)]
@@ -128,12 +134,15 @@
                     Finding(f"delete.{section}[{index}]", f"{shown(name)} is in upsert as well")
                 )
 
-    def finish(self, whole: dict[str, Any], sound: dict[str, Any], change: Change) -> ConfigurationState:
-        """The state after the whole order; after findings, the sound items are still checked as one."""
+    def finish(self, order: dict[str, Any], valid: dict[str, Any], change: Change) -> ConfigurationState:
+        """Checks the items against one another and returns the resulting state.
+
+        After earlier findings only the valid items are checked. Raises `ConfigurationInvalid`.
+        """
         if self.findings:
-            whole = {VERSION: self.current.version + 1, **sound}
-        candidate = change(whole, self._text)
-        services = dict.fromkeys(self._faulty_services) | dict(candidate.services)
+            order = {VERSION: self.current.version + 1, **valid}
+        candidate = change(order, self._text)
+        services = dict.fromkeys(self._invalid_services) | dict(candidate.services)
         self.findings += check_routes(candidate.routes.values(), services, self._place)
         self.findings += check_tenants(candidate.tenants.values(), self._place)
         if self.findings:
@@ -141,12 +150,12 @@
         return candidate
 
     def _text(self, item: Any) -> str:
-        """The compact JSON of an item, made once."""
+        """Returns the compact JSON of an item, encoded only once."""
         text = self._texts.get(id(item))
         if text is None:
             text = self._texts[id(item)] = compact(item)
         return text
 
     def _place(self, section: str, name: str) -> str:
-        """Where an item is in the order; for one that was in force before, its name."""
+        """Returns the place of an item in the order; for an item already in force, its section and name."""
         return self._places.get((section, name), f"{section}[{name}]")
--- a/cloverrouter/control/routing.py
+++ b/cloverrouter/control/routing.py
@@ -1,10 +1,10 @@
-"""Which route a request takes, and which tenant a key belongs to, by look-ups in dictionaries."""
+"""Lookup of the route of a request and of the tenant of an API key."""
 
 from __future__ import annotations
 
 from cloverrouter.control.configuration import Configuration, Route, Tenant, normal_host
 
-MAX_REMEMBERED_HOSTS = 4096
+MAX_CACHED_HOSTS = 4096
 
 
 class _Host:
@@ -14,7 +14,7 @@
 
     def __init__(self) -> None:
         self.routes: dict[bytes, Route] = {}
-        self.longest = 0
+        self.longest = 0  # length of the longest prefix
 
     def add(self, route: Route) -> None:
         prefix = route.prefix.encode()
@@ -23,7 +23,7 @@
 
 
 class RoutingTable:
-    """The routes and keys of one version of the configuration. It is never changed, but replaced."""
+    """The routes and API keys of one version of the configuration. Immutable but for its cache of hosts."""
 
     def __init__(self, configuration: Configuration) -> None:
         self.version = configuration.version
@@ -32,15 +32,15 @@
             self._hosts.setdefault(route.host, _Host()).add(route)
         self._tenants = {key.encode(): tenant for tenant in configuration.tenants for key in tenant.keys}
         self._needs_key = bool(configuration.tenants)
-        self._known_hosts: dict[bytes, _Host | None] = {}
+        self._host_cache: dict[bytes, _Host | None] = {}
 
     @property
     def needs_key(self) -> bool:
-        """Whether requests on routes that are not anonymous need a key."""
+        """Whether requests on routes without anonymous access need an API key."""
         return self._needs_key
 
     def match(self, host: bytes, path: bytes) -> Route | None:
-        """The route of that host with the longest prefix of the path, which comes without its query."""
+        """Returns the route of the host with the longest matching prefix, or None. `path` has no query."""
         found = self._host(host)
         if found is None:
             return None
@@ -53,16 +53,16 @@
         return None
 
     def _host(self, host: bytes) -> _Host | None:
-        """The routes of a Host header's value, remembered as it was written."""
+        """Returns the routes for the value of a Host header. Results are cached by the value as received."""
         try:
-            return self._known_hosts[host]
+            return self._host_cache[host]
         except KeyError:
             pass
         found = self._hosts.get(normal_host(host.decode("utf-8", "replace")))
-        if len(self._known_hosts) < MAX_REMEMBERED_HOSTS:
-            self._known_hosts[host] = found
+        if len(self._host_cache) < MAX_CACHED_HOSTS:
+            self._host_cache[host] = found
         return found
 
     def tenant_of(self, key: bytes) -> Tenant | None:
-        """The tenant that holds a key."""
+        """Returns the tenant of an API key, or None."""
         return self._tenants.get(key)
--- a/cloverrouter/control/schemas.py
+++ b/cloverrouter/control/schemas.py
@@ -1,7 +1,8 @@
-"""The rules for single items of the configuration and for registrations, as cerberus schemas.
+"""The cerberus schemas for items of the configuration and for registrations.
 
-Each field's ``meta`` says in words what is wanted there. Validators are reused and run without normalization,
-which makes them eight times as fast. This module is imported only where something is to be checked.
+The ``meta`` of each field describes the expected value in words. Validators are reused and run without
+normalization, which makes them eight times as fast. To avoid loading cerberus, this module is imported only
+where something is validated.
 """
 
 from __future__ import annotations
@@ -17,19 +18,19 @@
 
 Schema = dict[str, Any]
 MAX_NUMBER = 2**53
-"""The largest number of any field: as a whole number it fits into messages between nodes."""
+"""The largest number that a field may have; integers up to it fit into messages between nodes."""
 
 
 class Rules(cerberus.Validator):  # type: ignore[misc]
-    """cerberus with the rules `above` and `whole`. Fields that no schema names are allowed."""
+    """A cerberus validator with the additional rules `above` (exclusive minimum) and `whole` (integral)."""
 
     @cached_property
     def required_fields(self) -> frozenset[str]:
-        """Fields that have to be there."""
+        """The names of the required fields."""
         return frozenset(field for field, rules in self.schema.items() if rules.get("required"))
 
-    # cerberus reads the docstrings of rules as the schemas of their arguments, and goes on to further rules
-    # after a null that isn't allowed.
+    # cerberus parses the docstring of a rule as the schema of its argument. It also runs the other rules
+    # after it has found a null that isn't allowed, so the rules must accept None.
 
     def _validate_above(self, bound: float, field: str, value: float | None) -> None:
         """{'type': 'number'}"""
@@ -49,24 +50,27 @@
 
 
 def is_plainly_sound(rules: Schema | None, value: Any) -> bool:
-    """Whether a field's value keeps its rules, told without cerberus, whose calls for each of many thousand
-    items take seconds. False also where this can't tell; then cerberus does, and words what it finds."""
+    """Returns True if a field's value clearly conforms to its rules, which is checked without cerberus.
+
+    Calling cerberus for each of many thousand items takes seconds. False means that the value is invalid or
+    that this function can't tell; cerberus then decides and reports the errors.
+    """
     if rules is None:
-        return True  # a field that no schema names
+        return True  # a field that is not in the schema
     if not rules.keys() <= PLAIN_RULES:
         return False
     if value is None:
         return bool(rules.get("nullable"))
     kind = rules["type"]
-    wanted: Any = TYPES.get(kind, ())
-    if not isinstance(value, wanted) or (kind == "number" and isinstance(value, bool)):
+    expected: Any = TYPES.get(kind, ())
+    if not isinstance(value, expected) or (kind == "number" and isinstance(value, bool)):
         return False
     if kind == "string":
-        return _is_sound_text(rules, value)
-    return kind == "boolean" or _is_sound_number(rules, value)
+        return _is_valid_string(rules, value)
+    return kind == "boolean" or _is_valid_number(rules, value)
 
 
-def _is_sound_text(rules: Schema, value: str) -> bool:
+def _is_valid_string(rules: Schema, value: str) -> bool:
     if not value and not rules.get("empty", True):
         return False
     pattern, allowed = rules.get("regex"), rules.get("allowed")
@@ -75,7 +79,7 @@
     return allowed is None or value in allowed
 
 
-def _is_sound_number(rules: Schema, value: float) -> bool:
+def _is_valid_number(rules: Schema, value: float) -> bool:
     if not rules.get("min", value) <= value <= rules.get("max", value):
         return False
     if "above" in rules and not value > rules["above"]:
@@ -83,12 +87,12 @@
     return not rules.get("whole") or value == int(value)
 
 
-def _field(wanted: str, **rules: Any) -> Schema:
-    return {**rules, "meta": wanted}
+def _field(expected: str, **rules: Any) -> Schema:
+    return {**rules, "meta": expected}
 
 
-def _optional(wanted: str, **rules: Any) -> Schema:
-    return _field(wanted, nullable=True, **rules)
+def _optional(expected: str, **rules: Any) -> Schema:
+    return _field(expected, nullable=True, **rules)
 
 
 NAME = _field("a name", type="string", required=True, empty=False)
@@ -96,7 +100,7 @@
 ABOVE_ZERO = _optional("a number above 0", type="number", above=0, max=MAX_NUMBER)
 ZERO_OR_MORE = _optional("a number, 0 or more", type="number", min=0, max=MAX_NUMBER)
 COUNT = _optional("a whole number, 0 or more", type="number", min=0, max=MAX_NUMBER, whole=True)
-WORD = _optional("a string", type="string")
+STRING = _optional("a string", type="string")
 MODELS = _optional(
     "a list of models",
     type="list",
@@ -159,7 +163,7 @@
         schema=_field("a key", type="string", empty=False),
     ),
     "priority": COUNT,
-    "unit": WORD,
+    "unit": STRING,
     "uncached-tokens": ZERO_OR_MORE,
     "rate-per-s": ZERO_OR_MORE,
     "burst-size": ZERO_OR_MORE,
@@ -197,14 +201,14 @@
     "backend": _field("the name of a service", type="string", required=True, empty=False),
     "address": _field("an address, HOST:PORT", type="string", required=True, regex=r".+:\d{1,5}"),
     "availability-zone": _optional("the name of a zone", type="string"),
-    "version": WORD,
+    "version": STRING,
     "capacity": COUNT,
     "lifecycle-state": _field("ready or draining", type="string", allowed=("ready", "draining")),
     "warmup-remaining-ms": ZERO_OR_MORE,
     "sequence-number": _field(
         "a whole number, 0 or more", type="number", required=True, min=0, max=MAX_NUMBER, whole=True
     ),
-    "phase": WORD,
+    "phase": STRING,
     "model-list": _optional(
         "a list of models",
         type="list",
@@ -213,7 +217,7 @@
 }
 
 ITEM: Schema = {"name": NAME}
-"""An item of a list that no schema names."""
+"""The schema of an item of any other list."""
 
 SCHEMAS = {
     "document": DOCUMENT,
@@ -227,9 +231,10 @@
 
 
 def validator(schema: str) -> Rules:
-    """The validator of one of `SCHEMAS`; for any other name, of an item with a name.
+    """Returns the validator for one of `SCHEMAS`, or for `ITEM` if the name is not among them.
 
-    Danger: a validator holds what it is just looking at, so each thread has its own.
+    A validator keeps state while it validates, so each thread has its own. Fields that are not in the schema
+    are allowed.
     """
     return _validator_of(schema, get_ident())
 
--- a/cloverrouter/control/updates.py
+++ b/cloverrouter/control/updates.py
@@ -1,6 +1,7 @@
-"""What a taken order changes, as it travels along the chain and on to the proxies, and how it is applied.
+"""Updates of the configuration, as sent along the chain and to the proxies, and their application to a state.
 
-An update of a whole configuration fits any earlier version; a patch only the version that it builds on.
+An update with a full configuration can be applied to any earlier version, a patch only to the version that it
+builds on.
 """
 
 from __future__ import annotations
@@ -18,13 +19,13 @@
 
 @message(303)
 class ConfigurationReplaced:
-    """A whole configuration came into force."""
+    """The whole configuration was replaced."""
 
     version: int
     base: int
-    """The version before."""
+    """The previous version."""
     digest: bytes
-    """Of the order that brought it; empty where only the content is handed on."""
+    """The digest of the order; empty if the update only transfers the state."""
     document: bytes
     """JSON."""
 
@@ -44,22 +45,22 @@
 
 
 def decoded(frame: bytes, kind: type[T]) -> T:
-    """The one message of a frame, of that type. Raises `MessageError`."""
-    found = _only(frame)
+    """Returns the only message of a frame. Raises `MessageError` if it is not exactly one of that type."""
+    found = _single_message(frame)
     if not isinstance(found, kind):
         raise MalformedFrame(f"found {type(found).__name__}, wanted {kind.__name__}")
     return found
 
 
 def decoded_update(frame: bytes) -> Update:
-    """The one update of a frame. Raises `MessageError`."""
-    found = _only(frame)
+    """Returns the only update of a frame. Raises `MessageError` if it is not exactly one update."""
+    found = _single_message(frame)
     if not isinstance(found, Update):
         raise MalformedFrame(f"found {type(found).__name__}, wanted an update")
     return found
 
 
-def _only(frame: bytes) -> object:
+def _single_message(frame: bytes) -> object:
     found = list(Decoder().feed(frame))
     if len(found) != 1:
         raise MalformedFrame(f"found {len(found)} whole messages, wanted one")
@@ -67,7 +68,7 @@
 
 
 def applied(state: ConfigurationState, update: Update) -> ConfigurationState:
-    """The state after an update. Raises `UpdateOutOfOrder` where it can't follow this state."""
+    """Returns the state after an update. Raises `UpdateOutOfOrder` if it doesn't fit the state's version."""
     if update.version <= state.version:
         raise UpdateOutOfOrder(f"version {update.version} after {state.version}")
     if isinstance(update, ConfigurationReplaced):
@@ -78,12 +79,12 @@
 
 
 def applied_frame(state: ConfigurationState, frame: bytes) -> ConfigurationState:
-    """The state after an encoded update."""
+    """Returns the state after an encoded update. Raises `UpdateOutOfOrder` or `MessageError`."""
     return applied(state, decoded_update(frame))
 
 
 def whole(state: ConfigurationState) -> bytes:
-    """The encoded update that brings any earlier state to this one."""
+    """Returns the encoded update that turns any earlier state into this one."""
     return encode(ConfigurationReplaced(state.version, 0, b"", state.json()))
 
 
