--- a/tests/system/configurations.py
+++ b/tests/system/configurations.py
@@ -1,4 +1,4 @@
-"""Documents and orders for tests of the configuration."""
+"""Builders of configuration documents and orders for tests."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 def route(name: str, prefix: str | None = None, /, **changes: Any) -> Document:
-    """A sound route to the service `model`."""
+    """Returns a valid route to the service `model`."""
     item = {
         "name": name,
         "hostname": "one.example",
@@ -33,24 +33,24 @@
 
 
 def split(*weights: tuple[str, float]) -> list[Document]:
-    """A traffic split."""
+    """Returns a traffic split."""
     return [{"backend": service, "weight": weight} for service, weight in weights]
 
 
 def service(name: str, /, **changes: Any) -> Document:
-    """A sound service."""
+    """Returns a valid service."""
     item = {"name": name, "health-check": "/health", "connection-limit": 320, "protocol": "h1"}
     return {**item, "transport-security": False, **changes}
 
 
 def tenant(name: str, /, *keys: str, **changes: Any) -> Document:
-    """A sound tenant."""
+    """Returns a valid tenant."""
     item = {"name": name, "api-keys": list(keys), "priority": 1, "unit": "token_metering"}
     return {**item, "uncached-tokens": 200, "rate-per-s": 279795, "burst-size": 279795, **changes}
 
 
 def document(version: int = 1, routes: int = 2, /, **changes: Any) -> Document:
-    """A sound configuration."""
+    """Returns a valid configuration."""
     engine = {"capacity": 48, "kv-cache-tokens": 305000, "stride": 38, "model-list": [{"name": "m"}]}
     whole = {
         "version": version,
@@ -63,7 +63,7 @@
 
 
 def send(machine: ConfigurationMachine, method: str, if_match: str | None, body: Any) -> OrderReply:
-    """An order decided and, where it is taken, applied, as on a chain of one."""
+    """Decides on an order and applies its update if it is accepted, as a chain of one replica does."""
     raw = body if isinstance(body, bytes) else json.dumps(body).encode()
     decision = machine.decide(encode(Order(method, if_match, raw)))
     if decision.update is not None:
@@ -72,5 +72,5 @@
 
 
 def findings(reply: OrderReply) -> list[str]:
-    """The findings that an answer tells."""
+    """Returns the findings in a reply."""
     return list(json.loads(reply.body)["findings"])
--- a/tests/system/control_world.py
+++ b/tests/system/control_world.py
@@ -1,7 +1,7 @@
-"""The world of replicas with what stands before them: machines that take the operator's calls.
+"""A simulation of replicas together with the machines that receive the operator's calls.
 
-Every machine, with a disk or without, has the forwarder of its process; a machine with a disk answers calls
-that reach it as the head. Views travel to all machines that are not cut off.
+Every machine, with or without a disk, has the forwarder of a process. A machine with a disk also has a
+replica and answers calls while it is the head. Views are sent to all machines that are not cut off.
 """
 
 from __future__ import annotations
@@ -32,39 +32,39 @@
 VIEW_DELAY_S = 0.002
 
 
-class PatientRegister(Register):
-    """Knows every order of a scenario again."""
+class LongMemoryRegister(Register):
+    """Remembers the digests of all orders in a scenario."""
 
     kept_digests = 1_000_000
 
 
 @attrs.define(eq=False)
 class ControlCall:
-    """One call of the operator at one machine."""
+    """A call of the operator to one machine."""
 
     ip: str
     kind: Kind
     name: str  # of the order
     sent_at: float
-    least: int  # acknowledged before it was sent
+    acknowledged_before: int  # the newest version that was acknowledged before the call was sent
     ended_at: float | None = None
-    reply: bytes | None = None  # None: given up, a 503
+    reply: bytes | None = None  # None: timed out, a 503
 
     @property
     def is_confirmed(self) -> bool:
-        """An order: it is in force. A read: it was answered."""
+        """Whether an order is in force, or a read was answered."""
         if self.reply is None:
             return False
         return self.kind is Kind.READ or json.loads(self.reply)[0] == "done"
 
     @property
     def is_refused(self) -> bool:
-        """It is told that another version is in place."""
+        """Whether an order was refused because another version is in force."""
         return self.reply is not None and not self.is_confirmed
 
 
 class Front:
-    """What a process that takes calls has: the forwarder, and the view that it knows."""
+    """The part of a process that handles calls: its forwarder and the view that it knows."""
 
     def __init__(self, ip: str, seed: float) -> None:
         self.ip = ip
@@ -75,7 +75,7 @@
 
 
 class ControlWorld(World):
-    """Replicas, and `proxies` more machines without a disk."""
+    """Replicas, and in addition `proxies` machines without a disk."""
 
     def __init__(self, seed: int, count: int, tolerance: int, proxies: int = 2, **options: Any) -> None:
         self.fronts: dict[str, Front] = {}
@@ -90,17 +90,17 @@
         self.at(self.now, self._tick_fronts)
 
     def new_machine(self) -> StateMachine:
-        return PatientRegister()
+        return LongMemoryRegister()
 
     # -- the operator --
 
     def order(self, ip: str, name: str, expect: int | None = None) -> ControlCall:
-        """An order at a machine."""
+        """Sends an order to a machine."""
         command = json.dumps({"id": name, "expect": expect, "value": name}).encode()
         return self._call(ip, Kind.ORDER, name, command)
 
     def read_back(self, ip: str) -> ControlCall:
-        """The operator asks a machine for the configuration."""
+        """Reads the configuration at a machine."""
         return self._call(ip, Kind.READ, "", b"")
 
     def _call(self, ip: str, kind: Kind, name: str, command: bytes) -> ControlCall:
@@ -114,7 +114,7 @@
     def _forward(self, front: Front, effects: Iterable[SendCall | Finished]) -> None:
         for effect in effects:
             if isinstance(effect, SendCall):
-                self._send_any(front.ip, effect.ip, effect.call)
+                self._send_or_loop_back(front.ip, effect.ip, effect.call)
             else:
                 self._end(front.calls.pop(effect.ticket), effect.reply)
 
@@ -124,7 +124,7 @@
             self.check_acknowledged(json.loads(reply)[1], call.name)
         elif call.kind is Kind.READ and reply is not None:
             version = json.loads(reply)[0] if reply else 0
-            self.check_read(Answer(0, Outcome.DONE, reply, version), call.least)
+            self.check_read(Answer(0, Outcome.DONE, reply, version), call.acknowledged_before)
 
     def _tick_fronts(self) -> None:
         for front in self.fronts.values():
@@ -133,7 +133,7 @@
 
     # -- between machines --
 
-    def _send_any(self, from_ip: str, to_ip: str, message: object) -> None:
+    def _send_or_loop_back(self, from_ip: str, to_ip: str, message: object) -> None:
         if from_ip == to_ip:
             self.at(self.now, lambda: self._deliver(from_ip, to_ip, message))
         else:
@@ -143,24 +143,24 @@
         if (from_ip, to_ip) in self.cuts:
             return
         if isinstance(message, HeadCall):
-            self._ask_desk(from_ip, to_ip, message)
+            self._handle_call(from_ip, to_ip, message)
         elif isinstance(message, HeadAnswer):
             front = self.fronts[to_ip]
             self._forward(front, front.forwarder.answered(self.now, message))
         else:
             super()._deliver(from_ip, to_ip, message)
 
-    def _ask_desk(self, from_ip: str, to_ip: str, call: HeadCall) -> None:
+    def _handle_call(self, from_ip: str, to_ip: str, call: HeadCall) -> None:
         for node in self.nodes:
             if node.ip == to_ip and node.replica is not None:
                 self.carry_out(node, self._desk(node).called(self.now, from_ip, call))
 
     def _desk(self, node: Node) -> HeadDesk:
-        """The desk of a node's process."""
+        """Returns the `HeadDesk` of a node's current process."""
         found = self._desks.get(node.ip)
         if found is None or found[0] is not node.replica:
             assert node.replica is not None
-            desk = HeadDesk(node.replica, lambda ip, message: self._send_any(node.ip, ip, message))
+            desk = HeadDesk(node.replica, lambda ip, message: self._send_or_loop_back(node.ip, ip, message))
             found = self._desks[node.ip] = node.replica, desk
         return found[1]
 
@@ -176,10 +176,10 @@
         summary = summary_of(effect.view, node.committed)
         for ip in self.fronts:
             if (node.ip, ip) not in self.cuts:
-                self.at(self.now + VIEW_DELAY_S, lambda ip=ip: self._learn(ip, summary))  # type: ignore[misc]
+                self.at(self.now + VIEW_DELAY_S, lambda ip=ip: self._learn_view(ip, summary))  # type: ignore[misc]
 
-    def _learn(self, ip: str, summary: ViewSummary) -> None:
-        """As the control plane of a process does."""
+    def _learn_view(self, ip: str, summary: ViewSummary) -> None:
+        """Adopts a view that is not older than the known one, as the control plane of a process does."""
         front = self.fronts[ip]
         if front.summary is not None and summary.order() < front.summary.order():
             return
--- a/tests/system/order_storms.py
+++ b/tests/system/order_storms.py
@@ -1,4 +1,4 @@
-"""Operators that race while everything else happens, from a seed. By hand:
+"""Seeded fault-injection runs with concurrent operators. To run them by hand:
 
 python -m tests.system.order_storms [--seeds 200] [--first 1] [--seconds 20]
 """
@@ -13,19 +13,19 @@
 from tests.system.replica_world import Violation
 
 OPERATORS = 3
-SHORTEST_S, LONGEST_S = 0.1, 0.8  # between troubles
+MIN_FAULT_INTERVAL_S, MAX_FAULT_INTERVAL_S = 0.1, 0.8
 
 
 @attrs.frozen
 class Result:
-    """What came of a storm: orders taken and refused."""
+    """The result of a run: the numbers of accepted and of refused orders."""
 
     acknowledged: int
     refused: int
 
 
-class Strikes:
-    """Processes of proxies and replicas end, heads freeze, stall and are cut off, one after the other."""
+class FaultInjector:
+    """Injects faults one after another: kills proxies and heads, freezes heads, stalls disks, cuts links."""
 
     def __init__(self, world: OrderWorld) -> None:
         self.world = world
@@ -39,7 +39,7 @@
         world.random.choices(
             [self._end_proxy, self._end_head, self._freeze, self._cut, self._stall], [4, 3, 2, 2, 1]
         )[0]()
-        world.at(world.now + world.random.uniform(SHORTEST_S, LONGEST_S), self._next)
+        world.at(world.now + world.random.uniform(MIN_FAULT_INTERVAL_S, MAX_FAULT_INTERVAL_S), self._next)
 
     def _end_proxy(self) -> None:
         proxy = self.world.random.choice(self.world.proxies)
@@ -74,49 +74,49 @@
 
 
 def storm(seed: int, seconds: float = 20.0) -> Result:
-    """Play one. Raises Violation."""
+    """Runs one seed. Raises `Violation` if an invariant is broken."""
     world = OrderWorld(seed, 3, 1)
     world.run(2.0)
     operators = Operators(world)
-    senders = [Operator(operators, name, lost=0.3, patience_s=0.4) for name in "abc"[:OPERATORS]]
-    strikes = Strikes(world)
+    senders = [Operator(operators, name, loss_rate=0.3, retry_s=0.4) for name in "abc"[:OPERATORS]]
+    faults = FaultInjector(world)
     world.run(seconds)
-    strikes.stopped = True
+    faults.stopped = True
     for sender in senders:
         sender.stopped = True
     world.cuts.clear()
     _read_back(world, operators)
-    return Result(sum(len(sender.taken) for sender in senders), operators.refusals)
+    return Result(sum(len(sender.accepted) for sender in senders), operators.refusals)
 
 
 def _read_back(world: OrderWorld, operators: Operators) -> None:
-    """When all is well again the newest is read, whole."""
+    """Checks that after all faults have ended every proxy reads the configuration."""
     world.run(6.0)
     found: list[object] = []
     for proxy in world.proxies:
         operators.read(proxy, found.append)
     world.run(4.0)
     if len(found) < len(world.proxies) or None in found:
-        raise Violation("no configuration is read when all is well again")
+        raise Violation("a proxy reads no configuration after all faults have ended")
 
 
 def main() -> None:
-    parser = argparse.ArgumentParser(description="Storms of racing operators.")
+    parser = argparse.ArgumentParser(description="Fault-injection runs with concurrent operators.")
     parser.add_argument("--seeds", type=int, default=200)
     parser.add_argument("--first", type=int, default=1)
     parser.add_argument("--seconds", type=float, default=20.0)
     options = parser.parse_args()
-    broken = taken = refused = 0
+    failed = accepted = refused = 0
     for seed in range(options.first, options.first + options.seeds):
         try:
             result = storm(seed, options.seconds)
         except Violation as violation:
-            broken += 1
+            failed += 1
             print(f"seed {seed}: {violation}")
         else:
-            taken += result.acknowledged
+            accepted += result.acknowledged
             refused += result.refused
-    print(f"{options.seeds} storms, {broken} broken; {taken} orders taken, {refused} refusals")
+    print(f"{options.seeds} runs, {failed} failed; {accepted} orders accepted, {refused} refusals")
 
 
 if __name__ == "__main__":
--- a/tests/system/order_world.py
+++ b/tests/system/order_world.py
@@ -1,7 +1,7 @@
-"""Operators, proxies and the chain in one seeded world: real orders, from an operator's call to its answer.
+"""A seeded simulation of operators, proxies and the replica chain, with real orders.
 
-Each machine with a disk has a replica of the configuration with its desk; proxies take the operators' calls
-and forward them, as their processes do. Processes end and start again, links are cut, answers are lost.
+Each machine with a disk has a replica of the configuration and a `HeadDesk`. Proxies receive the operators'
+calls and forward them, as their processes do. Processes end and restart, links are cut, answers are lost.
 """
 
 from __future__ import annotations
@@ -41,19 +41,19 @@
 from tests.system.replica_world import Ledger, Node, Violation, World
 
 PROXY_TICK_S = 0.05
-NOTICE_S = 0.3
-DIGEST_WITH_VERSION = 24
+VIEW_INTERVAL_S = 0.3
+DIGEST_WITH_VERSION_BYTES = 24
 CLIENT_ERRORS = range(400, 500)
 
 
 class OrderLedger(Ledger):
-    """The orders are known by their digests."""
+    """A ledger that identifies orders by their digests."""
 
     def order_of(self, update: bytes) -> str:
         return decoded_update(update).digest.hex()
 
     def orders_of(self, state: bytes) -> dict[str, int]:
-        """The newest digests, numbered as far as the updates before them are known."""
+        """Returns nothing: the digests in a snapshot are not compared."""
         return {}
 
     def state(self, seq: int, state: bytes) -> None:
@@ -64,13 +64,13 @@
 
 @attrs.define(eq=False)
 class Call:
-    """A call of an operator at one proxy, or a read."""
+    """An order or a read of an operator at one proxy."""
 
     done: Callable[[bytes | None], None]
 
 
 class Proxy:
-    """One process that takes the operators' calls."""
+    """A proxy process that receives the operators' calls."""
 
     def __init__(self, world: OrderWorld, ip: str) -> None:
         self.world = world
@@ -80,7 +80,7 @@
         self.start()
 
     def start(self) -> None:
-        """A process, with nothing of the one before."""
+        """Starts a process without any state of the previous one."""
         self.life += 1
         self.runs = True
         self._forwarder = Forwarder()
@@ -90,7 +90,7 @@
         self._tick(self.life)
 
     def kill(self) -> None:
-        """Whoever called hears nothing."""
+        """Ends the process. Pending calls get no answer."""
         self.life += 1
         self.runs = False
 
@@ -100,7 +100,7 @@
             self.world.at(self.world.now + PROXY_TICK_S, lambda: self._tick(life))
 
     def order(self, order: Order, done: Callable[[OrderReply | None], None]) -> None:
-        """An operator's order; None: it is left without an answer."""
+        """Forwards an operator's order. `done` gets the reply, or None if there is no answer."""
 
         def on_reply(reply: bytes | None) -> None:
             done(None if reply is None else decoded(reply, OrderReply))
@@ -108,7 +108,7 @@
         self._ask(Kind.ORDER, encode(order), on_reply)
 
     def read(self, done: Callable[[dict[str, Any] | None], None]) -> None:
-        """The configuration as an operator reads it."""
+        """Reads the configuration. `done` gets the document, or None if there is no answer."""
 
         def on_reply(reply: bytes | None) -> None:
             done(None if reply is None else json.loads(decoded(reply, MachineSnapshot).document or b"{}"))
@@ -123,12 +123,12 @@
         self._carry_out(self._forwarder.ask(self.world.now, ticket, kind, command))
 
     def answered(self, answer: HeadAnswer) -> None:
-        """The head's answer has come."""
+        """Handles an answer of the head."""
         if self.runs:
             self._carry_out(self._forwarder.answered(self.world.now, answer))
 
     def view_told(self, epoch: int, active: bool, head_ip: str | None) -> None:
-        """A replica tells its view."""
+        """Handles a view notice from a replica. Older views are ignored."""
         if self.runs and (epoch, active) >= self._view:
             self._view = (epoch, active)
             self._carry_out(self._forwarder.head_changed(self.world.now, head_ip if active else None))
@@ -144,7 +144,7 @@
 
 
 class OrderWorld(World):
-    """Replicas of the configuration, and proxies. Clients call proxies, not replicas."""
+    """Replicas of the configuration, and proxies. Operators call proxies, not replicas."""
 
     def __init__(self, seed: int, count: int, tolerance: int, proxies: int = 3, **options: Any) -> None:
         self.desks: dict[str, tuple[int, HeadDesk]] = {}
@@ -153,7 +153,7 @@
         self.versions: dict[str, int] = {}  # of the orders that were committed, by digest
         super().__init__(seed, count, tolerance, **options)
         self.proxies = [Proxy(self, f"10.9.0.{number + 1}") for number in range(proxies)]
-        self._tell_views()
+        self._send_views()
 
     def new_machine(self) -> StateMachine:
         return ConfigurationMachine()
@@ -164,7 +164,7 @@
     # -- messages --
 
     def send(self, from_ip: str, to_ip: str, message: object) -> None:
-        """Send between a proxy and a replica, or two proxies."""
+        """Sends a message between a proxy and a replica, or between two proxies."""
         self._send(from_ip, Send(to_ip, message))
 
     def _deliver(self, from_ip: str, to_ip: str, message: object) -> None:
@@ -185,7 +185,7 @@
         self._when_awake(node, lambda: list(self._desk(node).called(self.now, from_ip, call)))
 
     def _desk(self, node: Node) -> HeadDesk:
-        """The desk of a node's process."""
+        """Returns the `HeadDesk` of a node's current process."""
         life, desk = self.desks.get(node.ip, (0, None))
         if desk is None or life != node.life:
             assert node.replica is not None
@@ -200,20 +200,20 @@
             else:
                 super().carry_out(node, (effect,))
 
-    def _tell_views(self) -> None:
+    def _send_views(self) -> None:
         for node in self.running():
             view = node.replica.view_info if node.replica is not None else None
             if view is not None:
                 for proxy in self.proxies:
-                    self._tell_view(node, proxy, view.epoch, view.active, view.head_ip)
-        self.at(self.now + NOTICE_S, self._tell_views)
+                    self._send_view(node, proxy, view.epoch, view.active, view.head_ip)
+        self.at(self.now + VIEW_INTERVAL_S, self._send_views)
 
-    def _tell_view(self, node: Node, proxy: Proxy, epoch: int, active: bool, head_ip: str | None) -> None:
-        def tell() -> None:
+    def _send_view(self, node: Node, proxy: Proxy, epoch: int, active: bool, head_ip: str | None) -> None:
+        def deliver() -> None:
             if (node.ip, proxy.ip) not in self.cuts:
                 proxy.view_told(epoch, active, head_ip)
 
-        self.at(self.now + self.random.uniform(0.0008, 0.0015), tell)
+        self.at(self.now + self.random.uniform(0.0008, 0.0015), deliver)
 
     # -- what is committed --
 
@@ -222,20 +222,20 @@
         update = decoded_update(effect.update)
         digest, known = update.digest.hex(), self.versions.get(update.digest.hex())
         if known not in (None, update.version):
-            raise Violation(f"one order brought versions {known} and {update.version}")
+            raise Violation(f"one order led to two versions, {known} and {update.version}")
         self.versions[digest] = update.version
         content = self.documents.setdefault(update.version, effect.update)
         if content != effect.update:
-            raise Violation(f"version {update.version} has two contents")
+            raise Violation(f"version {update.version} was committed with two contents")
 
 
 class Operators:
-    """All that the operators were told: what holds for any two of them.
+    """Sends the orders and reads of all operators and checks the replies. Invariants:
 
-    - Of all orders on one version at most one is acknowledged.
-    - What is acknowledged is committed, under the number that was told.
-    - An order that was taken is not refused, whoever asks whom and how often.
-    - A read tells nothing older than what was acknowledged before it began.
+    - Of all orders on one base version at most one is acknowledged.
+    - An acknowledged order is committed, with the version in the reply.
+    - An order that was accepted is never refused, no matter who resends it to which proxy and how often.
+    - A read returns no version older than one that was acknowledged before the read began.
     """
 
     def __init__(self, world: OrderWorld) -> None:
@@ -247,60 +247,63 @@
     def order(
         self, proxy: Proxy, order: Order, done: Callable[[OrderReply | None], None] = lambda _: None
     ) -> None:
-        """Send an order to a proxy."""
-        proxy.order(order, partial(self._judged, order, done))
+        """Sends an order to a proxy."""
+        proxy.order(order, partial(self._check_reply, order, done))
 
-    def _judged(
+    def _check_reply(
         self, order: Order, done: Callable[[OrderReply | None], None], reply: OrderReply | None
     ) -> None:
         if reply is not None and reply.status == 200:
-            self._acknowledged(order, reply)
+            self._check_acknowledged(order, reply)
         elif reply is not None and reply.status in CLIENT_ERRORS:
-            self._refused(order, reply)
+            self._check_refused(order, reply)
         done(reply)
 
-    def _acknowledged(self, order: Order, reply: OrderReply) -> None:
+    def _check_acknowledged(self, order: Order, reply: OrderReply) -> None:
         digest = order_digest(order)
         version = json.loads(reply.body)["version"]
         if self.winners.setdefault(order.if_match or "", digest) != digest:
             raise Violation(f"two orders on version {order.if_match} are acknowledged")
         if self.world.versions.get(digest.hex()) != version:
-            raise Violation(f"an order is acknowledged as version {version}, which is not what it brought")
+            raise Violation(f"an order is acknowledged as version {version}, but was committed as another")
         if version != json.loads(order.body)["version"]:
-            raise Violation(f"an order is acknowledged as version {version}, which it does not have")
+            raise Violation(f"an order is acknowledged as version {version}, but its body has another")
         self.acknowledged = max(self.acknowledged, version)
 
-    def _refused(self, order: Order, reply: OrderReply) -> None:
+    def _check_refused(self, order: Order, reply: OrderReply) -> None:
         self.refusals += 1
-        taken = self.world.versions.get(order_digest(order).hex())
-        if taken is not None:
-            raise Violation(f"the order that brought version {taken} is refused with {reply.status}")
+        committed = self.world.versions.get(order_digest(order).hex())
+        if committed is not None:
+            raise Violation(f"the order committed as version {committed} is refused with {reply.status}")
 
     def read(self, proxy: Proxy, done: Callable[[dict[str, Any] | None], None]) -> None:
-        """Read the configuration at a proxy."""
-        least = self.acknowledged
+        """Reads the configuration at a proxy."""
+        minimum = self.acknowledged
 
-        def judged(found: dict[str, Any] | None) -> None:
-            if found is not None and found.get("version", 0) < least:
-                raise Violation(f"a read tells {found.get('version')}, and {least} was acknowledged before")
+        def check(found: dict[str, Any] | None) -> None:
+            if found is not None and found.get("version", 0) < minimum:
+                raise Violation(f"a read returns {found.get('version')} after {minimum} was acknowledged")
             done(found)
 
-        proxy.read(judged)
+        proxy.read(check)
 
 
 @attrs.define(eq=False)
 class Operator:
-    """Sends one order after another on top of what it knows; each again, to any proxy, until it is told."""
+    """Sends one order after another, based on the version that it knows.
+
+    Each order is resent, to a random proxy, until it gets an answer.
+    """
 
     operators: Operators
     name: str
     pause_s: float = 0.1
-    patience_s: float = 1.0
-    lost: float = 0.0  # share of answers that don't reach it
+    retry_s: float = 1.0
+    loss_rate: float = 0.0  # fraction of the answers that don't arrive
     stopped: bool = False
-    known: int = 0  # version
-    taken: list[Order] = attrs.Factory(list)
-    _tries: int = 0
+    known_version: int = 0
+    accepted: list[Order] = attrs.Factory(list)
+    _attempts: int = 0
 
     def __attrs_post_init__(self) -> None:
         self._next()
@@ -311,36 +314,36 @@
 
     def _next(self) -> None:
         if not self.stopped:
-            self._send(self._draw())
+            self._send(self._choose_order())
 
-    def _draw(self) -> Order:
-        """A change of its own on top of the version that it knows, or, now and then, one taken long ago."""
+    def _choose_order(self) -> Order:
+        """Returns a new order on the known version or, at times, one that was accepted earlier."""
         random = self.world.random
-        if self.taken and random.random() < 0.2:
-            return random.choice(self.taken)
-        version = self.known + random.randint(1, 3)
+        if self.accepted and random.random() < 0.2:
+            return random.choice(self.accepted)
+        version = self.known_version + random.randint(1, 3)
         content = document(version, operator=f"{self.name}-{version}-{random.random()}")
-        return Order("PUT", str(self.known), compact(content).encode())
+        return Order("PUT", str(self.known_version), compact(content).encode())
 
     def _send(self, order: Order) -> None:
-        self._tries += 1
-        number = self._tries
+        self._attempts += 1
+        attempt = self._attempts
         proxy = self.world.random.choice(self.world.proxies)
-        self.operators.order(proxy, order, lambda reply: self._heard(number, order, reply))
-        self.world.at(self.world.now + self.patience_s, lambda: self._again(number, order))
+        self.operators.order(proxy, order, lambda reply: self._handle_reply(attempt, order, reply))
+        self.world.at(self.world.now + self.retry_s, lambda: self._resend(attempt, order))
 
-    def _again(self, number: int, order: Order) -> None:
-        if number == self._tries:
+    def _resend(self, attempt: int, order: Order) -> None:
+        if attempt == self._attempts:
             self._send(order)
 
-    def _heard(self, number: int, order: Order, reply: OrderReply | None) -> None:
-        if number != self._tries or self.world.random.random() < self.lost:
+    def _handle_reply(self, attempt: int, order: Order, reply: OrderReply | None) -> None:
+        if attempt != self._attempts or self.world.random.random() < self.loss_rate:
             return
         if reply is None:
             self._send(order)
             return
-        self._tries += 1
-        if reply.status == 200 and order not in self.taken:
-            self.taken.append(order)
-        self.known = max(self.known, reply.version)
+        self._attempts += 1
+        if reply.status == 200 and order not in self.accepted:
+            self.accepted.append(order)
+        self.known_version = max(self.known_version, reply.version)
         self.world.at(self.world.now + self.world.random.expovariate(1 / self.pause_s), self._next)
--- a/tests/system/test_configuration_orders.py
+++ b/tests/system/test_configuration_orders.py
@@ -1,4 +1,4 @@
-"""Orders of the operator: what is taken, what is refused and why, and what a replica makes of the updates."""
+"""Operators' orders: which are accepted, which are refused and why, and how replicas apply the updates."""
 
 from __future__ import annotations
 
@@ -76,10 +76,10 @@
 
 
 def test_the_same_bytes_as_another_kind_of_order_are_another_order(machine: ConfigurationMachine) -> None:
-    """They may have come from another operator, who is not to be told that they were taken."""
-    told = {"version": 7, "upsert": {"route-table": [route("x")]}}
-    assert send(machine, "PATCH", "5", told).status == 200
-    assert send(machine, "PUT", "5", told).status == 412
+    """The second may come from another operator, whose order must not be acknowledged."""
+    body = {"version": 7, "upsert": {"route-table": [route("x")]}}
+    assert send(machine, "PATCH", "5", body).status == 200
+    assert send(machine, "PUT", "5", body).status == 412
 
 
 def test_of_two_orders_on_one_base_one_wins(machine: ConfigurationMachine) -> None:
@@ -97,7 +97,7 @@
 
 
 def test_an_order_that_may_be_forgotten_is_not_refused() -> None:
-    """It may have been taken, and its digest is gone."""
+    """It may have been accepted, and its digest was dropped since."""
     machine = ConfigurationMachine()
     newest = 9000
     assert send(machine, "PUT", "0", document(newest)).status == 200
@@ -113,7 +113,7 @@
 
 
 def test_a_command_that_is_no_order_is_refused(machine: ConfigurationMachine) -> None:
-    """Of a newer kind, or spoilt: whoever decides goes on."""
+    """The command may be of a newer type or corrupt. The head must not fail on it."""
     for command in (b"", b"spoilt", encode(Order("PUT", "5", b""))[:-1], machine.snapshot()):
         decision = machine.decide(command)
         assert decision.update is None
--- a/tests/system/test_configuration_patch.py
+++ b/tests/system/test_configuration_patch.py
@@ -1,4 +1,4 @@
-"""Patches against a plain reference on the document, and bodies that are not quite what they should be."""
+"""Patches compared with a reference implementation, and mutated request bodies."""
 
 from __future__ import annotations
 
@@ -32,31 +32,31 @@
 
 
 def reference(base: dict[str, Any], patch: dict[str, Any]) -> dict[str, Any]:
-    """What the protocol says of a patch, in the plainest way."""
+    """Applies a patch as the protocol defines it, in the simplest way."""
     result = copy.deepcopy(base)
     for section, names in patch.get("delete", {}).items():
         result[section] = [item for item in result.get(section, []) if item["name"] not in names]
     for section, items in patch.get("upsert", {}).items():
-        held = result.setdefault(section, [])
+        present = result.setdefault(section, [])
         for item in items:
-            at = [index for index, old in enumerate(held) if old["name"] == item["name"]]
+            at = [index for index, old in enumerate(present) if old["name"] == item["name"]]
             if at:
-                held[at[0]] = item
+                present[at[0]] = item
             else:
-                held.append(item)
+                present.append(item)
     result["version"] = patch["version"]
     return result
 
 
-def is_valid(found: dict[str, Any]) -> bool:
-    services = {item["name"] for item in found["backends"]}
-    places = [(item["hostname"], item["path-prefix"]) for item in found["route-table"]]
-    keys = [key for item in found["tenants"] for key in set(item["api-keys"])]
-    targets = [part["backend"] for item in found["route-table"] for part in item["traffic-split"]]
-    targets += [item["backend"] for item in found["route-table"]]
-    weights = [sum(part["weight"] for part in item["traffic-split"]) for item in found["route-table"]]
+def is_valid(content: dict[str, Any]) -> bool:
+    services = {item["name"] for item in content["backends"]}
+    prefixes = [(item["hostname"], item["path-prefix"]) for item in content["route-table"]]
+    keys = [key for item in content["tenants"] for key in set(item["api-keys"])]
+    targets = [part["backend"] for item in content["route-table"] for part in item["traffic-split"]]
+    targets += [item["backend"] for item in content["route-table"]]
+    weights = [sum(part["weight"] for part in item["traffic-split"]) for item in content["route-table"]]
     return (
-        len(set(places)) == len(places)
+        len(set(prefixes)) == len(prefixes)
         and len(set(keys)) == len(keys)
         and services.issuperset(targets)
         and all(weights)
@@ -109,28 +109,28 @@
 @given(st.lists(patches, max_size=8))
 def test_patches_make_what_the_reference_makes(changes: list[dict[str, Any]]) -> None:
     machine = ConfigurationMachine()
-    held = document(1, **{"route-table": [], "tenants": [], "backends": [service(name) for name in NAMES]})
-    assert send(machine, "PUT", "0", held).status == 200
+    content = document(1, **{"route-table": [], "tenants": [], "backends": [service(name) for name in NAMES]})
+    assert send(machine, "PUT", "0", content).status == 200
     proxy = applied_frame(ConfigurationState(), whole(machine.state))
     for version, change in enumerate(changes, 2):
         patch = {"version": version, **change}
         if contradicts(patch):
             continue
-        wanted = reference(held, patch)
+        expected = reference(content, patch)
         before = machine.state
-        reply = send(machine, "PATCH", str(held["version"]), patch)
-        assert (reply.status == 200) == is_valid(wanted), (reply, wanted)
+        reply = send(machine, "PATCH", str(content["version"]), patch)
+        assert (reply.status == 200) == is_valid(expected), (reply, expected)
         if reply.status != 200:
             assert machine.state is before
             continue
-        held = wanted
+        content = expected
         proxy = proxy.patched(patch)
-        assert machine.document == proxy.document() == held
-        afresh = rebuilt(held)
-        assert machine.state.configuration() == proxy.configuration() == afresh
-        untouched = {item["name"] for item in change["upsert"].get("route-table", [])}
+        assert machine.document == proxy.document() == content
+        rebuilt = rebuild(content)
+        assert machine.state.configuration() == proxy.configuration() == rebuilt
+        upserted = {item["name"] for item in change["upsert"].get("route-table", [])}
         for name, model in machine.state.routes.items():
-            assert name in untouched or model is before.routes[name]
+            assert name in upserted or model is before.routes[name]
 
 
 def contradicts(patch: dict[str, Any]) -> bool:
@@ -141,20 +141,20 @@
     )
 
 
-def rebuilt(held: dict[str, Any]) -> Configuration:
-    return ConfigurationState().replaced(held).configuration()
+def rebuild(content: dict[str, Any]) -> Configuration:
+    return ConfigurationState().replaced(content).configuration()
 
 
-def places(value: Any, path: tuple[Any, ...] = ()) -> list[tuple[Any, ...]]:
-    """All paths into a value."""
-    inner: Any = (
+def paths_of(value: Any, path: tuple[Any, ...] = ()) -> list[tuple[Any, ...]]:
+    """Returns the paths of a value and of all values inside it."""
+    children: Any = (
         value.items() if isinstance(value, dict) else enumerate(value) if isinstance(value, list) else ()
     )
-    return [path, *(found for step, child in inner for found in places(child, (*path, step)))]
+    return [path, *(found for step, child in children for found in paths_of(child, (*path, step)))]
 
 
-def altered(value: Any, path: tuple[Any, ...], change: Any) -> Any:
-    """A copy with the value at a path changed; an ellipsis takes it away."""
+def replace_at(value: Any, path: tuple[Any, ...], change: Any) -> Any:
+    """Returns a copy with the value at a path replaced, or removed if `change` is an ellipsis."""
     if not path:
         return change
     result = copy.deepcopy(value)
@@ -185,12 +185,12 @@
 def test_altered_documents_are_taken_whole_or_refused_whole(
     order: tuple[str, dict[str, Any]], data: st.DataObject
 ) -> None:
-    method, sound = order
-    body: Any = sound
+    method, valid_body = order
+    body: Any = valid_body
     for _ in range(data.draw(st.integers(1, 3))):
-        path = data.draw(st.sampled_from(places(body)))
+        path = data.draw(st.sampled_from(paths_of(body)))
         change = data.draw(CHANGES)
-        body = altered(body, path, {} if change is ... and not path else change)
+        body = replace_at(body, path, {} if change is ... and not path else change)
     machine = ConfigurationMachine()
     send(machine, "PUT", "0", document(5))
     before = machine.snapshot()
@@ -203,7 +203,7 @@
     assert machine.document["version"] == body["version"]
     if method == "PUT":
         assert machine.document == body
-    assert machine.state.configuration() == rebuilt(machine.document)
+    assert machine.state.configuration() == rebuild(machine.document)
     follower = ConfigurationMachine()
     follower.restore(machine.snapshot())
     assert follower.state.configuration() == machine.state.configuration()
@@ -216,13 +216,13 @@
     for _ in range(4):
         item = WHOLE[section][0]
         for _ in range(data.draw(st.integers(0, 2))):
-            path = data.draw(st.sampled_from(places(item)[1:]))
-            item = altered(item, path, data.draw(CHANGES))
-        apart: Findings = []
-        together: Findings = []
-        sound = check_fields(section, item, "x", apart)
-        assert check_fields(section, item, "x", together, known) == sound
-        assert together == apart
+            path = data.draw(st.sampled_from(paths_of(item)[1:]))
+            item = replace_at(item, path, data.draw(CHANGES))
+        without_known: Findings = []
+        with_known: Findings = []
+        is_valid_item = check_fields(section, item, "x", without_known)
+        assert check_fields(section, item, "x", with_known, known) == is_valid_item
+        assert with_known == without_known
 
 
 @settings(max_examples=150, deadline=None)
--- a/tests/system/test_configuration_routing.py
+++ b/tests/system/test_configuration_routing.py
@@ -1,4 +1,4 @@
-"""Look-ups of routes and tenants, against a plain search."""
+"""Lookup of routes and tenants, compared with a linear search."""
 
 from __future__ import annotations
 
--- a/tests/system/test_control_api.py
+++ b/tests/system/test_control_api.py
@@ -1,4 +1,4 @@
-"""The operator's and servers' calls, against a backend by script."""
+"""The API for operators and servers, with a scripted backend."""
 
 from __future__ import annotations
 
@@ -38,24 +38,24 @@
 
 @attrs.define
 class Call:
-    """A request."""
+    """An HTTP request."""
 
     method: bytes
     target: bytes
     body: bytes = b""
     headers: dict[bytes, bytes] = attrs.field(factory=dict)
-    doubled: int = 1  # how often each header came
+    header_count: int = 1  # how often each header field occurs
 
     def header(self, name: bytes) -> bytes | None:
         return self.headers.get(name)
 
     def count(self, name: bytes) -> int:
-        return self.doubled if name in self.headers else 0
+        return self.header_count if name in self.headers else 0
 
 
 @attrs.define
-class Waiting:
-    """A request that waits for its answer."""
+class Exchange:
+    """A request that records its responses."""
 
     request: Call
     answers: list[tuple[int, list[tuple[bytes, bytes]], bytes]] = attrs.field(factory=list)
@@ -65,7 +65,7 @@
 
 
 class Backend:
-    """A chain of one replica, or what `error` says."""
+    """A chain of one replica. The coroutines wait for `gate`, then raise `error` if it is set."""
 
     def __init__(self) -> None:
         self.machine = ConfigurationMachine()
@@ -74,26 +74,26 @@
         self.gate = asyncio.Event()
         self.gate.set()
 
-    async def _come(self) -> None:
+    async def _pass_gate(self) -> None:
         await self.gate.wait()
         if self.error is not None:
             raise self.error
 
     async def order(self, method: str, if_match: str | None, body: bytes) -> OrderReply:
-        await self._come()
+        await self._pass_gate()
         return send(self.machine, method, if_match, body)
 
     async def read(self) -> bytes | None:
-        await self._come()
+        await self._pass_gate()
         return self.machine.state.json() if self.machine.version else None
 
     async def register(self, instance_id: str, body: dict[str, Any]) -> RegisterReply:
-        await self._come()
+        await self._pass_gate()
         self.registered[instance_id] = body
         return RegisterReply("10.0.0.2:80" if instance_id == "elsewhere" else None)
 
     async def withdraw(self, instance_id: str) -> bool:
-        await self._come()
+        await self._pass_gate()
         return self.registered.pop(instance_id, None) is not None
 
     def instances(self) -> dict[str, Any]:
@@ -127,7 +127,7 @@
     return asyncio.run(run())
 
 
-def told(answer: Answer) -> Any:
+def body_of(answer: Answer) -> Any:
     return json.loads(answer.body)
 
 
@@ -138,11 +138,11 @@
 def test_an_order_and_the_document_read_back() -> None:
     backend = Backend()
     taken = ask(put(document(3)), backend=backend)
-    assert (taken.status, told(taken), taken.content_type) == (200, {"version": 3}, "application/json")
+    assert (taken.status, body_of(taken), taken.content_type) == (200, {"version": 3}, "application/json")
     patch = Call(b"PATCH", b"/-/configuration", b'{"version": 4}', {b"if-match": b"3"})
     assert ask(patch, backend=backend).status == 200
     read = ask(Call(b"GET", b"/-/configuration"), backend=backend)
-    assert (read.status, told(read)) == (200, {**document(3), "version": 4})
+    assert (read.status, body_of(read)) == (200, {**document(3), "version": 4})
 
 
 @pytest.mark.parametrize(
@@ -163,13 +163,13 @@
 def test_refusals_say_why(call: Call, status: int) -> None:
     answer = ask(call)
     assert answer.status == status
-    assert told(answer)["error-message"]
+    assert body_of(answer)["error-message"]
 
 
 def test_an_order_with_two_bases_is_refused_and_changes_nothing() -> None:
     backend = Backend()
     call = put(document(5))
-    call.doubled = 2
+    call.header_count = 2
     assert ask(call, backend=backend).status == 400
     assert backend.machine.version == 0
 
@@ -193,7 +193,7 @@
     answer = ask(call, lambda backend: setattr(backend, "error", error))
     assert answer.status == 503
     assert float(dict(answer.headers)[b"Retry-After"]) > 0
-    assert told(answer)["error-message"]
+    assert body_of(answer)["error-message"]
 
 
 def test_an_own_error_is_told_as_one() -> None:
@@ -211,15 +211,15 @@
         backend = Backend()
         backend.gate.clear()
         api = ControlApi(backend)
-        held = [Waiting(put(document(3))) for _ in range(MAX_ORDERS_UNDER_WAY)]
-        for exchange in held:
+        exchanges = [Exchange(put(document(3))) for _ in range(MAX_ORDERS_UNDER_WAY)]
+        for exchange in exchanges:
             api.handle(exchange)
         await asyncio.sleep(0)
         assert (await api.answer(put(document(3)))).status == 503
         backend.gate.set()
-        while not all(exchange.answers for exchange in held):
+        while not all(exchange.answers for exchange in exchanges):
             await asyncio.sleep(0)
-        assert {exchange.answers[0][0] for exchange in held} == {200}
+        assert {exchange.answers[0][0] for exchange in exchanges} == {200}
         assert (await api.answer(put(document(3)))).status == 200
 
     asyncio.run(run())
@@ -229,13 +229,13 @@
     backend = Backend()
     body = json.dumps({**ANNOUNCEMENT, "colour": 1}).encode()
     answer = ask(Call(b"PUT", b"/-/instances/i-7f%3A1?x=y", body), backend=backend)
-    assert (answer.status, told(answer)) == (200, {})
+    assert (answer.status, body_of(answer)) == (200, {})
     assert backend.registered == {"i-7f:1": {**ANNOUNCEMENT, "colour": 1}}
     moved = ask(Call(b"PUT", b"/-/instances/elsewhere", body), backend=backend)
-    assert told(moved) == {"heartbeat-endpoint": "10.0.0.2:80"}
-    gone = Call(b"DELETE", b"/-/instances/i-7f%3A1")
-    assert [told(ask(gone, backend=backend)) for _ in range(2)] == [{"known": True}, {"known": False}]
-    assert told(ask(Call(b"GET", b"/-/instances"), backend=backend)) == {"instances": ["elsewhere"]}
+    assert body_of(moved) == {"heartbeat-endpoint": "10.0.0.2:80"}
+    delete = Call(b"DELETE", b"/-/instances/i-7f%3A1")
+    assert [body_of(ask(delete, backend=backend)) for _ in range(2)] == [{"known": True}, {"known": False}]
+    assert body_of(ask(Call(b"GET", b"/-/instances"), backend=backend)) == {"instances": ["elsewhere"]}
 
 
 MALFORMED: dict[str, tuple[dict[str, Any], str]] = {
@@ -257,7 +257,7 @@
     assert not is_clearly_valid(body)
     answer = ask(Call(b"PUT", b"/-/instances/i-1", json.dumps(body).encode()))
     assert answer.status == 400
-    assert told(answer)["findings"] == [problem]
+    assert body_of(answer)["findings"] == [problem]
 
 
 @pytest.mark.parametrize("method", [b"PUT", b"DELETE"])
@@ -272,7 +272,7 @@
     body = json.dumps({**ANNOUNCEMENT, field: 1e19}).encode()
     answer = ask(Call(b"PUT", b"/-/instances/i-1", body))
     assert answer.status == 400
-    assert told(answer)["findings"] == [f"{field}: found 1e+19, wanted at most {2**53}"]
+    assert body_of(answer)["findings"] == [f"{field}: found 1e+19, wanted at most {2**53}"]
 
 
 def test_an_unknown_list_whose_names_are_no_names_is_taken_as_it_is() -> None:
@@ -365,7 +365,7 @@
 )
 def test_reports(target: bytes, body: Any) -> None:
     answer = ask(Call(b"GET", target))
-    assert (answer.status, told(answer)) == (200, body)
+    assert (answer.status, body_of(answer)) == (200, body)
 
 
 def test_metrics() -> None:
@@ -398,7 +398,7 @@
 
 
 def on_a_connection(sent: bytes) -> tuple[bytes, Backend]:
-    """What comes back for these bytes, after which the caller sends no more."""
+    """Sends the bytes, closes the sending side, and returns the response and the backend."""
     backend = Backend()
 
     async def run() -> bytes:
@@ -416,11 +416,14 @@
     return asyncio.run(run()), backend
 
 
-def raw_order(length: int, *fields: bytes) -> bytes:
-    """A first order, with these fields beside its own."""
+def raw_order(excess_length: int, *fields: bytes) -> bytes:
+    """Returns the bytes of a first order with additional header fields.
+
+    Its Content-Length exceeds the length of the body by `excess_length`.
+    """
     body = json.dumps(document(3)).encode()
     lines = [b"PUT /-/configuration HTTP/1.1", b"Host: x", b"Connection: close", *fields]
-    return b"\r\n".join([*lines, b"Content-Length: %d" % (len(body) + length), b"", body])
+    return b"\r\n".join([*lines, b"Content-Length: %d" % (len(body) + excess_length), b"", body])
 
 
 def test_an_order_that_was_cut_short_on_its_way_is_not_taken() -> None:
--- a/tests/system/test_forwarding.py
+++ b/tests/system/test_forwarding.py
@@ -1,4 +1,4 @@
-"""Calls for the head of the chain: resent, moved to another head, given up in time."""
+"""Forwarding of calls to the head of the chain: retries, a change of the head, and timeouts."""
 
 from __future__ import annotations
 
@@ -78,7 +78,7 @@
 
 
 def test_a_long_order_is_waited_for_while_the_link_takes_it() -> None:
-    """And then for as long as it may be on its way; one that stands still is given up."""
+    """After the link has taken it, the timeout includes its transfer time. Without progress it times out."""
     waiting = 2_000_000
     forwarder = Forwarder(lambda ip: waiting)
     forwarder.head_changed(0.0, "10.0.0.1")
--- a/tests/system/test_long_orders.py
+++ b/tests/system/test_long_orders.py
@@ -1,4 +1,4 @@
-"""Long orders are reviewed apart from the loop, and decided as if they had not been."""
+"""Long orders are reviewed in a thread apart from the event loop, with the same result as in the loop."""
 
 from __future__ import annotations
 
@@ -80,22 +80,22 @@
 
 
 def test_threads_do_not_share_what_they_check(machine: ConfigurationMachine) -> None:
-    """One reviews a sound order while the other refuses faulty ones."""
-    sound, found = command(5, 7, 2000), []
-    thread = threading.Thread(target=lambda: found.append(machine.prepare(sound)))
+    """One thread reviews a valid order while the other refuses invalid ones."""
+    valid, found = command(5, 7, 2000), []
+    thread = threading.Thread(target=lambda: found.append(machine.prepare(valid)))
     thread.start()
-    faulty = document(7, 30)
-    faulty["route-table"][11]["timeout-ms"] = "x"
+    invalid = document(7, 30)
+    invalid["route-table"][11]["timeout-ms"] = "x"
     refused = 0
     while thread.is_alive() or not refused:
-        assert send(machine, "PUT", "5", faulty).status == 400
+        assert send(machine, "PUT", "5", invalid).status == 400
         refused += 1
     assert found[0] is not None and found[0].update is not None
 
 
 @attrs.define
 class Chain:
-    """A chain of one replica in this loop."""
+    """A chain of one replica in this event loop."""
 
     role: ReplicaRole
     sent: list[tuple[str, object]]
@@ -134,15 +134,15 @@
 
 @pytest.fixture
 def reviewers() -> Iterator[list[str]]:
-    """The names of the threads that reviewed."""
+    """Records the names of the threads that review orders."""
     names: list[str] = []
     original = orders.review
 
-    def noted(*arguments: Any) -> Any:
+    def recording_review(*arguments: Any) -> Any:
         names.append(threading.current_thread().name)
         return original(*arguments)
 
-    with patch.object(orders, "review", noted):
+    with patch.object(orders, "review", recording_review):
         yield names
 
 
--- a/tests/system/test_mechanisms.py
+++ b/tests/system/test_mechanisms.py
@@ -1,6 +1,6 @@
-"""What keeps orders, and members that were away, safe: each mechanism taken out, and the check that finds it.
+"""Mutation tests: each safety mechanism is disabled, and the scenario or test that guards it must fail.
 
-The scenarios and tests below pass with the mechanism (they are run by themselves, too) and fail without it.
+The same scenarios and tests also run on their own, with the mechanism in place, and pass.
 """
 
 from __future__ import annotations
@@ -48,7 +48,7 @@
 
 _evolve: Any = (
     attrs.evolve
-)  # messages are attrs classes by a decorator that the type checker can't see through
+)  # the type checker does not recognize messages as attrs classes, because of their decorator
 
 AWAY = "500 changes with a member away, which is restarted at change 100, 300 and 499 -- @1.3"
 FEATURES = Path(__file__).parents[2] / "features"
@@ -56,7 +56,7 @@
 
 @attrs.frozen
 class Mechanism:
-    """One mechanism: how it is taken out, and what then fails."""
+    """A mechanism: how to disable it, and the check that then fails."""
 
     without: Callable[[], Any]
     check: Callable[[], object]
@@ -68,7 +68,7 @@
 def mechanism(
     check: Callable[[], object],
 ) -> Callable[[Callable[[], Iterator[None]]], Callable[[], Iterator[None]]]:
-    """Register the way to do without a mechanism, under its function's name."""
+    """Registers a function that disables a mechanism, under the function's name."""
 
     def register(without: Callable[[], Iterator[None]]) -> Callable[[], Iterator[None]]:
         name = without.__name__.replace("_", " ")
@@ -79,68 +79,68 @@
 
 
 def scenario(feature: str, name: str) -> Callable[[], None]:
-    """A check: the scenarios of that name, or whose name begins so."""
+    """Returns a check that runs the scenarios whose names begin with `name`."""
 
-    def play() -> None:
+    def run() -> None:
         arguments = [str(FEATURES / f"{feature}.feature"), "--name", name, "--format", "null", "--no-summary"]
-        with contextlib.redirect_stdout(io.StringIO()) as told:
+        with contextlib.redirect_stdout(io.StringIO()) as output:
             failed = behave(arguments)
-        assert not failed, told.getvalue()
+        assert not failed, output.getvalue()
 
-    return play
+    return run
 
 
-def of_race(name: str) -> Callable[[], None]:
+def race_scenario(name: str) -> Callable[[], None]:
     return scenario("racing_operators", name)
 
 
-def of_catching_up(name: str) -> Callable[[], None]:
+def catching_up_scenario(name: str) -> Callable[[], None]:
     return scenario("catching_up", name)
 
 
 # -- orders --
 
 
-@mechanism(of_race("A process ends with an order under way, and the next order"))
+@mechanism(race_scenario("A process ends with an order under way, and the next order"))
 def tickets_apart_in_each_life() -> Iterator[None]:
     with patch.object(order_world, "first_ticket", lambda _: 1):
         yield
 
 
-@mechanism(of_race("The answer of the winner is lost"))
+@mechanism(race_scenario("The answer of the winner is lost"))
 def digests_of_taken_orders() -> Iterator[None]:
     with patch.object(ConfigurationMachine, "_remember", lambda *_: None):
         yield
 
 
-@mechanism(of_race("An order is known in every life"))
+@mechanism(race_scenario("An order is known in every life"))
 def digests_in_the_snapshot() -> Iterator[None]:
     original = ConfigurationMachine.restore
 
-    def forgetful(self: ConfigurationMachine, snapshot: bytes) -> None:
+    def restore_without_digests(self: ConfigurationMachine, snapshot: bytes) -> None:
         original(self, snapshot)
         self._taken = {}
 
-    with patch.object(ConfigurationMachine, "restore", forgetful):
+    with patch.object(ConfigurationMachine, "restore", restore_without_digests):
         yield
 
 
-@mechanism(of_race("Two operators race"))
+@mechanism(race_scenario("Two operators race"))
 def orders_build_on_the_version_in_force() -> Iterator[None]:
     with patch.object(ConfigurationMachine, "_refusal", lambda *_: None):
         yield
 
 
-@mechanism(of_race("An order is sent again to one that was the head"))
+@mechanism(race_scenario("An order is sent again to one that was the head"))
 def refusals_wait_for_a_majority() -> Iterator[None]:
     original = Head.answer_asked
 
-    def hasty(self: Head) -> None:
-        self.rounds.confirmed, kept = self.rounds.newest, self.rounds.confirmed
+    def answer_without_majority(self: Head) -> None:
+        self.rounds.confirmed, previous = self.rounds.newest, self.rounds.confirmed
         original(self)
-        self.rounds.confirmed = kept
+        self.rounds.confirmed = previous
 
-    with patch.object(Head, "answer_asked", hasty):
+    with patch.object(Head, "answer_asked", answer_without_majority):
         yield
 
 
@@ -148,14 +148,14 @@
 def refusals_for_size_wait_for_a_majority() -> Iterator[None]:
     original = Head._decide
 
-    def hasty(self: Head, now: float, ticket: int, command: bytes) -> None:
+    def refuse_without_majority(self: Head, now: float, ticket: int, command: bytes) -> None:
         original(self, now, ticket, command)
         asked = self._desk.asked
         if asked and asked[-1].outcome is Outcome.TOO_LARGE:
             asked.pop()
             self._context.effects.append(Answer(ticket, Outcome.TOO_LARGE))
 
-    with patch.object(Head, "_decide", hasty):
+    with patch.object(Head, "_decide", refuse_without_majority):
         yield
 
 
@@ -163,11 +163,11 @@
 def updates_are_folded_before_an_order_is_refused_for_size() -> Iterator[None]:
     original = DiskQueue.fold
 
-    def only_when_due(self: DiskQueue) -> None:
+    def fold_only_when_due(self: DiskQueue) -> None:
         if self._update_bytes > max(self._compact_bytes, self._snapshot_bytes):
             original(self)
 
-    with patch.object(DiskQueue, "fold", only_when_due):
+    with patch.object(DiskQueue, "fold", fold_only_when_due):
         yield
 
 
@@ -180,18 +180,18 @@
 # -- members that were away --
 
 
-@mechanism(of_catching_up(AWAY))
+@mechanism(catching_up_scenario(AWAY))
 def the_newest_state_is_fetched_by_who_will_lead() -> Iterator[None]:
     original = Proposal._choose
 
-    def proud(self: Proposal, now: float) -> None:
+    def choose_own_state(self: Proposal, now: float) -> None:
         own = self.promises.get(self._context.me.identity)
         for identity, promise in list(self.promises.items()):
             if own is not None:
                 self.promises[identity] = _evolve(promise, synced=own.synced, seq=own.seq)
         original(self, now)
 
-    with patch.object(Proposal, "_choose", proud):
+    with patch.object(Proposal, "_choose", choose_own_state):
         yield
 
 
@@ -199,11 +199,11 @@
 def patience_with_a_long_state() -> Iterator[None]:
     original = Proposal._ask_state
 
-    def impatient(self: Proposal) -> None:
+    def ask_with_short_retry(self: Proposal) -> None:
         original(self)
         self._retry_s = self._context.config.retry_s
 
-    with patch.object(Proposal, "_ask_state", impatient):
+    with patch.object(Proposal, "_ask_state", ask_with_short_retry):
         yield
 
 
@@ -211,30 +211,30 @@
 def what_is_being_fetched_is_kept() -> Iterator[None]:
     original = Publisher._package_again
 
-    def forgetful(self: Publisher, sequence: int, is_snapshot: bool) -> Any:
-        kept = list(self._packages)
+    def package_in_original_order(self: Publisher, sequence: int, is_snapshot: bool) -> Any:
+        keys = list(self._packages)
         found = original(self, sequence, is_snapshot)
-        self._packages = {key: self._packages[key] for key in kept if key in self._packages}
+        self._packages = {key: self._packages[key] for key in keys if key in self._packages}
         return found
 
-    with patch.object(Publisher, "_package_again", forgetful):
+    with patch.object(Publisher, "_package_again", package_in_original_order):
         yield
 
 
-# -- what is not in the chain --
+# -- state outside the chain: registry, distribution, quotas --
 
 
 @mechanism(test_registry.test_a_former_head_marks_no_server_as_silent)
 def silence_is_taken_from_the_head_only() -> Iterator[None]:
     original = Registry.receive
 
-    def credulous(self: Registry, now: float, ip: str, message: object) -> Any:
-        kept, self._head = self._head, ip
+    def accept_any_sender_as_head(self: Registry, now: float, ip: str, message: object) -> Any:
+        previous, self._head = self._head, ip
         found = original(self, now, ip, message)
-        self._head = kept
+        self._head = previous
         return found
 
-    with patch.object(Registry, "receive", credulous):
+    with patch.object(Registry, "receive", accept_any_sender_as_head):
         yield
 
 
@@ -248,11 +248,11 @@
 def what_is_in_force_already_is_skipped() -> Iterator[None]:
     original = Subscriber._take_delta
 
-    def forgetful(self: Subscriber, now: float, ip: str, delta: Any) -> Any:
+    def take_delta_again(self: Subscriber, now: float, ip: str, delta: Any) -> Any:
         self._have = min(self._have, delta.first - 1)
         return original(self, now, ip, delta)
 
-    with patch.object(Subscriber, "_take_delta", forgetful):
+    with patch.object(Subscriber, "_take_delta", take_delta_again):
         yield
 
 
@@ -260,10 +260,10 @@
 def the_first_state_waits_for_what_followed_it() -> Iterator[None]:
     original = Subscriber._went_on
 
-    def hasty(self: Subscriber, now: float, ip: str, change: Any) -> Any:
+    def release_at_once(self: Subscriber, now: float, ip: str, change: Any) -> Any:
         return [*self._release(), *original(self, now, ip, change)]
 
-    with patch.object(Subscriber, "_went_on", hasty):
+    with patch.object(Subscriber, "_went_on", release_at_once):
         yield
 
 
@@ -271,11 +271,13 @@
 def receipts_name_what_was_taken() -> Iterator[None]:
     original = Announcements.record_acknowledgement
 
-    def trusting(self: Announcements, voter: str, instance_id: str, fingerprint: int, newest: Any) -> None:
+    def accept_any_receipt(
+        self: Announcements, voter: str, instance_id: str, fingerprint: int, newest: Any
+    ) -> None:
         pending = self._pending.get(instance_id)
         original(self, voter, instance_id, pending.fingerprint if pending else fingerprint, newest)
 
-    with patch.object(Announcements, "record_acknowledgement", trusting):
+    with patch.object(Announcements, "record_acknowledgement", accept_any_receipt):
         yield
 
 
@@ -290,11 +292,11 @@
 
 @mechanism(test_subscribers.test_a_receipt_for_the_process_before_takes_no_news_of_this_one)
 def numbers_of_news_rise_over_lives() -> Iterator[None]:
-    def numbered(self: Subscribers, now: float, ids: tuple[str, ...]) -> Batch:
+    def batch_without_process_number(self: Subscribers, now: float, ids: tuple[str, ...]) -> Batch:
         self._number += 1
         return Batch(self._number, ids, now)
 
-    with patch.object(Subscribers, "_new_batch", numbered):
+    with patch.object(Subscribers, "_new_batch", batch_without_process_number):
         yield
 
 
@@ -308,13 +310,13 @@
 def the_allocator_answers_its_epoch() -> Iterator[None]:
     original = QuotaAllocator.receive
 
-    def any_epoch(self: QuotaAllocator, now: float, ip: str, message: object) -> Any:
-        kept, self._epochs = self._epochs, range(1 << 62)
+    def accept_any_epoch(self: QuotaAllocator, now: float, ip: str, message: object) -> Any:
+        previous, self._epochs = self._epochs, range(1 << 62)
         found = original(self, now, ip, message)
-        self._epochs = kept
+        self._epochs = previous
         return found
 
-    with patch.object(QuotaAllocator, "receive", any_epoch):
+    with patch.object(QuotaAllocator, "receive", accept_any_epoch):
         yield
 
 
@@ -322,13 +324,13 @@
 def credit_names_the_life_of_the_proxy() -> Iterator[None]:
     original = QuotaHolder.receive
 
-    def any_life(self: QuotaHolder, now: float, ip: str, message: Any) -> Any:
-        kept, self._incarnation = self._incarnation, message.incarnation
+    def accept_any_incarnation(self: QuotaHolder, now: float, ip: str, message: Any) -> Any:
+        previous, self._incarnation = self._incarnation, message.incarnation
         found = original(self, now, ip, message)
-        self._incarnation = kept
+        self._incarnation = previous
         return found
 
-    with patch.object(QuotaHolder, "receive", any_life):
+    with patch.object(QuotaHolder, "receive", accept_any_incarnation):
         yield
 
 
@@ -336,13 +338,13 @@
 def contact_names_the_epoch_of_the_head() -> Iterator[None]:
     original = QuotaHolder.receive
 
-    def any_epoch(self: QuotaHolder, now: float, ip: str, message: Any) -> Any:
-        kept, self._epoch = self._epoch, message.epoch
+    def accept_any_epoch(self: QuotaHolder, now: float, ip: str, message: Any) -> Any:
+        previous, self._epoch = self._epoch, message.epoch
         found = original(self, now, ip, message)
-        self._epoch = kept
+        self._epoch = previous
         return found
 
-    with patch.object(QuotaHolder, "receive", any_epoch):
+    with patch.object(QuotaHolder, "receive", accept_any_epoch):
         yield
 
 
@@ -350,11 +352,11 @@
 def what_is_left_of_a_pool_is_taken_over_once() -> Iterator[None]:
     original = QuotaAllocator._take_over
 
-    def again(self: QuotaAllocator, message: Any) -> None:
+    def take_over_repeatedly(self: QuotaAllocator, message: Any) -> None:
         self._taken_over.clear()
         original(self, message)
 
-    with patch.object(QuotaAllocator, "_take_over", again):
+    with patch.object(QuotaAllocator, "_take_over", take_over_repeatedly):
         yield
 
 
@@ -366,12 +368,12 @@
 
 
 def test_a_torn_snapshot_is_found(tmp_path: Path) -> None:
-    """Without checksums a snapshot whose bytes were turned would be taken."""
+    """Without checksums a corrupt snapshot would be loaded."""
 
-    def trusting(key: bytes, value: bytes) -> bytes:
+    def skip_verification(key: bytes, value: bytes) -> bytes:
         return value[replica_store._CHECKSUM.size :]
 
-    with patch.object(replica_store, "_verify_checksum", trusting), pytest.raises(AssertionError):
+    with patch.object(replica_store, "_verify_checksum", skip_verification), pytest.raises(AssertionError):
         test_replica_store.test_a_value_that_was_changed_is_a_lost_disk(tmp_path)
 
 
--- a/tests/system/test_plain_rules.py
+++ b/tests/system/test_plain_rules.py
@@ -1,4 +1,4 @@
-"""What is found sound without cerberus is sound for cerberus, whatever the value."""
+"""Values that pass the check without cerberus also pass cerberus, for generated values of every field."""
 
 from __future__ import annotations
 
@@ -31,8 +31,8 @@
 def test_a_value_that_is_plainly_sound_is_sound(schema: str, field: str, value: Any) -> None:
     rules = validator(schema)
     if is_plainly_sound(rules.schema[field], value):
-        alone = rules.validate({field: value}, normalize=False, update=True)
-        assert alone, (field, value, rules.errors)
+        is_valid = rules.validate({field: value}, normalize=False, update=True)
+        assert is_valid, (field, value, rules.errors)
 
 
 @settings(max_examples=300, deadline=None)
@@ -48,8 +48,8 @@
 def test_items_of_a_list_are_judged_as_each_alone(items: list[dict[str, Any]]) -> None:
     known: set[tuple[str, type, Any]] = set()
     for item in items:
-        together: Findings = []
-        alone: Findings = []
-        is_sound = check_fields("route-table", item, "", together, known)
-        assert is_sound == check_fields("route-table", item, "", alone)
-        assert together == alone
+        with_known: Findings = []
+        without_known: Findings = []
+        is_valid = check_fields("route-table", item, "", with_known, known)
+        assert is_valid == check_fields("route-table", item, "", without_known)
+        assert with_known == without_known
