--- a/cloverrouter/control/checks.py
+++ b/cloverrouter/control/checks.py
@@ -260,8 +260,8 @@
         if owner != route.name:
             where = place(ROUTES, route.name)
             findings.append(Finding(where, f"same host and prefix as {place(ROUTES, owner)}"))
-        referenced = [service for service, _ in route.targets]
-        for service in referenced if route.unused is None else [*referenced, route.unused]:
+        names = [service for service, _ in route.targets]
+        for service in names if route.unused is None else [*names, route.unused]:
             if service not in services:
                 findings.append(
                     Finding(place(ROUTES, route.name), f"found {shown(service)}, wanted a known service")
--- a/cloverrouter/control/forwarding.py
+++ b/cloverrouter/control/forwarding.py
@@ -41,8 +41,8 @@
 
 @message(330)
 class HeadCall:
-    """A call for the head. `ticket`: see `first_ticket`; `kind`: a value of `Kind`; `command`: the encoded
-    order, empty for a read."""
+    """A call for the head. `ticket`: see `first_ticket`; `kind`: a value of `Kind`; `command`: the
+    encoded order, empty for a read."""
 
     ticket: int
     kind: int
@@ -108,7 +108,7 @@
         """`unsent_bytes`: returns the number of bytes in the send buffer of the link to a machine."""
         self._unsent_bytes = unsent_bytes
         self._head: str | None = None
-        self._has_quorum_contact = True
+        self._has_quorum = True
         self._pending: dict[int, _Pending] = {}
 
     def head_changed(self, now: float, head: str | None) -> list[SendCall | Finished]:
@@ -120,9 +120,9 @@
             pending.send_at = now
         return self.tick(now)
 
-    def in_touch(self, has_contact: bool) -> None:
+    def in_touch(self, has_quorum: bool) -> None:
         """Sets whether a majority of the voters was heard from lately. Without it no head can answer."""
-        self._has_quorum_contact = has_contact
+        self._has_quorum = has_quorum
 
     def ask(self, now: float, ticket: int, kind: Kind, command: bytes) -> list[SendCall | Finished]:
         """Submits a call. It is sent once a head is known."""
@@ -147,7 +147,7 @@
         unsent_bytes = self._unsent_bytes(self._head) if self._head is not None else 0
         for ticket, pending in list(self._pending.items()):
             pending.record_progress(now, unsent_bytes)
-            timeout_s = GIVE_UP_S + pending.transfer_s if self._has_quorum_contact else OUT_OF_TOUCH_S
+            timeout_s = GIVE_UP_S + pending.transfer_s if self._has_quorum else OUT_OF_TOUCH_S
             if pending.has_timed_out(now, timeout_s):
                 del self._pending[ticket]
                 effects.append(Finished(ticket, None, pending.was_sent))
--- a/cloverrouter/control/orders.py
+++ b/cloverrouter/control/orders.py
@@ -34,7 +34,7 @@
 MAX_TAKEN_ORDERS = 4096
 DIGEST_BYTES = 16
 
-_ACCEPTED_ORDER = struct.Struct(f">{DIGEST_BYTES}sQ")
+_ENTRY = struct.Struct(f">{DIGEST_BYTES}sQ")  # digest of an accepted order, and its version
 
 
 class Status:
@@ -165,10 +165,16 @@
         if order.method not in ("PUT", "PATCH"):
             return self._refused(Status.OTHER_METHOD, f"no order is given by {order.method}")
         if order.if_match is None:
-            return self._refused(Status.NO_BASE, "If-Match has to name the version that the order builds on")
+            return self._refused(
+                Status.NO_BASE,
+                "If-Match has to name the version that the order builds on",
+            )
         base = base_version(order.if_match)
         if base is not None and self._may_be_forgotten(base):
-            return self._refused(Status.UNCLEAR, f"orders on version {base} are not remembered any more")
+            return self._refused(
+                Status.UNCLEAR,
+                f"orders on version {base} are not remembered any more",
+            )
         if base != self.version:
             text = f"version {self.version} is current; the order builds on {order.if_match[:40]}"
             return self._refused(Status.OTHER_VERSION, text)
@@ -203,7 +209,7 @@
     def snapshot(self) -> bytes:
         """Returns the full state as an encoded `MachineSnapshot`."""
         document = self._state.json() if self.version else b""
-        accepted = b"".join(_ACCEPTED_ORDER.pack(digest, version) for digest, version in self._taken.items())
+        accepted = b"".join(_ENTRY.pack(digest, version) for digest, version in self._taken.items())
         return encode(MachineSnapshot(self.version, document, accepted))
 
     def restore(self, snapshot: bytes) -> None:
@@ -212,7 +218,7 @@
         self._taken = {}
         self._state = state_of_snapshot(snapshot, self._state)
         if snapshot:
-            self._taken = dict(_ACCEPTED_ORDER.iter_unpack(decoded(snapshot, MachineSnapshot).taken))
+            self._taken = dict(_ENTRY.iter_unpack(decoded(snapshot, MachineSnapshot).taken))
 
 
 def review(order: Order, digest: bytes, state: ConfigurationState) -> Reviewed:
@@ -247,7 +253,11 @@
 def order_digest(order: Order) -> bytes:
     """Returns the digest that identifies an order. A retry of the same order has the same digest."""
     hashed = hashlib.sha256()
-    for part in (order.method.encode(), normal_match(order.if_match).encode("utf-8", "replace"), order.body):
+    for part in (
+        order.method.encode(),
+        normal_match(order.if_match).encode("utf-8", "replace"),
+        order.body,
+    ):
         hashed.update(struct.pack(">Q", len(part)))
         hashed.update(part)
     return hashed.digest()[:DIGEST_BYTES]
--- a/tests/system/order_world.py
+++ b/tests/system/order_world.py
@@ -111,7 +111,9 @@
         """Reads the configuration. `done` gets the document, or None if there is no answer."""
 
         def on_reply(reply: bytes | None) -> None:
-            done(None if reply is None else json.loads(decoded(reply, MachineSnapshot).document or b"{}"))
+            done(
+                None if reply is None else json.loads(decoded(reply, MachineSnapshot).document or b"{}"),
+            )
 
         self._ask(Kind.READ, b"", on_reply)
 
