--- a/tests/system/order_world.py
+++ b/tests/system/order_world.py
@@ -110,9 +110,9 @@
     def read(self, done: Callable[[dict[str, Any] | None], None]) -> None:
         """Reads the configuration. `done` gets the document, or None if there is no answer."""
 
-        def on_reply(reply: bytes | None) -> None:
+        def on_reply(data: bytes | None) -> None:
             done(
-                None if reply is None else json.loads(decoded(reply, MachineSnapshot).document or b"{}"),
+                None if data is None else json.loads(decoded(data, MachineSnapshot).document or b"{}"),
             )
 
         self._ask(Kind.READ, b"", on_reply)
