--- a/cloverrouter/control/forwarding.py
+++ b/cloverrouter/control/forwarding.py
@@ -15,7 +15,7 @@
 
 from cloverrouter.messages import message
 
-RESEND_S = 0.35
+RESEND_S = 0.35  # interval between retries of a call without an answer
 TICKET_RANDOM_BITS = 42
 TICKET_COUNTER_BITS = 20  # a process forwards fewer than 2 ** 20 calls
 GIVE_UP_S = 3.6  # an order must be acknowledged within 4 s; clients retry a read themselves
@@ -51,7 +51,8 @@
 
 @message(331)
 class HeadAnswer:
-    """The answer to a `HeadCall`. `done` is false if the sender is not the head or can't decide now."""
+    """The answer to a `HeadCall`. `done` is false if the sender is not the head or can't decide now; the call
+    is then to be retried."""
 
     ticket: int
     done: bool
@@ -97,7 +98,7 @@
         self.unsent_bytes = unsent_bytes
 
     def has_timed_out(self, now: float, timeout_s: float) -> bool:
-        """Returns whether the timeout has passed since the call was submitted and the send buffer shrank."""
+        """Returns whether `timeout_s` has passed since the submission and since the last progress."""
         return now - max(self.submitted_at, self.progress_at) >= timeout_s
 
 
--- a/tests/system/order_world.py
+++ b/tests/system/order_world.py
@@ -53,7 +53,7 @@
         return decoded_update(update).digest.hex()
 
     def orders_of(self, state: bytes) -> dict[str, int]:
-        """Returns nothing: the digests in a snapshot are not compared."""
+        """Returns nothing: a snapshot has only the newest digests, so they are not compared."""
         return {}
 
     def state(self, seq: int, state: bytes) -> None:
