--- a/benchmarks/configuration_cost.py
+++ b/benchmarks/configuration_cost.py
@@ -13,7 +13,7 @@
 
 from cloverrouter.control.orders import ConfigurationMachine, Order
 from cloverrouter.control.routing import RoutingTable
-from cloverrouter.control.updates import applied_frame
+from cloverrouter.control.updates import apply_frame
 from cloverrouter.messages.codec import encode
 from tests.system.configurations import document, route, send
 
@@ -40,14 +40,14 @@
     print(f"PUT with 1 new route of {routes + 1}, decided: {best(lambda: machine.decide(again), 5):.2f} ms")
     update = machine.decide(again).update or b""
     empty = ConfigurationMachine().state
-    print(f"  applied by a proxy that has nothing: {best(lambda: applied_frame(empty, update), 5):.2f} ms")
+    print(f"  applied by a proxy that has nothing: {best(lambda: apply_frame(empty, update), 5):.2f} ms")
 
     patch = {"version": 2, "upsert": {"route-table": [route("r7", priority=4)]}}
     order = encode(Order("PATCH", "1", json.dumps(patch).encode()))
     print(f"PATCH of one route, decided: {best(lambda: machine.decide(order)):.2f} ms")
     delta = machine.decide(order).update or b""
     state = machine.state
-    print(f"  applied by a proxy: {best(lambda: applied_frame(state, delta)):.3f} ms, {len(delta)} bytes")
+    print(f"  applied by a proxy: {best(lambda: apply_frame(state, delta)):.3f} ms, {len(delta)} bytes")
     configuration = state.configuration()
     print(f"  typed configuration: {best(state.configuration):.3f} ms")
     print(f"  routing table: {best(lambda: RoutingTable(configuration)):.2f} ms")
--- a/cloverrouter/control/api.py
+++ b/cloverrouter/control/api.py
@@ -17,12 +17,12 @@
 
 from cloverrouter.control.document import compact
 from cloverrouter.control.errors import Invalid, Redirected, Unavailable
-from cloverrouter.control.metrics import CONTENT_TYPE, Figure, prometheus_text
+from cloverrouter.control.metrics import CONTENT_TYPE, Metric, prometheus_text
 from cloverrouter.control.orders import OrderReply
 from cloverrouter.control.registration import check_id, read_registration
 
 MAX_BODY_BYTES = 4 * 1024 * 1024
-MAX_ORDERS_UNDER_WAY = 8
+MAX_CONCURRENT_ORDERS = 8
 ORDER_TIMEOUT_S = 5.0
 CALL_TIMEOUT_S = 3.0
 RETRY_AFTER_S = 0.5
@@ -102,7 +102,7 @@
     def trace(self, request_id: str) -> dict[str, Any] | None:
         """Returns the recorded steps of a request, or None if nothing is recorded."""
 
-    def figures(self) -> Iterable[Figure]:
+    def metrics(self) -> Iterable[Metric]:
         """Returns the metrics of this process."""
 
 
@@ -128,7 +128,7 @@
 
     def __init__(self, backend: ControlBackend) -> None:
         self._backend = backend
-        self._orders_under_way = 0
+        self._concurrent_orders = 0
         self._tasks: set[asyncio.Task[None]] = set()
         self._router = bottle.Router()
         for method, rule, handler in self._rules():
@@ -183,17 +183,17 @@
 
     async def _order(self, request: ControlRequest) -> Answer:
         # The status is 503, not a refusal: the order may be a retry of one that was already accepted.
-        if self._orders_under_way >= MAX_ORDERS_UNDER_WAY:
-            raise Unavailable(f"{MAX_ORDERS_UNDER_WAY} orders are under way")
+        if self._concurrent_orders >= MAX_CONCURRENT_ORDERS:
+            raise Unavailable(f"{MAX_CONCURRENT_ORDERS} orders are under way")
         if request.count(b"if-match") > 1:
             raise bottle.HTTPError(400, "more than one If-Match: an order builds on one version")
         match = request.header(b"if-match")
         if_match = None if match is None else match.decode("latin-1")
-        self._orders_under_way += 1
+        self._concurrent_orders += 1
         try:
             reply = await self._backend.order(request.method.decode("latin-1"), if_match, request.body)
         finally:
-            self._orders_under_way -= 1
+            self._concurrent_orders -= 1
         return Answer(reply.status, reply.body)
 
     async def _read(self, request: ControlRequest) -> Answer:
@@ -217,7 +217,7 @@
         return _failure(404, "nothing is remembered of that request") if found is None else _json(200, found)
 
     async def _metrics(self, request: ControlRequest) -> Answer:
-        return Answer(200, prometheus_text(self._backend.figures()), CONTENT_TYPE)
+        return Answer(200, prometheus_text(self._backend.metrics()), CONTENT_TYPE)
 
     @staticmethod
     def _report(report: Callable[[], Any]) -> Handler:
--- a/cloverrouter/control/checks.py
+++ b/cloverrouter/control/checks.py
@@ -35,7 +35,7 @@
 def _parse_float(text: str) -> float:
     number = float(text)
     if number in (float("inf"), float("-inf")):
-        raise _NotJson(f"{shown(text)}, a number that is too large")
+        raise _NotJson(f"{preview(text)}, a number that is too large")
     return number
 
 
@@ -65,7 +65,7 @@
     if len(fields) < len(pairs):
         names = [name for name, _ in pairs]
         duplicate = next(name for name in fields if names.count(name) > 1)
-        raise _NotJson(f"{shown(duplicate)} twice in one object, of which one would be lost")
+        raise _NotJson(f"{preview(duplicate)} twice in one object, of which one would be lost")
     return fields
 
 
@@ -104,7 +104,7 @@
     if _is_deeper(document, MAX_DEPTH):
         return f"nested deeper than {MAX_DEPTH}"
     if not isinstance(document, dict):
-        return f"found {shown(document)}, wanted an object"
+        return f"found {preview(document)}, wanted an object"
     if b"\\ud" in body or b"\\uD" in body:
         try:
             json.dumps(document, ensure_ascii=False).encode()
@@ -142,7 +142,7 @@
     from cloverrouter.control.schemas import validator  # avoids loading cerberus only to apply updates
 
     if not isinstance(value, dict):
-        findings.append(Finding(place, f"found {shown(value)}, wanted an object"))
+        findings.append(Finding(place, f"found {preview(value)}, wanted an object"))
         return False
     rules = validator(schema)
     if known is not None and _is_clearly_valid(rules, value, known):
@@ -158,7 +158,7 @@
 
 def _is_clearly_valid(rules: Any, item: dict[str, Any], known: KnownValues) -> bool:
     """Returns True if every value is in `known` or passes the plain rules. On False, cerberus must decide."""
-    from cloverrouter.control.schemas import is_plainly_sound
+    from cloverrouter.control.schemas import passes_plain_rules
 
     if not rules.required_fields <= item.keys():
         return False
@@ -169,7 +169,7 @@
             if field in schema:
                 return False
         elif (field, kind, value) not in known:
-            if not is_plainly_sound(schema.get(field), value):
+            if not passes_plain_rules(schema.get(field), value):
                 return False
             if field not in required:  # required fields, such as the name, differ from item to item
                 known.add((field, kind, value))
@@ -197,7 +197,7 @@
     found, is_present = _value_at(document, error.document_path)
     if not is_present:
         return Finding(path, f"missing, wanted {wanted}")
-    return Finding(path, f"found {shown(found)}, wanted {wanted}")
+    return Finding(path, f"found {preview(found)}, wanted {wanted}")
 
 
 def _expected_value(schema: Any, path: tuple[Any, ...]) -> str:
@@ -240,7 +240,7 @@
     return isinstance(value, int | float) and not isinstance(value, bool)
 
 
-def shown(value: Any) -> str:
+def preview(value: Any) -> str:
     """Returns a value as JSON, truncated to `MAX_SHOWN_CHARACTERS`."""
     text = json.dumps(value)
     return text if len(text) <= MAX_SHOWN_CHARACTERS else f"{text[:MAX_SHOWN_CHARACTERS]}..."
@@ -261,10 +261,10 @@
             where = place(ROUTES, route.name)
             findings.append(Finding(where, f"same host and prefix as {place(ROUTES, owner)}"))
         names = [service for service, _ in route.targets]
-        for service in names if route.unused is None else [*names, route.unused]:
+        for service in names if route.overridden_backend is None else [*names, route.overridden_backend]:
             if service not in services:
                 findings.append(
-                    Finding(place(ROUTES, route.name), f"found {shown(service)}, wanted a known service")
+                    Finding(place(ROUTES, route.name), f"found {preview(service)}, wanted a known service")
                 )
         if not sum(weight for _, weight in route.targets) > 0:
             wanted = "wanted weights that add up to more than 0" if route.targets else "wanted a service"
--- a/cloverrouter/control/configuration.py
+++ b/cloverrouter/control/configuration.py
@@ -25,7 +25,7 @@
 TOKEN_METERING = "token_metering"
 
 DEFAULT_TIMEOUT_MS = 30_000
-DEFAULT_AIM_MS = 1_000
+DEFAULT_TARGET_LATENCY_MS = 1_000
 DEFAULT_PRIORITY = 5
 DEFAULT_HEALTH_PATH = "/health"
 
@@ -71,7 +71,7 @@
     kind: str
     """One of `ROUTE_KINDS`."""
     timeout_ms: float
-    aim_ms: float
+    target_latency_ms: float
     """Target latency: time to the response, or to the first event of a stream, for full value."""
     priority: int
     """0 is the highest."""
@@ -84,7 +84,7 @@
     resumable: bool
     gap_aim_ms: float | None
     """Target for the longest pause between two events of a stream; None for no target."""
-    unused: str | None = None
+    overridden_backend: str | None = None
     """The `backend` of a route that also has a traffic split. The split takes precedence."""
 
     @property
@@ -145,7 +145,7 @@
         return next((service for service in self.services if service.name == name), None)
 
 
-def normal_host(host: str) -> str:
+def normalize_host(host: str) -> str:
     """Returns the normalized form of a host: lower case, without the port and without a trailing dot."""
     is_literal = host.startswith("[") and "]" in host
     name = host[: host.index("]") + 1] if is_literal else host.partition(":")[0]
@@ -157,14 +157,14 @@
     kind = _value_or_default(item, "route-type", NON_IDEMPOTENT)
     return Route(
         name=item["name"],
-        host=normal_host(item["hostname"]),
+        host=normalize_host(item["hostname"]),
         prefix=item["path-prefix"],
         kind=kind,
         timeout_ms=_value_or_default(item, "timeout-ms", DEFAULT_TIMEOUT_MS),
-        aim_ms=_value_or_default(item, "target-latency-ms", DEFAULT_AIM_MS),
+        target_latency_ms=_value_or_default(item, "target-latency-ms", DEFAULT_TARGET_LATENCY_MS),
         priority=int(_value_or_default(item, "priority", DEFAULT_PRIORITY)),
         targets=_targets(item),
-        unused=item.get("backend") if item.get("traffic-split") else None,
+        overridden_backend=item.get("backend") if item.get("traffic-split") else None,
         attempts=int(_value_or_default(item, "attempt-limit", 1)),
         anonymous=_value_or_default(item, "anonymous-access", False),
         affinity=_value_or_default(item, "session-affinity", False),
--- a/cloverrouter/control/document.py
+++ b/cloverrouter/control/document.py
@@ -46,7 +46,7 @@
 """Returns the compact JSON of a value, in ASCII."""
 
 
-TextOf = Callable[[Any], str]
+ToJson = Callable[[Any], str]
 """A function that returns the compact JSON of an item, possibly from a cache."""
 
 
@@ -118,7 +118,7 @@
         items = self._sections.get(section)
         return isinstance(items, dict) and items.get(name) == text
 
-    def replaced(self, document: Document, text_of: TextOf = compact) -> ConfigurationState:
+    def replaced(self, document: Document, to_json: ToJson = compact) -> ConfigurationState:
         """Returns the state after the whole document has been replaced."""
         sections: dict[str, Section] = {}
         models: dict[str, dict[str, Any]] = {name: {} for name in _BUILDERS}
@@ -126,7 +126,7 @@
             if not is_named_list(value):
                 sections[name] = compact(value)
                 continue
-            sections[name] = {item["name"]: text_of(item) for item in value}
+            sections[name] = {item["name"]: to_json(item) for item in value}
             if name in _BUILDERS:
                 models[name] = {item["name"]: self._typed_item(name, item, sections[name]) for item in value}
         limits = limits_from(document.get(LIMITS))
@@ -140,7 +140,7 @@
             return self._models[section][name]
         return _BUILDERS[section](item)
 
-    def patched(self, patch: Document, text_of: TextOf = compact) -> ConfigurationState:
+    def patched(self, patch: Document, to_json: ToJson = compact) -> ConfigurationState:
         """Returns the state after a patch: first deletions, then items are replaced in place or appended."""
         sections = dict(self._sections)
         models = dict(self._models)
@@ -150,7 +150,7 @@
             if isinstance(value, dict):
                 sections[name] = compact({**_object(sections.get(name)), **value})
             else:
-                _upsert(sections, models, name, value, text_of)
+                _upsert(sections, models, name, value, to_json)
         sections[VERSION] = compact(patch[VERSION])
         limits = limits_from(_object(sections.get(LIMITS)))
         return ConfigurationState(int(patch[VERSION]), limits, sections, models)
@@ -187,11 +187,11 @@
     models: dict[str, dict[str, Any]],
     name: str,
     items: list[Any],
-    text_of: TextOf,
+    to_json: ToJson,
 ) -> None:
     section = sections.get(name)
     texts = dict(section) if isinstance(section, dict) else {}
-    texts.update((item["name"], text_of(item)) for item in items)
+    texts.update((item["name"], to_json(item)) for item in items)
     sections[name] = texts
     build = _BUILDERS.get(name)
     if build is not None:
--- a/cloverrouter/control/forwarding.py
+++ b/cloverrouter/control/forwarding.py
@@ -18,9 +18,9 @@
 RESEND_S = 0.35  # interval between retries of a call without an answer
 TICKET_RANDOM_BITS = 42
 TICKET_COUNTER_BITS = 20  # a process forwards fewer than 2 ** 20 calls
-GIVE_UP_S = 3.6  # an order must be acknowledged within 4 s; clients retry a read themselves
-OUT_OF_TOUCH_S = 1.0  # timeout while no majority of the voters is reachable
-SLOWEST_BYTES_A_SECOND = 250_000  # minimum throughput of a link; a call still in transfer is not resent
+FORWARD_TIMEOUT_S = 3.6  # an order must be acknowledged within 4 s; clients retry a read themselves
+NO_QUORUM_TIMEOUT_S = 1.0  # timeout while no majority of the voters is reachable
+MIN_LINK_BYTES_PER_S = 250_000  # minimum throughput of a link; a call still in transfer is not resent
 
 
 def first_ticket(random: Random) -> int:
@@ -32,7 +32,7 @@
     return random.getrandbits(TICKET_RANDOM_BITS) << TICKET_COUNTER_BITS
 
 
-class Kind(Enum):
+class CallKind(Enum):
     """The kind of a call."""
 
     ORDER = 0
@@ -41,7 +41,7 @@
 
 @message(330)
 class HeadCall:
-    """A call for the head. `ticket`: see `first_ticket`; `kind`: a value of `Kind`; `command`: the
+    """A call for the head. `ticket`: see `first_ticket`; `kind`: a value of `CallKind`; `command`: the
     encoded order, empty for a read."""
 
     ticket: int
@@ -89,7 +89,7 @@
     @property
     def transfer_s(self) -> float:
         """The longest transfer time of the call, once all of it has left the send buffer."""
-        return len(self.call.command) / SLOWEST_BYTES_A_SECOND
+        return len(self.call.command) / MIN_LINK_BYTES_PER_S
 
     def record_progress(self, now: float, unsent_bytes: int) -> None:
         """Records the number of bytes in the send buffer."""
@@ -121,17 +121,17 @@
             pending.send_at = now
         return self.tick(now)
 
-    def in_touch(self, has_quorum: bool) -> None:
+    def set_quorum_contact(self, has_quorum: bool) -> None:
         """Sets whether a majority of the voters was heard from lately. Without it no head can answer."""
         self._has_quorum = has_quorum
 
-    def ask(self, now: float, ticket: int, kind: Kind, command: bytes) -> list[SendCall | Finished]:
+    def submit(self, now: float, ticket: int, kind: CallKind, command: bytes) -> list[SendCall | Finished]:
         """Submits a call. It is sent once a head is known."""
         call = HeadCall(ticket, kind.value, command)
         self._pending[ticket] = _Pending(call, now, now)
         return self.tick(now)
 
-    def answered(self, now: float, answer: HeadAnswer) -> list[SendCall | Finished]:
+    def handle_answer(self, now: float, answer: HeadAnswer) -> list[SendCall | Finished]:
         """Handles an answer: finishes the call, or schedules a retry if the answer is not `done`."""
         pending = self._pending.get(answer.ticket)
         if pending is None:
@@ -148,7 +148,7 @@
         unsent_bytes = self._unsent_bytes(self._head) if self._head is not None else 0
         for ticket, pending in list(self._pending.items()):
             pending.record_progress(now, unsent_bytes)
-            timeout_s = GIVE_UP_S + pending.transfer_s if self._has_quorum else OUT_OF_TOUCH_S
+            timeout_s = FORWARD_TIMEOUT_S + pending.transfer_s if self._has_quorum else NO_QUORUM_TIMEOUT_S
             if pending.has_timed_out(now, timeout_s):
                 del self._pending[ticket]
                 effects.append(Finished(ticket, None, pending.was_sent))
--- a/cloverrouter/control/metrics.py
+++ b/cloverrouter/control/metrics.py
@@ -12,29 +12,29 @@
 
 
 @attrs.frozen(slots=True)
-class Figure:
+class Metric:
     """One metric with its samples."""
 
     name: str
     kind: str
     """``counter`` or ``gauge``."""
-    meaning: str
+    help_text: str
     samples: tuple[tuple[Mapping[str, str], float], ...]
     """The labels and the value of each sample."""
 
     @classmethod
-    def single(cls, name: str, kind: str, meaning: str, value: float) -> Figure:
+    def single(cls, name: str, kind: str, help_text: str, value: float) -> Metric:
         """Returns a metric with one sample that has no labels."""
-        return cls(name, kind, meaning, (({}, value),))
+        return cls(name, kind, help_text, (({}, value),))
 
 
-def prometheus_text(figures: Iterable[Figure]) -> bytes:
+def prometheus_text(metrics: Iterable[Metric]) -> bytes:
     """Returns the text of all metrics, in their order."""
     lines: list[str] = []
-    for figure in figures:
-        lines.append(f"# HELP {figure.name} {figure.meaning.translate(_ESCAPES)}")
-        lines.append(f"# TYPE {figure.name} {figure.kind}")
-        lines += (f"{figure.name}{_labels(labels)} {value:.17g}" for labels, value in figure.samples)
+    for metric in metrics:
+        lines.append(f"# HELP {metric.name} {metric.help_text.translate(_ESCAPES)}")
+        lines.append(f"# TYPE {metric.name} {metric.kind}")
+        lines += (f"{metric.name}{_labels(labels)} {value:.17g}" for labels, value in metric.samples)
     return "".join(f"{line}\n" for line in lines).encode()
 
 
--- a/cloverrouter/control/orders.py
+++ b/cloverrouter/control/orders.py
@@ -21,9 +21,9 @@
     ConfigurationPatched,
     ConfigurationReplaced,
     Update,
-    applied,
-    decoded,
-    decoded_update,
+    apply_update,
+    decode_message,
+    decode_update,
 )
 from cloverrouter.messages.codec import encode, message
 from cloverrouter.messages.errors import MessageError
@@ -31,21 +31,21 @@
 if TYPE_CHECKING:
     from cloverrouter.coordination.effects import Decision
 
-MAX_TAKEN_ORDERS = 4096
+MAX_REMEMBERED_ORDERS = 4096
 DIGEST_BYTES = 16
 
 _ENTRY = struct.Struct(f">{DIGEST_BYTES}sQ")  # digest of an accepted order, and its version
 
 
-class Status:
+class OrderStatus:
     """The HTTP status codes of replies to orders."""
 
-    TAKEN = 200
-    INVALID = 400
-    OTHER_METHOD = 405
-    OTHER_VERSION = 412
-    NO_BASE = 428
-    UNCLEAR = 503
+    OK = 200
+    BAD_REQUEST = 400
+    METHOD_NOT_ALLOWED = 405
+    PRECONDITION_FAILED = 412
+    PRECONDITION_REQUIRED = 428
+    SERVICE_UNAVAILABLE = 503
 
 
 @message(300)
@@ -76,7 +76,7 @@
     version: int
     document: bytes
     """JSON; empty while there is no configuration."""
-    taken: bytes
+    accepted: bytes
     """The digests of accepted orders with the versions that they created, oldest first."""
 
 
@@ -84,7 +84,7 @@
 
 
 @attrs.frozen(slots=True)
-class Reviewed:
+class ReviewResult:
     """The result of reviewing an order. It is valid only for the state `base`."""
 
     digest: bytes
@@ -96,13 +96,13 @@
 
 
 class ConfigurationMachine:
-    """The configuration in force, and the digests of the newest `MAX_TAKEN_ORDERS` accepted orders."""
+    """The configuration in force, and the digests of the newest `MAX_REMEMBERED_ORDERS` accepted orders."""
 
     def __init__(self) -> None:
         self._state = ConfigurationState()
-        self._taken: dict[bytes, int] = {}
+        self._accepted: dict[bytes, int] = {}
         self._prepared: tuple[bytes, ConfigurationState] | None = None
-        self._expected: Reviewed | None = None
+        self._provided_review: ReviewResult | None = None
 
     @property
     def state(self) -> ConfigurationState:
@@ -124,14 +124,14 @@
         from cloverrouter.coordination.effects import Decision  # imported here so that only replicas load it
 
         try:
-            order = decoded(command, Order)
+            order = decode_message(command, Order)
         except MessageError as error:
-            return Decision(self._refused(Status.INVALID, f"not an order: {error}"), None)
-        reviewed, self._expected = self._expected, None
+            return Decision(self._refused(OrderStatus.BAD_REQUEST, f"not an order: {error}"), None)
+        reviewed, self._provided_review = self._provided_review, None
         digest = order_digest(order)
-        accepted_version = self._taken.get(digest)
+        accepted_version = self._accepted.get(digest)
         if accepted_version is not None:
-            return Decision(self._reply(Status.TAKEN, {"version": accepted_version}), None)
+            return Decision(self._reply(OrderStatus.OK, {"version": accepted_version}), None)
         refusal = self._refusal(order)
         if refusal is not None:
             return Decision(refusal, None)
@@ -141,48 +141,48 @@
             self._prepared = (reviewed.update, reviewed.candidate)
         return Decision(reviewed.reply, reviewed.update)
 
-    def prepare(self, command: bytes) -> Reviewed | None:
+    def prepare(self, command: bytes) -> ReviewResult | None:
         """Reviews an order ahead of `decide`. This is the slow part of the decision and may run in a thread.
 
         Changes nothing. Returns None if there is nothing to review.
         """
         state = self._state
         try:
-            order = decoded(command, Order)
+            order = decode_message(command, Order)
         except MessageError:
             return None
         digest = order_digest(order)
-        if digest in self._taken or base_version(order.if_match or "") != state.version:
+        if digest in self._accepted or base_version(order.if_match or "") != state.version:
             return None
         return review(order, digest, state) if order.method in ("PUT", "PATCH") else None
 
-    def expect(self, reviewed: Reviewed) -> None:
+    def provide_review(self, reviewed: ReviewResult) -> None:
         """Hands in the result of `prepare` for the next call of `decide`."""
-        self._expected = reviewed
+        self._provided_review = reviewed
 
     def _refusal(self, order: Order) -> bytes | None:
         """Returns the refusal of an order that can be refused without reading its body, or None."""
         if order.method not in ("PUT", "PATCH"):
-            return self._refused(Status.OTHER_METHOD, f"no order is given by {order.method}")
+            return self._refused(OrderStatus.METHOD_NOT_ALLOWED, f"no order is given by {order.method}")
         if order.if_match is None:
             return self._refused(
-                Status.NO_BASE,
+                OrderStatus.PRECONDITION_REQUIRED,
                 "If-Match has to name the version that the order builds on",
             )
         base = base_version(order.if_match)
         if base is not None and self._may_be_forgotten(base):
             return self._refused(
-                Status.UNCLEAR,
+                OrderStatus.SERVICE_UNAVAILABLE,
                 f"orders on version {base} are not remembered any more",
             )
         if base != self.version:
             text = f"version {self.version} is current; the order builds on {order.if_match[:40]}"
-            return self._refused(Status.OTHER_VERSION, text)
+            return self._refused(OrderStatus.PRECONDITION_FAILED, text)
         return None
 
     def _may_be_forgotten(self, base: int) -> bool:
         """Returns whether an order on that version may have been accepted and its digest dropped since."""
-        return len(self._taken) >= MAX_TAKEN_ORDERS and base < next(iter(self._taken.values()))
+        return len(self._accepted) >= MAX_REMEMBERED_ORDERS and base < next(iter(self._accepted.values()))
 
     def _refused(self, status: int, text: str) -> bytes:
         return self._reply(status, {"error-message": text, "version": self.version})
@@ -193,35 +193,35 @@
     def apply(self, update: bytes) -> None:
         """Applies an update. Raises `UpdateOutOfOrder` if it builds on another version."""
         prepared, self._prepared = self._prepared, None
-        self._expected = None
-        change = decoded_update(update)
+        self._provided_review = None
+        change = decode_update(update)
         if prepared is not None and prepared[0] == update and change.base == self.version:
             self._state = prepared[1]
         else:
-            self._state = applied(self._state, change)
+            self._state = apply_update(self._state, change)
         self._remember(change.digest, change.version)
 
     def _remember(self, digest: bytes, version: int) -> None:
-        self._taken[digest] = version
-        while len(self._taken) > MAX_TAKEN_ORDERS:
-            del self._taken[next(iter(self._taken))]
+        self._accepted[digest] = version
+        while len(self._accepted) > MAX_REMEMBERED_ORDERS:
+            del self._accepted[next(iter(self._accepted))]
 
     def snapshot(self) -> bytes:
         """Returns the full state as an encoded `MachineSnapshot`."""
         document = self._state.json() if self.version else b""
-        accepted = b"".join(_ENTRY.pack(digest, version) for digest, version in self._taken.items())
+        accepted = b"".join(_ENTRY.pack(digest, version) for digest, version in self._accepted.items())
         return encode(MachineSnapshot(self.version, document, accepted))
 
     def restore(self, snapshot: bytes) -> None:
         """Replaces the state by a snapshot. Empty bytes stand for the state before the first order."""
-        self._prepared = self._expected = None
-        self._taken = {}
-        self._state = state_of_snapshot(snapshot, self._state)
+        self._prepared = self._provided_review = None
+        self._accepted = {}
+        self._state = read_snapshot(snapshot, self._state)
         if snapshot:
-            self._taken = dict(_ENTRY.iter_unpack(decoded(snapshot, MachineSnapshot).taken))
+            self._accepted = dict(_ENTRY.iter_unpack(decode_message(snapshot, MachineSnapshot).accepted))
 
 
-def review(order: Order, digest: bytes, state: ConfigurationState) -> Reviewed:
+def review(order: Order, digest: bytes, state: ConfigurationState) -> ReviewResult:
     """Validates an order and returns its reply and update. Takes about a second for some megabytes."""
     from cloverrouter.control.review import review_document, review_patch  # only the head validates orders
 
@@ -230,21 +230,21 @@
     try:
         content, candidate = review_body(order.body, state)
     except ConfigurationInvalid as error:
-        refusal = OrderReply(Status.INVALID, _json(error.body()), state.version)
-        return Reviewed(digest, state, encode(refusal), None, None)
+        refusal = OrderReply(OrderStatus.BAD_REQUEST, _json(error.body()), state.version)
+        return ReviewResult(digest, state, encode(refusal), None, None)
     if order.method == "PUT":
         content = {}  # frees megabytes: the update uses the JSON that the state already has
         text = candidate.json()
     else:
         text = compact(content).encode("ascii")
     update = encode(kind(candidate.version, state.version, digest, text))
-    reply = OrderReply(Status.TAKEN, _json({"version": candidate.version}), candidate.version)
-    return Reviewed(digest, state, encode(reply), update, candidate)
+    reply = OrderReply(OrderStatus.OK, _json({"version": candidate.version}), candidate.version)
+    return ReviewResult(digest, state, encode(reply), update, candidate)
 
 
-def state_of_snapshot(snapshot: bytes, known: ConfigurationState | None = None) -> ConfigurationState:
+def read_snapshot(snapshot: bytes, known: ConfigurationState | None = None) -> ConfigurationState:
     """Returns the configuration in a snapshot. Typed items that are equal in `known` are shared with it."""
-    document = decoded(snapshot, MachineSnapshot).document if snapshot else b""
+    document = decode_message(snapshot, MachineSnapshot).document if snapshot else b""
     if not document:
         return ConfigurationState()
     return (known or ConfigurationState()).replaced(json.loads(document))
@@ -255,7 +255,7 @@
     hashed = hashlib.sha256()
     for part in (
         order.method.encode(),
-        normal_match(order.if_match).encode("utf-8", "replace"),
+        normalize_if_match(order.if_match).encode("utf-8", "replace"),
         order.body,
     ):
         hashed.update(struct.pack(">Q", len(part)))
@@ -263,14 +263,14 @@
     return hashed.digest()[:DIGEST_BYTES]
 
 
-def normal_match(if_match: str | None) -> str:
+def normalize_if_match(if_match: str | None) -> str:
     """Returns the value of If-Match without blanks and quotes; an entity tag is the version in quotes."""
     return "" if if_match is None else if_match.strip().strip('"')
 
 
 def base_version(if_match: str) -> int | None:
     """Returns the version in an If-Match value, or None if it is not a version."""
-    text = normal_match(if_match)
+    text = normalize_if_match(if_match)
     return int(text) if text.isascii() and text.isdigit() and len(text) <= 18 else None
 
 
--- a/cloverrouter/control/quota_note.py
+++ b/cloverrouter/control/quota_note.py
@@ -15,7 +15,7 @@
 import attrs
 
 from cloverrouter.control.quota_pool import TenantPool
-from cloverrouter.control.updates import decoded
+from cloverrouter.control.updates import decode_message
 from cloverrouter.messages import MessageError, message
 
 AHEAD_S = 0.5  # of a pool's rate: what may be lent beyond the promise before another note is due
@@ -55,7 +55,7 @@
     if not data:
         return NoteRead(None)
     try:
-        note = decoded(data, QuotaNote)
+        note = decode_message(data, QuotaNote)
     except MessageError as error:
         return NoteRead(None, f"malformed: {error}")
     if note.identity != identity:
--- a/cloverrouter/control/review.py
+++ b/cloverrouter/control/review.py
@@ -19,16 +19,16 @@
     check_routes,
     check_tenants,
     is_number,
+    preview,
     read_object,
-    shown,
 )
 from cloverrouter.control.configuration import LIMITS, ROUTES, SERVICES, TENANTS, VERSION
-from cloverrouter.control.document import ConfigurationState, TextOf, compact
+from cloverrouter.control.document import ConfigurationState, ToJson, compact
 from cloverrouter.control.errors import ConfigurationInvalid, Finding
 
 NAMED_SECTIONS = (ROUTES, SERVICES, TENANTS)
 
-Change = Callable[[dict[str, Any], TextOf], ConfigurationState]
+Change = Callable[[dict[str, Any], ToJson], ConfigurationState]
 
 
 def review_document(body: bytes, current: ConfigurationState) -> tuple[dict[str, Any], ConfigurationState]:
@@ -83,7 +83,7 @@
         check_fields(schema, document, "", self.findings)
         version = document.get(VERSION)
         if is_number(version) and not version > self.current.version:
-            problem = f"found {shown(version)}, wanted one above {self.current.version}"
+            problem = f"found {preview(version)}, wanted one above {self.current.version}"
             self.findings.append(Finding(VERSION, problem))
         return document
 
@@ -121,7 +121,7 @@
         else:
             fits, wanted = present is None, "a list of objects with names, or an object"
         if not fits:
-            self.findings.append(Finding(place, f"found {shown(value)}, wanted {wanted}"))
+            self.findings.append(Finding(place, f"found {preview(value)}, wanted {wanted}"))
 
     def check_contradiction(self, section: str, upserted: Any, deleted: Any) -> None:
         """Checks that a patch doesn't both upsert and delete the same item."""
@@ -131,7 +131,7 @@
         for index, name in enumerate(deleted):
             if name in names:
                 self.findings.append(
-                    Finding(f"delete.{section}[{index}]", f"{shown(name)} is in upsert as well")
+                    Finding(f"delete.{section}[{index}]", f"{preview(name)} is in upsert as well")
                 )
 
     def finish(self, order: dict[str, Any], valid: dict[str, Any], change: Change) -> ConfigurationState:
--- a/cloverrouter/control/routing.py
+++ b/cloverrouter/control/routing.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from cloverrouter.control.configuration import Configuration, Route, Tenant, normal_host
+from cloverrouter.control.configuration import Configuration, Route, Tenant, normalize_host
 
 MAX_CACHED_HOSTS = 4096
 
@@ -58,7 +58,7 @@
             return self._host_cache[host]
         except KeyError:
             pass
-        found = self._hosts.get(normal_host(host.decode("utf-8", "replace")))
+        found = self._hosts.get(normalize_host(host.decode("utf-8", "replace")))
         if len(self._host_cache) < MAX_CACHED_HOSTS:
             self._host_cache[host] = found
         return found
--- a/cloverrouter/control/schemas.py
+++ b/cloverrouter/control/schemas.py
@@ -49,7 +49,7 @@
 TYPES: dict[str, type | tuple[type, ...]] = {"string": str, "boolean": bool, "number": (int, float)}
 
 
-def is_plainly_sound(rules: Schema | None, value: Any) -> bool:
+def passes_plain_rules(rules: Schema | None, value: Any) -> bool:
     """Returns True if a field's value clearly conforms to its rules, which is checked without cerberus.
 
     Calling cerberus for each of many thousand items takes seconds. False means that the value is invalid or
--- a/cloverrouter/control/updates.py
+++ b/cloverrouter/control/updates.py
@@ -44,7 +44,7 @@
 Update = ConfigurationReplaced | ConfigurationPatched
 
 
-def decoded(frame: bytes, kind: type[T]) -> T:
+def decode_message(frame: bytes, kind: type[T]) -> T:
     """Returns the only message of a frame. Raises `MessageError` if it is not exactly one of that type."""
     found = _single_message(frame)
     if not isinstance(found, kind):
@@ -52,7 +52,7 @@
     return found
 
 
-def decoded_update(frame: bytes) -> Update:
+def decode_update(frame: bytes) -> Update:
     """Returns the only update of a frame. Raises `MessageError` if it is not exactly one update."""
     found = _single_message(frame)
     if not isinstance(found, Update):
@@ -67,7 +67,7 @@
     return found[0]
 
 
-def applied(state: ConfigurationState, update: Update) -> ConfigurationState:
+def apply_update(state: ConfigurationState, update: Update) -> ConfigurationState:
     """Returns the state after an update. Raises `UpdateOutOfOrder` if it doesn't fit the state's version."""
     if update.version <= state.version:
         raise UpdateOutOfOrder(f"version {update.version} after {state.version}")
@@ -78,12 +78,12 @@
     return state.patched(_object(update.patch))
 
 
-def applied_frame(state: ConfigurationState, frame: bytes) -> ConfigurationState:
+def apply_frame(state: ConfigurationState, frame: bytes) -> ConfigurationState:
     """Returns the state after an encoded update. Raises `UpdateOutOfOrder` or `MessageError`."""
-    return applied(state, decoded_update(frame))
+    return apply_update(state, decode_update(frame))
 
 
-def whole(state: ConfigurationState) -> bytes:
+def full_update(state: ConfigurationState) -> bytes:
     """Returns the encoded update that turns any earlier state into this one."""
     return encode(ConfigurationReplaced(state.version, 0, b"", state.json()))
 
--- a/cloverrouter/daemon/configuration_feed.py
+++ b/cloverrouter/daemon/configuration_feed.py
@@ -11,7 +11,7 @@
 from cloverrouter.control.errors import ControlError
 from cloverrouter.control.orders import ConfigurationMachine
 from cloverrouter.control.subscriber import Apply, Replace
-from cloverrouter.control.updates import applied_frame
+from cloverrouter.control.updates import apply_frame
 from cloverrouter.messages import MessageError
 
 HISTORY = 64
@@ -55,5 +55,5 @@
 
 def _folded(state: ConfigurationState, updates: Iterable[bytes]) -> ConfigurationState:
     for update in updates:
-        state = applied_frame(state, update)
+        state = apply_frame(state, update)
     return state
--- a/cloverrouter/daemon/control_calls.py
+++ b/cloverrouter/daemon/control_calls.py
@@ -9,12 +9,12 @@
 from typing import TYPE_CHECKING, Any
 
 from cloverrouter.control.errors import Unavailable
-from cloverrouter.control.forwarding import Finished, Kind
+from cloverrouter.control.forwarding import CallKind, Finished
 from cloverrouter.control.instances import Instance
-from cloverrouter.control.metrics import Figure
+from cloverrouter.control.metrics import Metric
 from cloverrouter.control.orders import MachineSnapshot, Order, OrderReply
 from cloverrouter.control.registration import instance_from
-from cloverrouter.control.updates import decoded
+from cloverrouter.control.updates import decode_message
 from cloverrouter.daemon.plane_port import PlanePort
 from cloverrouter.messages import encode, metric_labels
 
@@ -55,16 +55,16 @@
     # ControlBackend
 
     async def order(self, method: str, if_match: str | None, body: bytes) -> OrderReply:
-        reply = await self._ask(Kind.ORDER, encode(Order(method, if_match, body)))
-        return decoded(reply, OrderReply)
+        reply = await self._ask(CallKind.ORDER, encode(Order(method, if_match, body)))
+        return decode_message(reply, OrderReply)
 
     async def read(self) -> bytes | None:
-        snapshot = await self._ask(Kind.READ, b"")
+        snapshot = await self._ask(CallKind.READ, b"")
         if not snapshot:
             return None
-        return decoded(snapshot, MachineSnapshot).document or None
+        return decode_message(snapshot, MachineSnapshot).document or None
 
-    async def _ask(self, kind: Kind, command: bytes) -> bytes:
+    async def _ask(self, kind: CallKind, command: bytes) -> bytes:
         ticket = next(self._tickets)
         future: asyncio.Future[Finished] = self._loop.create_future()
         self._calls[ticket] = future
@@ -150,48 +150,48 @@
     def trace(self, request_id: str) -> dict[str, Any] | None:
         return self._plane.traffic.traces.find(request_id)
 
-    def figures(self) -> Iterable[Figure]:
+    def metrics(self) -> Iterable[Metric]:
         plane = self._plane
         transport = plane.transport
-        yield Figure.single(
+        yield Metric.single(
             "cypresswinch_in_flight", "gauge", "Requests under way.", plane.traffic.router.in_flight
         )
-        yield Figure.single(
+        yield Metric.single(
             "cypresswinch_configuration_version", "gauge", "Version in force.", plane.feed.state.version
         )
-        yield Figure.single(
+        yield Metric.single(
             "cypresswinch_configuration_not_applied_total",
             "counter",
             "Configurations handed out that could not be put in force.",
             plane.feed.not_applied,
         )
-        yield Figure.single(
+        yield Metric.single(
             "cypresswinch_quota_notes_refused_total",
             "counter",
             "Notes of quotas on the own disk that did not count.",
             plane.quota_notes_refused,
         )
-        yield Figure.single(
+        yield Metric.single(
             "cypresswinch_peer_sent_bytes_total", "counter", "Bytes sent to peers.", transport.bytes_sent
         )
-        yield Figure.single(
+        yield Metric.single(
             "cypresswinch_peer_received_bytes_total", "counter", "Bytes from peers.", transport.bytes_received
         )
-        yield Figure.single("cypresswinch_peer_writes_total", "counter", "Writes to peers.", transport.writes)
-        yield Figure.single(
+        yield Metric.single("cypresswinch_peer_writes_total", "counter", "Writes to peers.", transport.writes)
+        yield Metric.single(
             "cypresswinch_peer_skipped_messages_total",
             "counter",
             "Messages from peers of kinds that are not known here.",
             transport.messages_skipped,
         )
         kinds = sorted(transport.sent.items(), key=lambda item: item[0].__name__)
-        yield Figure(
+        yield Metric(
             "cypresswinch_peer_sent_messages_total",
             "counter",
             "Messages sent to peers, by kind.",
             tuple((_labels(kind), float(count.messages)) for kind, count in kinds),
         )
-        yield Figure(
+        yield Metric(
             "cypresswinch_peer_sent_kind_bytes_total",
             "counter",
             "Bytes of messages sent to peers, by kind.",
--- a/cloverrouter/daemon/control_plane.py
+++ b/cloverrouter/daemon/control_plane.py
@@ -17,11 +17,11 @@
 from cloverrouter.control.announcements import Acknowledged, Failed
 from cloverrouter.control.document import ConfigurationState
 from cloverrouter.control.forwarding import (
+    CallKind,
     Finished,
     Forwarder,
     HeadAnswer,
     HeadCall,
-    Kind,
     SendCall,
     first_ticket,
 )
@@ -256,7 +256,7 @@
         self.registry.set_sole_head(lead_until is not None and now < lead_until)
         is_in_touch = self.subscriber.current(now)
         self.registry.set_in_touch(is_in_touch)
-        self._forwarder.in_touch(is_in_touch)
+        self._forwarder.set_quorum_contact(is_in_touch)
         is_behind = self.subscriber.behind_s(now) > self._settings.bounds.propagation_s
         self.traffic.router.is_behind = is_in_touch and is_behind
         self._limit_keys()
@@ -385,7 +385,7 @@
 
     def _on_head_answer(self, now: float, ip: str, message: object) -> None:
         assert isinstance(message, HeadAnswer)
-        self._forwarded(self._forwarder.answered(now, message))
+        self._forwarded(self._forwarder.handle_answer(now, message))
 
     def _on_view_notice(self, now: float, ip: str, message: object) -> None:
         assert isinstance(message, ViewNotice)
@@ -442,9 +442,9 @@
             else:
                 self._calls.call_ended(effect)
 
-    def ask_head(self, ticket: int, kind: Kind, command: bytes) -> None:
+    def ask_head(self, ticket: int, kind: CallKind, command: bytes) -> None:
         """Have the head answer a call; `ControlCalls.call_ended` hears of it."""
-        self._forwarded(self._forwarder.ask(self._loop.time(), ticket, kind, command))
+        self._forwarded(self._forwarder.submit(self._loop.time(), ticket, kind, command))
 
     def note(self, effects: Iterable[RegistryEffect]) -> None:
         """Carry out what a call of the registry gave."""
--- a/cloverrouter/daemon/head_desk.py
+++ b/cloverrouter/daemon/head_desk.py
@@ -6,7 +6,7 @@
 from collections import OrderedDict
 from collections.abc import Callable, Iterable
 
-from cloverrouter.control.forwarding import HeadAnswer, HeadCall, Kind
+from cloverrouter.control.forwarding import CallKind, HeadAnswer, HeadCall
 from cloverrouter.control.orders import OrderReply
 from cloverrouter.coordination.effects import Answer, Effect, Outcome
 from cloverrouter.coordination.replica import Replica
@@ -45,7 +45,7 @@
         ticket = next(self._tickets)
         self._asked[ticket] = key
         self._under_way.add(key)
-        if call.kind == Kind.READ.value:
+        if call.kind == CallKind.READ.value:
             return self._replica.read(now, ticket)
         self._orders.add(key)
         return self._replica.submit(now, ticket, call.command)
--- a/cloverrouter/daemon/plane_port.py
+++ b/cloverrouter/daemon/plane_port.py
@@ -5,7 +5,7 @@
 from collections.abc import Iterable
 from typing import Any, Protocol
 
-from cloverrouter.control.forwarding import Kind
+from cloverrouter.control.forwarding import CallKind
 from cloverrouter.control.registry import Effect, Registry
 from cloverrouter.control.subscriber import Subscriber
 from cloverrouter.coordination.sampling_messages import ViewSummary
@@ -51,7 +51,7 @@
         """As head: the long state that a member is handed in parts; empty: none."""
         ...
 
-    def ask_head(self, ticket: int, kind: Kind, command: bytes) -> None:
+    def ask_head(self, ticket: int, kind: CallKind, command: bytes) -> None:
         """Have the head answer a call; `ControlCalls.call_ended` hears of it."""
         ...
 
--- a/cloverrouter/daemon/quota_service.py
+++ b/cloverrouter/daemon/quota_service.py
@@ -7,7 +7,7 @@
 
 from cloverrouter.control.quota_duty import Effect, QuotaDuty
 from cloverrouter.control.quota_note import QuotaNote, read_note
-from cloverrouter.control.updates import decoded
+from cloverrouter.control.updates import decode_message
 from cloverrouter.messages import encode
 from cloverrouter.messages.sending import Send
 from cloverrouter.placement.quota_plan import TenantLimit
@@ -55,7 +55,7 @@
 
     def noted(self, note: bytes) -> None:
         """A note is on the disk."""
-        kept = decoded(note, QuotaNote)
+        kept = decode_message(note, QuotaNote)
         self._carry_out(self._duty.noted(self._clock(), self._lead_until(), kept))
 
     def _lead_until(self) -> float | None:
--- a/cloverrouter/daemon/replica_role.py
+++ b/cloverrouter/daemon/replica_role.py
@@ -10,8 +10,8 @@
 import attrs
 
 from cloverrouter.control.distribution_messages import Subscribe
-from cloverrouter.control.forwarding import HeadCall, Kind
-from cloverrouter.control.orders import ConfigurationMachine, Reviewed
+from cloverrouter.control.forwarding import CallKind, HeadCall
+from cloverrouter.control.orders import ConfigurationMachine, ReviewResult
 from cloverrouter.control.publisher import Publisher, SnapshotWanted
 from cloverrouter.coordination.effects import Committed, ReplicaConfig, Restored, ViewChanged, ViewInfo
 from cloverrouter.coordination.replica import Replica
@@ -73,7 +73,7 @@
         self._summary: ViewSummary | None = None
         self._snapshot_wanted = False
         self._reviewer = ThreadPoolExecutor(1, thread_name_prefix="review")
-        self._reviews: dict[bytes, asyncio.Future[Reviewed | None]] = {}
+        self._reviews: dict[bytes, asyncio.Future[ReviewResult | None]] = {}
         self._under_review: dict[tuple[str, int], asyncio.Task[None]] = {}
 
     @staticmethod
@@ -128,7 +128,7 @@
         """A proxy's call to the head. A long order is reviewed on a thread of its own first: a head that is
         silent while it reviews is replaced, and so is the next one that the order is sent to.
         """
-        is_long = call.kind == Kind.ORDER.value and len(call.command) >= REVIEWED_APART_BYTES
+        is_long = call.kind == CallKind.ORDER.value and len(call.command) >= REVIEWED_APART_BYTES
         if not is_long or self.replica.lead_until is None:
             self._driver.carry_out(self._desk.called(now, ip, call))
         elif (ip, call.ticket) not in self._under_review:
@@ -140,10 +140,10 @@
         finally:
             del self._under_review[ip, call.ticket]
         if reviewed is not None:
-            self._machine.expect(reviewed)
+            self._machine.provide_review(reviewed)
         self._driver.carry_out(self._desk.called(self._loop.time(), ip, call))
 
-    def _reviewed(self, command: bytes) -> asyncio.Future[Reviewed | None]:
+    def _reviewed(self, command: bytes) -> asyncio.Future[ReviewResult | None]:
         """The review of a long order, one for all who send it meanwhile."""
         review = self._reviews.get(command)
         if review is None:
--- a/cloverrouter/explore/coordination/credit_scopes.py
+++ b/cloverrouter/explore/coordination/credit_scopes.py
@@ -12,7 +12,7 @@
 from cloverrouter.control.quota_allocator import QuotaAllocator
 from cloverrouter.control.quota_duty import QuotaDuty
 from cloverrouter.control.quota_note import NoteRead, QuotaNote, Reserves
-from cloverrouter.control.updates import decoded
+from cloverrouter.control.updates import decode_message
 from cloverrouter.explore.coordination import credit_model
 from cloverrouter.explore.coordination.credit_model import INVARIANTS, CreditScope, CreditWorld
 from cloverrouter.explore.coordination.scope import ModelFault, ModelScope
@@ -50,7 +50,7 @@
 
 
 def _read_of_any_epoch(data: bytes, identity: str, follows: int | None) -> NoteRead:
-    return NoteRead(decoded(data, QuotaNote).left if data else None)
+    return NoteRead(decode_message(data, QuotaNote).left if data else None)
 
 
 _begun_anew = QuotaDuty._begun_anew
--- a/cloverrouter/explore/coordination/orders_model.py
+++ b/cloverrouter/explore/coordination/orders_model.py
@@ -24,17 +24,22 @@
 from cloverrouter.control import forwarding, orders
 from cloverrouter.control.document import ConfigurationState, compact
 from cloverrouter.control.forwarding import (
-    GIVE_UP_S,
+    FORWARD_TIMEOUT_S,
     RESEND_S,
+    CallKind,
     Finished,
     Forwarder,
     HeadAnswer,
     HeadCall,
-    Kind,
     SendCall,
 )
-from cloverrouter.control.orders import ConfigurationMachine, MachineSnapshot, Order, OrderReply, Status
-from cloverrouter.control.updates import ConfigurationPatched, ConfigurationReplaced, decoded, decoded_update
+from cloverrouter.control.orders import ConfigurationMachine, MachineSnapshot, Order, OrderReply, OrderStatus
+from cloverrouter.control.updates import (
+    ConfigurationPatched,
+    ConfigurationReplaced,
+    decode_message,
+    decode_update,
+)
 from cloverrouter.coordination.desk import Desk
 from cloverrouter.coordination.effects import Answer, Effect, ReplicaConfig
 from cloverrouter.coordination.head import Head
@@ -82,7 +87,7 @@
 @contextmanager
 def figures(scope: OrdersScope) -> Iterator[None]:
     """Few orders are known again, so that few fill the memory of them."""
-    with patch.object(orders, "MAX_TAKEN_ORDERS", scope.most_taken):
+    with patch.object(orders, "MAX_REMEMBERED_ORDERS", scope.most_taken):
         yield
 
 
@@ -314,7 +319,7 @@
             yield move(f"{name} hears that {self.leader} leads", self.hear_of_head, name)
         if proxy.forwarder._pending:
             yield move(f"{name} waits {RESEND_S:g} s", self.wait, name, RESEND_S, cost=1)
-            yield move(f"{name} waits {GIVE_UP_S:g} s", self.wait, name, GIVE_UP_S, cost=1)
+            yield move(f"{name} waits {FORWARD_TIMEOUT_S:g} s", self.wait, name, FORWARD_TIMEOUT_S, cost=1)
         yield move(f"{name} is killed and starts again", self.restart_proxy, name, cost=1)
 
     def _chain_moves(self) -> Iterable[Action]:
@@ -345,18 +350,18 @@
                 call.is_heard = False
         operator = self.operators[name]
         operator.sent = min(operator.sent + 1, 1)
-        self._ask(_Call(name, proxy, 0), Kind.ORDER, encode(self.wanted[name].order))
+        self._ask(_Call(name, proxy, 0), CallKind.ORDER, encode(self.wanted[name].order))
 
     def send_read(self, proxy: str) -> None:
         """One read of the configuration."""
         self.has_read = True
-        self._ask(_Call(READ, proxy, 0, self.newest_confirmed), Kind.READ, b"")
+        self._ask(_Call(READ, proxy, 0, self.newest_confirmed), CallKind.READ, b"")
 
-    def _ask(self, call: _Call, kind: Kind, command: bytes) -> None:
+    def _ask(self, call: _Call, kind: CallKind, command: bytes) -> None:
         proxy = self.proxies[call.proxy]
         call.ticket = next(proxy.tickets)
         self.calls.append(call)
-        self._forwarded(proxy, proxy.forwarder.ask(proxy.clock, call.ticket, kind, command))
+        self._forwarded(proxy, proxy.forwarder.submit(proxy.clock, call.ticket, kind, command))
 
     def _forwarded(self, proxy: _Proxy, effects: Iterable[SendCall | Finished]) -> None:
         for effect in effects:
@@ -377,14 +382,14 @@
             if call.name == READ:
                 self._read_answered(call, reply)
             else:
-                self._order_answered(call, decoded(reply, OrderReply))
+                self._order_answered(call, decode_message(reply, OrderReply))
         except Exception as error:
             self.must(False, "mixed", f"the answer to {call.name} can't be read: {error}")
 
     def _order_answered(self, call: _Call, reply: OrderReply) -> None:
         self.tell(f"-> {call.name} is answered {reply.status} {reply.body.decode()}")
         taken = self._names_committed()
-        if reply.status == Status.TAKEN:
+        if reply.status == OrderStatus.OK:
             self.must(call.name in taken, "lost", f"{call.name} was confirmed and is not in force")
             version = self._version(call.name)
             told = json.loads(reply.body).get("version")
@@ -392,12 +397,12 @@
             self.newest_confirmed = max(self.newest_confirmed, version)
             if call.is_heard:
                 self.operators[call.name].confirmed = True
-        elif reply.status < Status.UNCLEAR:
+        elif reply.status < OrderStatus.SERVICE_UNAVAILABLE:
             self.must(call.name not in taken, "refused", f"{call.name} is in force and was refused")
             self.refused.add(call.name)
 
     def _read_answered(self, call: _Call, reply: bytes) -> None:
-        found = decoded(reply, MachineSnapshot)
+        found = decode_message(reply, MachineSnapshot)
         self.tell(f"-> the read is answered version {found.version}")
         document = found.document or ConfigurationState().json()
         states = {state.version: state.json() for state in self._states()}
@@ -421,7 +426,7 @@
         message = letter.message
         if isinstance(message, HeadAnswer):
             proxy = self.proxies[letter.target]
-            self._forwarded(proxy, proxy.forwarder.answered(proxy.clock, message))
+            self._forwarded(proxy, proxy.forwarder.handle_answer(proxy.clock, message))
         elif isinstance(message, HeadCall):
             machine = self.machines[letter.target]
             self._take(letter.target, machine.desk.called(0.0, letter.source, message))
@@ -441,7 +446,7 @@
 
     def _order_name(self, call: HeadCall) -> str:
         names = (name for name, each in self.wanted.items() if encode(each.order) == call.command)
-        return READ if call.kind == Kind.READ.value else next(names)
+        return READ if call.kind == CallKind.READ.value else next(names)
 
     def lose(self, place: int) -> None:
         """A letter is lost."""
@@ -484,7 +489,7 @@
     def _commit(self, updates: Iterable[bytes]) -> None:
         """What the chain has stored is in force for good."""
         for update in updates:
-            change, before = decoded_update(update), self._newest_version()
+            change, before = decode_update(update), self._newest_version()
             self.must(change.base == before, "race", f"a change of version {change.base} came after {before}")
             self.must(change.version > before, "race", f"version {change.version} came after {before}")
             self.committed.append(update)
@@ -530,7 +535,7 @@
 
     def _name_of(self, update: bytes) -> str | None:
         """The order whose content it is."""
-        change = decoded_update(update)
+        change = decode_update(update)
         content = change.document if isinstance(change, ConfigurationReplaced) else change.patch
         for wanted in self.wanted.values():
             kind = ConfigurationReplaced if wanted.order.method == "PUT" else ConfigurationPatched
@@ -546,7 +551,7 @@
         return [name for name, wanted in self.wanted.items() if wanted.order in orders]
 
     def _newest_version(self) -> int:
-        return decoded_update(self.committed[-1]).version if self.committed else 0
+        return decode_update(self.committed[-1]).version if self.committed else 0
 
     def _version(self, name: str) -> int:
         return int(json.loads(self.wanted[name].order.body)["version"])
@@ -614,7 +619,7 @@
 def _machine_form(machine: ConfigurationMachine) -> tuple[Any, ...]:
     prepared = machine._prepared
     waiting = prepared and hash_text(prepared[0])
-    return (machine.version, _state_form(machine._state), tuple(machine._taken.items()), waiting)
+    return (machine.version, _state_form(machine._state), tuple(machine._accepted.items()), waiting)
 
 
 _FORM = Form(
--- a/cloverrouter/explore/coordination/orders_scopes.py
+++ b/cloverrouter/explore/coordination/orders_scopes.py
@@ -12,7 +12,7 @@
 from cloverrouter.control import forwarding, orders
 from cloverrouter.control.forwarding import Finished, Forwarder, HeadAnswer
 from cloverrouter.control.orders import ConfigurationMachine, MachineSnapshot, Order
-from cloverrouter.control.updates import decoded
+from cloverrouter.control.updates import decode_message
 from cloverrouter.coordination.effects import Answer, Decision, Outcome
 from cloverrouter.coordination.head import Head
 from cloverrouter.explore.coordination.orders_model import (
@@ -83,7 +83,7 @@
 
 
 def _snapshot_without_orders(self: ConfigurationMachine) -> bytes:
-    whole = decoded(_snapshot(self), MachineSnapshot)
+    whole = decode_message(_snapshot(self), MachineSnapshot)
     return encode(MachineSnapshot(whole.version, whole.document, b""))
 
 
@@ -91,13 +91,13 @@
 
 
 def _version_first(self: ConfigurationMachine, command: bytes) -> Decision:
-    refusal = self._refusal(decoded(command, Order))
+    refusal = self._refusal(decode_message(command, Order))
     return Decision(refusal, None) if refusal is not None else _decide(self, command)
 
 
 def _keep_oldest(self: ConfigurationMachine, digest: bytes, version: int) -> None:
-    if len(self._taken) < orders.MAX_TAKEN_ORDERS:
-        self._taken[digest] = version
+    if len(self._accepted) < orders.MAX_REMEMBERED_ORDERS:
+        self._accepted[digest] = version
 
 
 _decide_at_head = Head._decide
@@ -174,7 +174,7 @@
     ),
     "not-now-is-an-end": ModelFault(
         "a proxy takes 'not now' for the answer",
-        ("mixed",), SCOPE, _seeded(Forwarder, "answered", _not_now_is_an_end),
+        ("mixed",), SCOPE, _seeded(Forwarder, "handle_answer", _not_now_is_an_end),
     ),
 }  # fmt: skip
 
--- a/cloverrouter/fuzz/control_calls.py
+++ b/cloverrouter/fuzz/control_calls.py
@@ -16,12 +16,12 @@
 
 from cloverrouter.control.api import Answer, ControlApi, RegisterReply
 from cloverrouter.control.instances import InstanceState, from_record
-from cloverrouter.control.metrics import Figure
+from cloverrouter.control.metrics import Metric
 from cloverrouter.control.orders import ConfigurationMachine, Order, OrderReply
 from cloverrouter.control.registration import instance_from
 from cloverrouter.control.registry_messages import Announce
 from cloverrouter.control.servers_list import ServersList
-from cloverrouter.control.updates import decoded
+from cloverrouter.control.updates import decode_message
 from cloverrouter.fuzz.mutation import interesting, json_text, mutate_bytes, mutate_json
 from cloverrouter.fuzz.target import expect
 from cloverrouter.messages import encode
@@ -151,7 +151,7 @@
         if decision.update is not None:
             self.machine.apply(decision.update)
             self.updates.append(decision.update)
-        return decoded(decision.reply, OrderReply)
+        return decode_message(decision.reply, OrderReply)
 
     async def read(self) -> bytes | None:
         return self.machine.state.json() if self.machine.version else None
@@ -159,7 +159,7 @@
     async def register(self, instance_id: str, body: dict[str, Any]) -> RegisterReply:
         instance = instance_from(NOW, instance_id, body)
         announce = Announce(instance.to_record(NOW, 0.0), wants_acknowledgement=True)
-        told = decoded(encode(announce), Announce)
+        told = decode_message(encode(announce), Announce)
         expect(told == announce, "an announcement reaches the other nodes changed")
         known = from_record(NOW, told.record)
         expect(known.fingerprint() == instance.fingerprint(), "another node holds another instance")
@@ -187,7 +187,7 @@
     def trace(self, request_id: str) -> dict[str, Any] | None:
         return None
 
-    def figures(self) -> Iterable[Figure]:
+    def metrics(self) -> Iterable[Metric]:
         return ()
 
 
--- a/cloverrouter/router/intake.py
+++ b/cloverrouter/router/intake.py
@@ -104,7 +104,7 @@
         if told_ms is None or not self._options.late_last or request.header(LAST_EVENT_ID) is not None:
             return rank
         told = self.deadlines.setdefault(route.name, ToldDeadlines())
-        return LOWEST if told.spent_ms(told_ms, route.timeout_ms) > route.aim_ms else rank
+        return LOWEST if told.spent_ms(told_ms, route.timeout_ms) > route.target_latency_ms else rank
 
     def _service(self, route: Route, prompt: Prompt) -> str:
         """One of the route's services by weight: the same for all requests of a subject. One without a ready
--- a/features/steps/configuration_orders.py
+++ b/features/steps/configuration_orders.py
@@ -8,7 +8,7 @@
 from behave import given, then, when
 
 from cloverrouter.control.orders import ConfigurationMachine, Order, OrderReply
-from cloverrouter.control.updates import decoded
+from cloverrouter.control.updates import decode_message
 from cloverrouter.messages.codec import encode
 from tests.system.configurations import document, findings, route, split, tenant
 
@@ -18,7 +18,7 @@
     if decision.update is not None:
         for replica in replicas:
             replica.apply(decision.update)
-    context.order, context.reply = order, decoded(decision.reply, OrderReply)
+    context.order, context.reply = order, decode_message(decision.reply, OrderReply)
 
 
 def put(context: Any, base: int | None, body: bytes) -> None:
--- a/features/steps/cut_off_steps.py
+++ b/features/steps/cut_off_steps.py
@@ -6,7 +6,7 @@
 
 from behave import given, then, when
 
-from cloverrouter.control.forwarding import GIVE_UP_S
+from cloverrouter.control.forwarding import FORWARD_TIMEOUT_S
 from cloverrouter.coordination.views import Member
 from tests.system.control_world import ControlCall, ControlWorld
 from tests.system.replica_world import Node
@@ -45,7 +45,7 @@
 def step_world(context: Any, count: int, tolerance: int) -> None:
     context.control = world = ControlWorld(11, count, tolerance)
     world.run(2.0)
-    for number, ip in enumerate(world.fronts):
+    for number, ip in enumerate(world.front_ends):
         insist(world, ip, f"before-{number}", 4.0)
 
 
@@ -64,7 +64,7 @@
 def cut_off(context: Any, apart: list[str], how: str) -> None:
     world: ControlWorld = context.control
     control = [node.ip for node in world.nodes]
-    others = [ip for ip in (control if "control" in how else world.fronts) if ip not in apart]
+    others = [ip for ip in (control if "control" in how else world.front_ends) if ip not in apart]
     for one in apart:
         for other in others:
             if how != "so that it only hears":
@@ -77,7 +77,7 @@
     world: ControlWorld = context.control
     context.cut_at = world.now
     context.inside, context.outside = [], []
-    others = [ip for ip in world.fronts if ip not in apart]
+    others = [ip for ip in world.front_ends if ip not in apart]
     number = 0
     while world.now < context.cut_at + LONG_S:
         number += 1
@@ -113,7 +113,7 @@
     world: ControlWorld = context.control
     for call in context.inside:
         if call.ended_at is None:
-            assert world.now - call.sent_at <= GIVE_UP_S
+            assert world.now - call.sent_at <= FORWARD_TIMEOUT_S
         else:
             assert call.ended_at - call.sent_at <= seconds, (call.ended_at - call.sent_at, call)
             assert not call.is_refused, call
--- a/features/steps/racing_steps.py
+++ b/features/steps/racing_steps.py
@@ -189,7 +189,7 @@
     proxy.kill()
     proxy.start()
     head = leader(context.world)
-    proxy.view_told(head.replica.view_info.epoch, True, head.ip)
+    proxy.receive_view(head.replica.view_info.epoch, True, head.ip)
 
 
 @then("no proxy has told another order's answer")
--- a/tests/system/configurations.py
+++ b/tests/system/configurations.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 from cloverrouter.control.orders import ConfigurationMachine, Order, OrderReply
-from cloverrouter.control.updates import decoded
+from cloverrouter.control.updates import decode_message
 from cloverrouter.messages.codec import encode
 
 Document = dict[str, Any]
@@ -68,7 +68,7 @@
     decision = machine.decide(encode(Order(method, if_match, raw)))
     if decision.update is not None:
         machine.apply(decision.update)
-    return decoded(decision.reply, OrderReply)
+    return decode_message(decision.reply, OrderReply)
 
 
 def findings(reply: OrderReply) -> list[str]:
--- a/tests/system/control_world.py
+++ b/tests/system/control_world.py
@@ -14,11 +14,11 @@
 import attrs
 
 from cloverrouter.control.forwarding import (
+    CallKind,
     Finished,
     Forwarder,
     HeadAnswer,
     HeadCall,
-    Kind,
     SendCall,
     first_ticket,
 )
@@ -43,7 +43,7 @@
     """A call of the operator to one machine."""
 
     ip: str
-    kind: Kind
+    kind: CallKind
     name: str  # of the order
     sent_at: float
     acknowledged_before: int  # the newest version that was acknowledged before the call was sent
@@ -55,7 +55,7 @@
         """Whether an order is in force, or a read was answered."""
         if self.reply is None:
             return False
-        return self.kind is Kind.READ or json.loads(self.reply)[0] == "done"
+        return self.kind is CallKind.READ or json.loads(self.reply)[0] == "done"
 
     @property
     def is_refused(self) -> bool:
@@ -63,7 +63,7 @@
         return self.reply is not None and not self.is_confirmed
 
 
-class Front:
+class FrontEnd:
     """The part of a process that handles calls: its forwarder and the view that it knows."""
 
     def __init__(self, ip: str, seed: float) -> None:
@@ -78,15 +78,15 @@
     """Replicas, and in addition `proxies` machines without a disk."""
 
     def __init__(self, seed: int, count: int, tolerance: int, proxies: int = 2, **options: Any) -> None:
-        self.fronts: dict[str, Front] = {}
+        self.front_ends: dict[str, FrontEnd] = {}
         self._desks: dict[str, tuple[Any, HeadDesk]] = {}
         super().__init__(seed, count, tolerance, **options)
         for node in self.nodes:
-            self.fronts[node.ip] = Front(node.ip, self.random.random())
+            self.front_ends[node.ip] = FrontEnd(node.ip, self.random.random())
         for number in range(proxies):
             ip = f"10.9.0.{number + 1}"
-            self.fronts[ip] = Front(ip, self.random.random())
-        self.proxies = [ip for ip in self.fronts if ip.startswith("10.9.")]
+            self.front_ends[ip] = FrontEnd(ip, self.random.random())
+        self.proxies = [ip for ip in self.front_ends if ip.startswith("10.9.")]
         self.at(self.now, self._tick_fronts)
 
     def new_machine(self) -> StateMachine:
@@ -97,38 +97,38 @@
     def order(self, ip: str, name: str, expect: int | None = None) -> ControlCall:
         """Sends an order to a machine."""
         command = json.dumps({"id": name, "expect": expect, "value": name}).encode()
-        return self._call(ip, Kind.ORDER, name, command)
+        return self._call(ip, CallKind.ORDER, name, command)
 
     def read_back(self, ip: str) -> ControlCall:
         """Reads the configuration at a machine."""
-        return self._call(ip, Kind.READ, "", b"")
+        return self._call(ip, CallKind.READ, "", b"")
 
-    def _call(self, ip: str, kind: Kind, name: str, command: bytes) -> ControlCall:
-        front = self.fronts[ip]
-        front.tickets += 1
+    def _call(self, ip: str, kind: CallKind, name: str, command: bytes) -> ControlCall:
+        front_end = self.front_ends[ip]
+        front_end.tickets += 1
         call = ControlCall(ip, kind, name, self.now, self.ledger.acknowledged)
-        front.calls[front.tickets] = call
-        self._forward(front, front.forwarder.ask(self.now, front.tickets, kind, command))
+        front_end.calls[front_end.tickets] = call
+        self._forward(front_end, front_end.forwarder.submit(self.now, front_end.tickets, kind, command))
         return call
 
-    def _forward(self, front: Front, effects: Iterable[SendCall | Finished]) -> None:
+    def _forward(self, front_end: FrontEnd, effects: Iterable[SendCall | Finished]) -> None:
         for effect in effects:
             if isinstance(effect, SendCall):
-                self._send_or_loop_back(front.ip, effect.ip, effect.call)
+                self._send_or_loop_back(front_end.ip, effect.ip, effect.call)
             else:
-                self._end(front.calls.pop(effect.ticket), effect.reply)
+                self._end(front_end.calls.pop(effect.ticket), effect.reply)
 
     def _end(self, call: ControlCall, reply: bytes | None) -> None:
         call.reply, call.ended_at = reply, self.now
-        if call.kind is Kind.ORDER and call.is_confirmed and reply is not None:
+        if call.kind is CallKind.ORDER and call.is_confirmed and reply is not None:
             self.check_acknowledged(json.loads(reply)[1], call.name)
-        elif call.kind is Kind.READ and reply is not None:
+        elif call.kind is CallKind.READ and reply is not None:
             version = json.loads(reply)[0] if reply else 0
             self.check_read(Answer(0, Outcome.DONE, reply, version), call.acknowledged_before)
 
     def _tick_fronts(self) -> None:
-        for front in self.fronts.values():
-            self._forward(front, front.forwarder.tick(self.now))
+        for front_end in self.front_ends.values():
+            self._forward(front_end, front_end.forwarder.tick(self.now))
         self.at(self.now + self.tick_s, self._tick_fronts)
 
     # -- between machines --
@@ -145,8 +145,8 @@
         if isinstance(message, HeadCall):
             self._handle_call(from_ip, to_ip, message)
         elif isinstance(message, HeadAnswer):
-            front = self.fronts[to_ip]
-            self._forward(front, front.forwarder.answered(self.now, message))
+            front_end = self.front_ends[to_ip]
+            self._forward(front_end, front_end.forwarder.handle_answer(self.now, message))
         else:
             super()._deliver(from_ip, to_ip, message)
 
@@ -174,15 +174,15 @@
     def _on_view(self, node: Node, effect: ViewChanged) -> None:
         super()._on_view(node, effect)
         summary = summary_of(effect.view, node.committed)
-        for ip in self.fronts:
+        for ip in self.front_ends:
             if (node.ip, ip) not in self.cuts:
                 self.at(self.now + VIEW_DELAY_S, lambda ip=ip: self._learn_view(ip, summary))  # type: ignore[misc]
 
     def _learn_view(self, ip: str, summary: ViewSummary) -> None:
         """Adopts a view that is not older than the known one, as the control plane of a process does."""
-        front = self.fronts[ip]
-        if front.summary is not None and summary.order() < front.summary.order():
+        front_end = self.front_ends[ip]
+        if front_end.summary is not None and summary.order() < front_end.summary.order():
             return
-        front.summary = summary
+        front_end.summary = summary
         head = summary.head if summary.active else None
-        self._forward(front, front.forwarder.head_changed(self.now, head))
+        self._forward(front_end, front_end.forwarder.head_changed(self.now, head))
--- a/tests/system/order_world.py
+++ b/tests/system/order_world.py
@@ -17,11 +17,11 @@
 
 from cloverrouter.control.document import compact
 from cloverrouter.control.forwarding import (
+    CallKind,
     Finished,
     Forwarder,
     HeadAnswer,
     HeadCall,
-    Kind,
     SendCall,
     first_ticket,
 )
@@ -32,7 +32,7 @@
     OrderReply,
     order_digest,
 )
-from cloverrouter.control.updates import decoded, decoded_update
+from cloverrouter.control.updates import decode_message, decode_update
 from cloverrouter.coordination.effects import Answer, Committed, Effect, StateMachine
 from cloverrouter.daemon.head_desk import HeadDesk
 from cloverrouter.messages import encode
@@ -50,7 +50,7 @@
     """A ledger that identifies orders by their digests."""
 
     def order_of(self, update: bytes) -> str:
-        return decoded_update(update).digest.hex()
+        return decode_update(update).digest.hex()
 
     def orders_of(self, state: bytes) -> dict[str, int]:
         """Returns nothing: a snapshot has only the newest digests, so they are not compared."""
@@ -103,33 +103,33 @@
         """Forwards an operator's order. `done` gets the reply, or None if there is no answer."""
 
         def on_reply(reply: bytes | None) -> None:
-            done(None if reply is None else decoded(reply, OrderReply))
+            done(None if reply is None else decode_message(reply, OrderReply))
 
-        self._ask(Kind.ORDER, encode(order), on_reply)
+        self._ask(CallKind.ORDER, encode(order), on_reply)
 
     def read(self, done: Callable[[dict[str, Any] | None], None]) -> None:
         """Reads the configuration. `done` gets the document, or None if there is no answer."""
 
         def on_reply(data: bytes | None) -> None:
             done(
-                None if data is None else json.loads(decoded(data, MachineSnapshot).document or b"{}"),
+                None if data is None else json.loads(decode_message(data, MachineSnapshot).document or b"{}"),
             )
 
-        self._ask(Kind.READ, b"", on_reply)
+        self._ask(CallKind.READ, b"", on_reply)
 
-    def _ask(self, kind: Kind, command: bytes, done: Callable[[bytes | None], None]) -> None:
+    def _ask(self, kind: CallKind, command: bytes, done: Callable[[bytes | None], None]) -> None:
         if not self.runs:
             return
         ticket = next(self._tickets)
         self._calls[ticket] = Call(done)
-        self._carry_out(self._forwarder.ask(self.world.now, ticket, kind, command))
+        self._carry_out(self._forwarder.submit(self.world.now, ticket, kind, command))
 
     def answered(self, answer: HeadAnswer) -> None:
         """Handles an answer of the head."""
         if self.runs:
-            self._carry_out(self._forwarder.answered(self.world.now, answer))
+            self._carry_out(self._forwarder.handle_answer(self.world.now, answer))
 
-    def view_told(self, epoch: int, active: bool, head_ip: str | None) -> None:
+    def receive_view(self, epoch: int, active: bool, head_ip: str | None) -> None:
         """Handles a view notice from a replica. Older views are ignored."""
         if self.runs and (epoch, active) >= self._view:
             self._view = (epoch, active)
@@ -213,7 +213,7 @@
     def _send_view(self, node: Node, proxy: Proxy, epoch: int, active: bool, head_ip: str | None) -> None:
         def deliver() -> None:
             if (node.ip, proxy.ip) not in self.cuts:
-                proxy.view_told(epoch, active, head_ip)
+                proxy.receive_view(epoch, active, head_ip)
 
         self.at(self.now + self.random.uniform(0.0008, 0.0015), deliver)
 
@@ -221,7 +221,7 @@
 
     def _on_committed(self, node: Node, effect: Committed) -> None:
         super()._on_committed(node, effect)
-        update = decoded_update(effect.update)
+        update = decode_update(effect.update)
         digest, known = update.digest.hex(), self.versions.get(update.digest.hex())
         if known not in (None, update.version):
             raise Violation(f"one order led to two versions, {known} and {update.version}")
--- a/tests/system/router_world.py
+++ b/tests/system/router_world.py
@@ -277,7 +277,7 @@
         "prefix": f"/{name}/",
         "kind": "non_idempotent",
         "timeout_ms": 2000,
-        "aim_ms": 200,
+        "target_latency_ms": 200,
         "priority": 1,
         "targets": (("desk", 1),),
         "attempts": 1,
--- a/tests/system/test_configuration_orders.py
+++ b/tests/system/test_configuration_orders.py
@@ -10,13 +10,13 @@
 
 from cloverrouter.control.errors import UpdateOutOfOrder
 from cloverrouter.control.orders import (
-    MAX_TAKEN_ORDERS,
+    MAX_REMEMBERED_ORDERS,
     ConfigurationMachine,
     Order,
     OrderReply,
-    state_of_snapshot,
+    read_snapshot,
 )
-from cloverrouter.control.updates import applied_frame, decoded, whole
+from cloverrouter.control.updates import apply_frame, decode_message, full_update
 from cloverrouter.coordination.effects import StateMachine
 from cloverrouter.messages.codec import encode
 
@@ -90,10 +90,10 @@
 
 def test_the_oldest_digests_go() -> None:
     machine = ConfigurationMachine()
-    machine._taken = {index.to_bytes(16): index for index in range(MAX_TAKEN_ORDERS)}
+    machine._accepted = {index.to_bytes(16): index for index in range(MAX_REMEMBERED_ORDERS)}
     send(machine, "PUT", "0", document(5))
-    assert len(machine._taken) == MAX_TAKEN_ORDERS
-    assert (0).to_bytes(16) not in machine._taken
+    assert len(machine._accepted) == MAX_REMEMBERED_ORDERS
+    assert (0).to_bytes(16) not in machine._accepted
 
 
 def test_an_order_that_may_be_forgotten_is_not_refused() -> None:
@@ -101,11 +101,11 @@
     machine = ConfigurationMachine()
     newest = 9000
     assert send(machine, "PUT", "0", document(newest)).status == 200
-    machine._taken = {index.to_bytes(16): 2 + index for index in range(MAX_TAKEN_ORDERS)}
+    machine._accepted = {index.to_bytes(16): 2 + index for index in range(MAX_REMEMBERED_ORDERS)}
     machine.restore(machine.snapshot())
     for version in range(newest + 1, newest + 4):
         assert send(machine, "PUT", str(machine.version), document(version)).status == 200
-    assert min(machine._taken.values()) == 5
+    assert min(machine._accepted.values()) == 5
     assert send(machine, "PUT", "2", document(9)).status == 503
     assert send(machine, "PUT", "4", document(9)).status == 503
     assert send(machine, "PUT", "5", document(9)).status == 412
@@ -117,7 +117,7 @@
     for command in (b"", b"spoilt", encode(Order("PUT", "5", b""))[:-1], machine.snapshot()):
         decision = machine.decide(command)
         assert decision.update is None
-        assert decoded(decision.reply, OrderReply).status == 400
+        assert decode_message(decision.reply, OrderReply).status == 400
 
 
 def changed(**changes: Any) -> dict[str, Any]:
@@ -372,13 +372,13 @@
 def test_a_follower_and_a_proxy_come_to_the_same_state(machine: ConfigurationMachine) -> None:
     follower = ConfigurationMachine()
     follower.restore(machine.snapshot())
-    proxy = applied_frame(ConfigurationMachine().state, whole(machine.state))
+    proxy = apply_frame(ConfigurationMachine().state, full_update(machine.state))
     order = Order("PATCH", "5", json.dumps(patch(upsert={"route-table": [route("new")]})).encode())
     update = machine.decide(encode(order)).update
     assert update is not None
     for replica in (machine, follower):
         replica.apply(update)
-    proxy = applied_frame(proxy, update)
+    proxy = apply_frame(proxy, update)
     assert machine.snapshot() == follower.snapshot()
     assert proxy.configuration() == machine.state.configuration()
     assert proxy.json() == machine.state.json()
@@ -390,7 +390,7 @@
     update = machine.decide(encode(Order("PATCH", "5", b'{"version": 7}'))).update
     assert update is not None
     with pytest.raises(UpdateOutOfOrder):
-        applied_frame(ConfigurationMachine().state, update)
+        apply_frame(ConfigurationMachine().state, update)
     machine.apply(update)
     with pytest.raises(UpdateOutOfOrder):
         machine.apply(update)
@@ -399,13 +399,13 @@
 def test_the_state_of_a_snapshot_shares_what_is_the_same(machine: ConfigurationMachine) -> None:
     before = machine.state
     assert send(machine, "PATCH", "5", patch(upsert={"route-table": [route("r0", priority=3)]})).status == 200
-    after = state_of_snapshot(machine.snapshot(), before)
+    after = read_snapshot(machine.snapshot(), before)
     assert after.configuration() == machine.state.configuration()
     assert after.routes["r1"] is before.routes["r1"]
 
 
 def test_a_snapshot_of_nothing() -> None:
-    assert state_of_snapshot(b"").version == state_of_snapshot(ConfigurationMachine().snapshot()).version == 0
+    assert read_snapshot(b"").version == read_snapshot(ConfigurationMachine().snapshot()).version == 0
     machine = ConfigurationMachine()
     machine.restore(ConfigurationMachine().snapshot())
     machine.restore(b"")
--- a/tests/system/test_configuration_patch.py
+++ b/tests/system/test_configuration_patch.py
@@ -15,7 +15,7 @@
 from cloverrouter.control.errors import ConfigurationInvalid
 from cloverrouter.control.orders import ConfigurationMachine
 from cloverrouter.control.review import review_document, review_patch
-from cloverrouter.control.updates import applied_frame, whole
+from cloverrouter.control.updates import apply_frame, full_update
 
 from .configurations import document, route, send, service, split, tenant
 
@@ -111,7 +111,7 @@
     machine = ConfigurationMachine()
     content = document(1, **{"route-table": [], "tenants": [], "backends": [service(name) for name in NAMES]})
     assert send(machine, "PUT", "0", content).status == 200
-    proxy = applied_frame(ConfigurationState(), whole(machine.state))
+    proxy = apply_frame(ConfigurationState(), full_update(machine.state))
     for version, change in enumerate(changes, 2):
         patch = {"version": version, **change}
         if contradicts(patch):
--- a/tests/system/test_configuration_routing.py
+++ b/tests/system/test_configuration_routing.py
@@ -6,7 +6,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from cloverrouter.control.configuration import Configuration, normal_host, route_from, tenant_from
+from cloverrouter.control.configuration import Configuration, normalize_host, route_from, tenant_from
 from cloverrouter.control.routing import RoutingTable
 
 from .configurations import route, tenant
@@ -77,7 +77,7 @@
     ],
 )
 def test_normal_hosts(host: str, normal: str) -> None:
-    assert normal_host(host) == normal
+    assert normalize_host(host) == normal
 
 
 segments = st.lists(st.sampled_from(["a", "b", ""]), max_size=4)
--- a/tests/system/test_control_api.py
+++ b/tests/system/test_control_api.py
@@ -10,10 +10,10 @@
 import attrs
 import pytest
 
-from cloverrouter.control.api import MAX_BODY_BYTES, MAX_ORDERS_UNDER_WAY, Answer, ControlApi, RegisterReply
+from cloverrouter.control.api import MAX_BODY_BYTES, MAX_CONCURRENT_ORDERS, Answer, ControlApi, RegisterReply
 from cloverrouter.control.errors import Redirected, Unavailable
 from cloverrouter.control.instances import Instance, InstanceState
-from cloverrouter.control.metrics import Figure
+from cloverrouter.control.metrics import Metric
 from cloverrouter.control.orders import ConfigurationMachine, OrderReply
 from cloverrouter.control.registration import instance_from, is_clearly_valid, read_registration
 from cloverrouter.control.registry_messages import ModelOnServer
@@ -111,9 +111,9 @@
     def trace(self, request_id: str) -> dict[str, Any] | None:
         return {"id": request_id} if request_id == "known" else None
 
-    def figures(self) -> Iterable[Figure]:
-        yield Figure.single("up", "gauge", "whether", 1)
-        yield Figure("taken", "counter", "orders\nby kind", (({"kind": 'a"b'}, 2.5), ({"kind": "c"}, 3)))
+    def metrics(self) -> Iterable[Metric]:
+        yield Metric.single("up", "gauge", "whether", 1)
+        yield Metric("taken", "counter", "orders\nby kind", (({"kind": 'a"b'}, 2.5), ({"kind": "c"}, 3)))
 
 
 def ask(
@@ -211,7 +211,7 @@
         backend = Backend()
         backend.gate.clear()
         api = ControlApi(backend)
-        exchanges = [Exchange(put(document(3))) for _ in range(MAX_ORDERS_UNDER_WAY)]
+        exchanges = [Exchange(put(document(3))) for _ in range(MAX_CONCURRENT_ORDERS)]
         for exchange in exchanges:
             api.handle(exchange)
         await asyncio.sleep(0)
--- a/tests/system/test_head_desk.py
+++ b/tests/system/test_head_desk.py
@@ -6,7 +6,7 @@
 from random import Random
 from typing import Any, cast
 
-from cloverrouter.control.forwarding import Finished, HeadAnswer, HeadCall, Kind, first_ticket
+from cloverrouter.control.forwarding import CallKind, Finished, HeadAnswer, HeadCall, first_ticket
 from cloverrouter.control.orders import OrderReply
 from cloverrouter.coordination.effects import Answer, Effect, Outcome
 from cloverrouter.coordination.replica import Replica
@@ -39,7 +39,7 @@
         self._desk = desk
         self.tickets: list[int] = []
 
-    def ask_head(self, ticket: int, kind: Kind, command: bytes) -> None:
+    def ask_head(self, ticket: int, kind: CallKind, command: bytes) -> None:
         self.tickets.append(ticket)
         self._desk.called(0.0, PROXY, HeadCall(ticket, kind.value, command))
 
@@ -80,7 +80,7 @@
     replica = HoldingReplica()
     sent: list[Any] = []
     desk = HeadDesk(cast(Replica, replica), lambda ip, message: sent.append((ip, message)))
-    call = HeadCall(first_ticket(Random(3)), Kind.ORDER.value, b"order")
+    call = HeadCall(first_ticket(Random(3)), CallKind.ORDER.value, b"order")
     desk.called(0.0, PROXY, call)
     desk.called(0.4, PROXY, call)
     assert len(replica.commands) == 1
@@ -94,7 +94,7 @@
     replica = HoldingReplica()
     sent: list[Any] = []
     desk = HeadDesk(cast(Replica, replica), lambda ip, message: sent.append(message))
-    call = HeadCall(first_ticket(Random(3)), Kind.ORDER.value, b"order on version 8")
+    call = HeadCall(first_ticket(Random(3)), CallKind.ORDER.value, b"order on version 8")
     desk.called(0.0, PROXY, call)
     (ticket,) = replica.commands
     desk.answered(Answer(ticket, Outcome.DONE, encode(OrderReply(412, b"", 7))))
@@ -106,8 +106,8 @@
 def test_an_unclear_answer_is_no_answer_and_reads_are_always_made_anew() -> None:
     replica = HoldingReplica()
     desk = HeadDesk(cast(Replica, replica), lambda ip, message: None)
-    order = HeadCall(first_ticket(Random(3)), Kind.ORDER.value, b"order")
-    read = HeadCall(order.ticket + 1, Kind.READ.value, b"")
+    order = HeadCall(first_ticket(Random(3)), CallKind.ORDER.value, b"order")
+    read = HeadCall(order.ticket + 1, CallKind.READ.value, b"")
     for call, outcome in ((order, Outcome.UNAVAILABLE), (read, Outcome.DONE)):
         before = len(replica.commands)
         desk.called(0.0, PROXY, call)
@@ -120,7 +120,7 @@
     replica = HoldingReplica()
     desk = HeadDesk(cast(Replica, replica), lambda ip, message: None)
     for number in range(4 * ANSWERS_KEPT):
-        desk.called(0.0, PROXY, HeadCall(number, Kind.ORDER.value, b"order"))
+        desk.called(0.0, PROXY, HeadCall(number, CallKind.ORDER.value, b"order"))
         desk.answered(Answer(max(replica.commands), Outcome.DONE, b"x" * 5))
     assert len(desk._answered) == ANSWERS_KEPT
     assert not desk._orders and not desk._under_way
@@ -129,5 +129,5 @@
 def test_tickets_of_many_lives_never_meet_and_fit_their_field() -> None:
     firsts = [first_ticket(Random(seed)) for seed in range(2000)]
     assert len({first >> 20 for first in firsts}) == len(firsts)
-    largest = HeadCall(max(firsts) + 2**20 - 1, Kind.READ.value, b"")
+    largest = HeadCall(max(firsts) + 2**20 - 1, CallKind.READ.value, b"")
     assert list(Decoder().feed(encode(largest))) == [largest]
--- a/tests/system/test_long_orders.py
+++ b/tests/system/test_long_orders.py
@@ -16,9 +16,9 @@
 
 from cloverrouter.control import orders
 from cloverrouter.control.document import compact
-from cloverrouter.control.forwarding import HeadAnswer, HeadCall, Kind
+from cloverrouter.control.forwarding import CallKind, HeadAnswer, HeadCall
 from cloverrouter.control.orders import ConfigurationMachine, Order, OrderReply
-from cloverrouter.control.updates import decoded
+from cloverrouter.control.updates import decode_message
 from cloverrouter.coordination.views import GENESIS_EPOCH, Member, View, encode_view
 from cloverrouter.daemon.replica_role import REVIEWED_APART_BYTES, ReplicaRole, RolePorts
 from cloverrouter.messages import encode
@@ -50,7 +50,7 @@
     order = command(5, 7, **changes)
     reviewed, plain = machine.prepare(order), machine.decide(order)
     assert reviewed is not None and (reviewed.reply, reviewed.update) == (plain.reply, plain.update)
-    machine.expect(reviewed)
+    machine.provide_review(reviewed)
     with patch.object(orders, "review", side_effect=AssertionError("reviewed twice")):
         assert machine.decide(order) == plain
     assert machine.version == 5
@@ -61,15 +61,15 @@
     reviewed = machine.prepare(order)
     assert reviewed is not None
     assert send(machine, "PUT", "5", document(6)).status == 200
-    machine.expect(reviewed)
-    assert decoded(machine.decide(order).reply, OrderReply).status == 412
+    machine.provide_review(reviewed)
+    assert decode_message(machine.decide(order).reply, OrderReply).status == 412
 
 
 def test_what_was_prepared_is_of_that_order_only(machine: ConfigurationMachine) -> None:
     reviewed = machine.prepare(command(5, 7))
     assert reviewed is not None
-    machine.expect(reviewed)
-    assert decoded(machine.decide(command(5, 9)).reply, OrderReply).version == 9
+    machine.provide_review(reviewed)
+    assert decode_message(machine.decide(command(5, 9)).reply, OrderReply).version == 9
 
 
 def test_nothing_is_prepared_for_what_needs_no_review(machine: ConfigurationMachine) -> None:
@@ -154,12 +154,12 @@
         long, short = command(0, 5), command(5, 7, 2)
         assert len(long) >= REVIEWED_APART_BYTES > len(short)
         for ticket in (1, 1, 2):
-            chain.role.called(loop.time(), PROXY, HeadCall(ticket, Kind.ORDER.value, long))
+            chain.role.called(loop.time(), PROXY, HeadCall(ticket, CallKind.ORDER.value, long))
         await chain.until(lambda: len(chain.answers()) == 2)
-        chain.role.called(loop.time(), PROXY, HeadCall(3, Kind.ORDER.value, short))
+        chain.role.called(loop.time(), PROXY, HeadCall(3, CallKind.ORDER.value, short))
         await chain.until(lambda: len(chain.answers()) == 3)
         chain.role.close()
-        replies = [decoded(answer.reply, OrderReply) for answer in chain.answers()]
+        replies = [decode_message(answer.reply, OrderReply) for answer in chain.answers()]
         assert [(reply.status, reply.version) for reply in replies] == [(200, 5), (200, 5), (200, 7)]
 
     asyncio.run(run())
--- a/tests/system/test_mechanisms.py
+++ b/tests/system/test_mechanisms.py
@@ -119,7 +119,7 @@
 
     def restore_without_digests(self: ConfigurationMachine, snapshot: bytes) -> None:
         original(self, snapshot)
-        self._taken = {}
+        self._accepted = {}
 
     with patch.object(ConfigurationMachine, "restore", restore_without_digests):
         yield
--- a/tests/system/test_plain_rules.py
+++ b/tests/system/test_plain_rules.py
@@ -9,7 +9,7 @@
 from hypothesis import strategies as st
 
 from cloverrouter.control.checks import Findings, check_fields
-from cloverrouter.control.schemas import SCHEMAS, is_plainly_sound, validator
+from cloverrouter.control.schemas import SCHEMAS, passes_plain_rules, validator
 
 VALUES = st.one_of(
     st.none(),
@@ -30,7 +30,7 @@
 @given(value=VALUES)
 def test_a_value_that_is_plainly_sound_is_sound(schema: str, field: str, value: Any) -> None:
     rules = validator(schema)
-    if is_plainly_sound(rules.schema[field], value):
+    if passes_plain_rules(rules.schema[field], value):
         is_valid = rules.validate({field: value}, normalize=False, update=True)
         assert is_valid, (field, value, rules.errors)
 
