--- a/cloverrouter/router/request_admission.py
+++ b/cloverrouter/router/request_admission.py
@@ -105,7 +105,9 @@
         if stated_ms is None or not self._options.late_last or request.header(LAST_EVENT_ID) is not None:
             return rank
         history = self.deadlines.setdefault(route.name, StatedDeadlines())
-        return LOWEST_RANK if history.spent_ms(stated_ms, route.timeout_ms) > route.aim_ms else rank
+        return (
+            LOWEST_RANK if history.spent_ms(stated_ms, route.timeout_ms) > route.target_latency_ms else rank
+        )
 
     def _service(self, route: Route, prompt: Prompt) -> str:
         """Returns one of the route's services, drawn by weight. Requests with the same affinity get the
--- a/tests/system/test_long_orders.py
+++ b/tests/system/test_long_orders.py
@@ -1,4 +1,4 @@
-"""Long orders are reviewed apart from the loop, and decided as if they had not been."""
+"""Long orders are reviewed in a thread apart from the event loop, with the same result as in the loop."""
 
 from __future__ import annotations
 
@@ -16,9 +16,9 @@
 
 from cloverrouter.control import orders
 from cloverrouter.control.document import compact
-from cloverrouter.control.forwarding import HeadAnswer, HeadCall, Kind
+from cloverrouter.control.forwarding import CallKind, HeadAnswer, HeadCall
 from cloverrouter.control.orders import ConfigurationMachine, Order, OrderReply
-from cloverrouter.control.updates import decoded
+from cloverrouter.control.updates import decode_message
 from cloverrouter.coordination.views import GENESIS_EPOCH, Member, View, encode_view
 from cloverrouter.daemon.replica_role import REVIEWED_APART_BYTES, ReplicaRole, RolePorts
 from cloverrouter.messages import encode
@@ -50,7 +50,7 @@
     order = command(5, 7, **changes)
     reviewed, plain = machine.prepare(order), machine.decide(order)
     assert reviewed is not None and (reviewed.reply, reviewed.update) == (plain.reply, plain.update)
-    machine.expect(reviewed)
+    machine.provide_review(reviewed)
     with patch.object(orders, "review", side_effect=AssertionError("reviewed twice")):
         assert machine.decide(order) == plain
     assert machine.version == 5
@@ -61,15 +61,15 @@
     reviewed = machine.prepare(order)
     assert reviewed is not None
     assert send(machine, "PUT", "5", document(6)).status == 200
-    machine.expect(reviewed)
-    assert decoded(machine.decide(order).reply, OrderReply).status == 412
+    machine.provide_review(reviewed)
+    assert decode_message(machine.decide(order).reply, OrderReply).status == 412
 
 
 def test_what_was_prepared_is_of_that_order_only(machine: ConfigurationMachine) -> None:
     reviewed = machine.prepare(command(5, 7))
     assert reviewed is not None
-    machine.expect(reviewed)
-    assert decoded(machine.decide(command(5, 9)).reply, OrderReply).version == 9
+    machine.provide_review(reviewed)
+    assert decode_message(machine.decide(command(5, 9)).reply, OrderReply).version == 9
 
 
 def test_nothing_is_prepared_for_what_needs_no_review(machine: ConfigurationMachine) -> None:
@@ -80,22 +80,22 @@
 
 
 def test_threads_do_not_share_what_they_check(machine: ConfigurationMachine) -> None:
-    """One reviews a sound order while the other refuses faulty ones."""
-    sound, found = command(5, 7, 2000), []
-    thread = threading.Thread(target=lambda: found.append(machine.prepare(sound)))
+    """One thread reviews a valid order while the other refuses invalid ones."""
+    valid, found = command(5, 7, 2000), []
+    thread = threading.Thread(target=lambda: found.append(machine.prepare(valid)))
     thread.start()
-    faulty = document(7, 30)
-    faulty["route-table"][11]["timeout-ms"] = "x"
+    invalid = document(7, 30)
+    invalid["route-table"][11]["timeout-ms"] = "x"
     refused = 0
     while thread.is_alive() or not refused:
-        assert send(machine, "PUT", "5", faulty).status == 400
+        assert send(machine, "PUT", "5", invalid).status == 400
         refused += 1
     assert found[0] is not None and found[0].update is not None
 
 
 @attrs.define
 class Chain:
-    """A chain of one replica in this loop."""
+    """A chain of one replica in this event loop."""
 
     role: ReplicaRole
     sent: list[tuple[str, object]]
@@ -132,15 +132,15 @@
 
 @pytest.fixture
 def reviewers() -> Iterator[list[str]]:
-    """The names of the threads that reviewed."""
+    """Records the names of the threads that review orders."""
     names: list[str] = []
     original = orders.review
 
-    def noted(*arguments: Any) -> Any:
+    def recording_review(*arguments: Any) -> Any:
         names.append(threading.current_thread().name)
         return original(*arguments)
 
-    with patch.object(orders, "review", noted):
+    with patch.object(orders, "review", recording_review):
         yield names
 
 
@@ -152,12 +152,12 @@
         long, short = command(0, 5), command(5, 7, 2)
         assert len(long) >= REVIEWED_APART_BYTES > len(short)
         for ticket in (1, 1, 2):
-            chain.role.called(loop.time(), PROXY, HeadCall(ticket, Kind.ORDER.value, long))
+            chain.role.called(loop.time(), PROXY, HeadCall(ticket, CallKind.ORDER.value, long))
         await chain.until(lambda: len(chain.answers()) == 2)
-        chain.role.called(loop.time(), PROXY, HeadCall(3, Kind.ORDER.value, short))
+        chain.role.called(loop.time(), PROXY, HeadCall(3, CallKind.ORDER.value, short))
         await chain.until(lambda: len(chain.answers()) == 3)
         chain.role.close()
-        replies = [decoded(answer.reply, OrderReply) for answer in chain.answers()]
+        replies = [decode_message(answer.reply, OrderReply) for answer in chain.answers()]
         assert [(reply.status, reply.version) for reply in replies] == [(200, 5), (200, 5), (200, 7)]
 
     asyncio.run(run())
