--- a/cloverrouter/http/answer.py
+++ b/cloverrouter/http/answer.py
@@ -128,7 +128,7 @@
         """Records the connection that the call is sent on."""
         self._connection = connection
 
-    def refresh(self) -> bool:
+    def refresh_message(self) -> bool:
         """Updates the message for a newly opened connection; False if it must not be sent any more."""
         if self.renewed is None:
             return True
--- a/cloverrouter/http/client.py
+++ b/cloverrouter/http/client.py
@@ -213,7 +213,7 @@
             # would have to count as possibly executed.
             connection.abort()
             call.fail(Failure.CONNECT_FAILED)
-        elif call.done or not call.refresh():
+        elif call.done or not call.refresh_message():
             self.put(connection)
             call.fail(Failure.NOT_SENT)
         else:
--- a/cloverrouter/http/connection.py
+++ b/cloverrouter/http/connection.py
@@ -38,8 +38,8 @@
 class Host(Protocol):
     """The server that a connection belongs to.
 
-    `buffer` is the read buffer shared by all connections, `held_bytes` the total size of incomplete request
-    bodies, and `deaf` the connections whose reading is paused.
+    `buffer` is the read buffer shared by all connections, `held_bytes` the size of all incomplete
+    request bodies, and `deaf` the connections whose reading is paused.
     """
 
     loop: asyncio.AbstractEventLoop
@@ -318,8 +318,8 @@
         """
         server = self._server
         server.held_bytes += size - self._incomplete_bytes
-        is_growing, self._incomplete_bytes = size > self._incomplete_bytes, size
-        if is_growing and server.held_bytes > server.limits.held_bytes and self._reader is not None:
+        grows, self._incomplete_bytes = size > self._incomplete_bytes, size
+        if grows and server.held_bytes > server.limits.held_bytes and self._reader is not None:
             self._reader.error = self._reader.error or 503
 
     def _disconnect(self) -> None:
