--- a/cloverrouter/http/exchange.py
+++ b/cloverrouter/http/exchange.py
@@ -86,9 +86,7 @@
 
     def __init__(self, request: Request, connection: ResponseChannel) -> None:
         self.request = request
-        self.on_gone: Callable[[], None] | None = (
-            None  # the client disconnected before the response was complete
-        )
+        self.on_gone: Callable[[], None] | None = None  # the client left before the response ended
         self.on_pause: Callable[[], None] | None = None  # the client reads too slowly: stop writing
         self.on_resume: Callable[[], None] | None = None  # writing may continue
         self._connection: ResponseChannel | None = connection
@@ -121,7 +119,7 @@
         return self._connection.peer if self._connection is not None else None
 
     def gone(self) -> bool:
-        """Whether the client has disconnected. Checks the socket, before the loop reports the event."""
+        """Whether the client has disconnected. Checks the socket itself, as the loop may report it later."""
         return self._connection is None or self._connection.hung_up()
 
     def respond(self, status: int, headers: Headers = [], body: bytes = b"", close: bool = False) -> None:  # noqa: B006
