--- a/benchmarks/http_relay.py
+++ b/benchmarks/http_relay.py
@@ -135,7 +135,7 @@
             lines.append(b"X-Id: %b\r\nContent-Length: %d\r\n\r\n" % (request_id, len(request.body)))
             message = b"\r\n".join(lines) + request.body
             self.call = pool.send(address, message, self, request_id, b"x-id")
-            exchange.on_gone = self.call.cancel
+            exchange.on_disconnect = self.call.cancel
             exchange.on_pause, exchange.on_resume = self.call.pause, self.call.resume
 
         def on_written(self) -> None:
--- a/cloverrouter/daemon/traffic.py
+++ b/cloverrouter/daemon/traffic.py
@@ -79,7 +79,7 @@
         self.trouble = FailureReporter(settings.zone)
         self.router.on_trouble = self._trouble_met
         self.rests = IdleResetReporter()
-        self._pool.on_forgotten = self._connection_forgotten
+        self._pool.on_idle_reset = self._connection_forgotten
         self.on_trouble: Callable[[], None] = _nothing
         """Called soon after servers have failed requests: `trouble` has something to tell."""
         self._trouble_told = False
@@ -155,7 +155,7 @@
     def warned(self, warning: TroubleWarning | RestWarning) -> None:
         """Several proxies found servers failing, or forgetting connections."""
         if isinstance(warning, RestWarning):
-            self._pool.rest_at_most(warning.limit_ms / 1000, warning.for_ms / 1000)
+            self._pool.limit_reuse(warning.limit_ms / 1000, warning.for_ms / 1000)
         elif warning.zone in ("", self._settings.zone):
             self.router.warned(warning.ids, warning.for_ms / 1000)
 
--- a/cloverrouter/fuzz/http_answers.py
+++ b/cloverrouter/fuzz/http_answers.py
@@ -12,7 +12,7 @@
 
 from cloverrouter.fuzz.mutation import mutate_bytes, pieces
 from cloverrouter.fuzz.target import expect
-from cloverrouter.http.answer import Call, Failure
+from cloverrouter.http.call import Call, Failure
 from cloverrouter.http.exchange import BODILESS, Exchange
 from cloverrouter.http.fields import Headers, end_to_end
 from cloverrouter.http.request import Request
@@ -122,7 +122,7 @@
         self.written = b""
         self.aborted = False
 
-    def ends_with(self, request: Request) -> bool:
+    def closes_after(self, request: Request) -> bool:
         return False
 
     def write_soon(self, data: bytes) -> None:
@@ -130,7 +130,7 @@
 
     def flush(self) -> None: ...
 
-    def answered(self, close: bool) -> None: ...
+    def response_written(self, close: bool) -> None: ...
 
     def abort(self) -> None:
         self.aborted = True
--- a/cloverrouter/fuzz/http_requests.py
+++ b/cloverrouter/fuzz/http_requests.py
@@ -67,7 +67,7 @@
     reader = RequestReader(limits, lambda: 0.0)
     for part in parts:
         reader.feed(memoryview(part))
-        if reader.error or reader.last:
+        if reader.error or reader.is_last:
             break
     reader.close()
     return list(reader.ready), reader.error
--- a/cloverrouter/http/acceptor.py
+++ b/cloverrouter/http/acceptor.py
@@ -8,7 +8,7 @@
 from abc import ABC, abstractmethod
 from contextlib import suppress
 
-from cloverrouter.http.fields import encode_answer
+from cloverrouter.http.fields import encode_response
 from cloverrouter.http.sockets import READ_BYTES, disable_nagle
 
 ACCEPT_BATCH = 16  # per turn of the loop, so that open connections are not starved
@@ -26,8 +26,8 @@
         self._adopting: set[asyncio.Task[object]] = set()
 
     @abstractmethod
-    def _take(self, sock: socket.socket) -> None:
-        """Adopts a newly accepted connection with `_adopt`, or rejects it with `_turn_away`."""
+    def _handle_accepted(self, sock: socket.socket) -> None:
+        """Adopts a newly accepted connection with `_adopt`, or rejects it with `_reject`."""
 
     @abstractmethod
     def _make_room(self) -> bool:
@@ -39,19 +39,19 @@
         assert self._listener is not None
         return self._listener
 
-    def accept_from(self, listener: socket.socket) -> None:
+    def start_accepting(self, listener: socket.socket) -> None:
         """Starts to accept connections from `listener`."""
         self._listener = listener
-        self.accept_again()
+        self.resume_accepting()
 
-    def accept_no_more(self) -> None:
+    def stop_accepting(self) -> None:
         """Stops accepting, so that another process can serve the accept queue. The listener stays open."""
         self._accepting = False
         if self._listener is not None:
             self.loop.remove_reader(self._listener)
 
-    def accept_again(self) -> None:
-        """Resumes accepting after `accept_no_more`."""
+    def resume_accepting(self) -> None:
+        """Resumes accepting after `stop_accepting`."""
         self._accepting = True
         if self._listener is not None:
             self.loop.add_reader(self._listener, self._accept, self._listener)
@@ -82,11 +82,11 @@
                 self.loop.call_later(ACCEPT_RETRY_S, self._resume)
                 return
             sock.setblocking(False)
-            self._take(sock)
+            self._handle_accepted(sock)
 
     def _resume(self) -> None:
         if self._accepting:
-            self.accept_again()
+            self.resume_accepting()
 
     def _adopt(self, connection: asyncio.BaseProtocol, sock: socket.socket) -> None:
         """Hands the accepted socket to the protocol object `connection`."""
@@ -103,7 +103,7 @@
             sock.close()
 
     @staticmethod
-    def _turn_away(sock: socket.socket) -> None:
+    def _reject(sock: socket.socket) -> None:
         """Rejects a connection with 503, since leaving it in the accept queue would keep its client waiting.
 
         The response tells the client that nothing was executed. Bytes already received are read first:
@@ -112,4 +112,4 @@
         with sock, suppress(OSError):
             with suppress(BlockingIOError):
                 sock.recv(READ_BYTES)
-            sock.send(encode_answer(503, b"", b"", True))
+            sock.send(encode_response(503, b"", b"", True))
--- a/cloverrouter/http/answer.py
+++ b/cloverrouter/http/call.py
@@ -18,7 +18,7 @@
     SPOILT = "spoilt"  # invalid HTTP, or a response to another request; the request may have been executed
 
 
-class Listener(Protocol):
+class CallListener(Protocol):
     """Receives the events of a call.
 
     Exactly one of `on_end` and `on_failure` is called, once and as the last event. After `Call.cancel`
@@ -77,22 +77,22 @@
     `expected_id` and `id_header` identify the response, see `ConnectionPool.send`.
     """
 
-    __slots__ = ("_connection", "_pool", "done", "expected_id", "id_header", "listener", "message", "renewed",
+    __slots__ = ("_connection", "_pool", "done", "expected_id", "id_header", "listener", "message", "refresh",
                  "reused", "written")  # fmt: skip
 
     def __init__(
         self,
         message: bytes,
-        listener: Listener,
+        listener: CallListener,
         expected_id: bytes,
         id_header: bytes,
-        renewed: Callable[[], bytes | None] | None = None,
+        refresh: Callable[[], bytes | None] | None = None,
     ) -> None:
         self.message = message
         self.listener = listener
         self.expected_id = expected_id
         self.id_header = id_header
-        self.renewed = renewed
+        self.refresh = refresh
         self.written = False  # the last byte was handed to the kernel
         self.reused = False  # sent on a connection that had served an earlier call
         self.done = False
@@ -130,9 +130,9 @@
 
     def refresh_message(self) -> bool:
         """Updates the message for a newly opened connection; False if it must not be sent any more."""
-        if self.renewed is None:
+        if self.refresh is None:
             return True
-        message = self.renewed()
+        message = self.refresh()
         if message is not None:
             self.message = message
         return message is not None
--- a/cloverrouter/http/client.py
+++ b/cloverrouter/http/client.py
@@ -11,14 +11,14 @@
 from collections.abc import Callable
 from typing import cast
 
-from cloverrouter.http.answer import Call, Failure, Listener
+from cloverrouter.http.call import Call, CallListener, Failure
 from cloverrouter.http.fields import Headers
 from cloverrouter.http.idle import IdlePool, close_longest_idle
-from cloverrouter.http.rest import IMMEDIATE_RESET_S, ReuseLimits
+from cloverrouter.http.reuse import IMMEDIATE_RESET_S, ReuseLimits
 from cloverrouter.http.sockets import READ_BYTES, open_socket, set_user_timeout
 from cloverrouter.http.upstream import AddressPool, UpstreamConnection
 
-__all__ = ["Address", "Call", "ConnectionPool", "Failure", "Headers", "Listener"]
+__all__ = ["Address", "Call", "CallListener", "ConnectionPool", "Failure", "Headers"]
 
 Address = tuple[str, int]
 SWEEP_INTERVAL_S = 0.5  # between two checks for expired idle connections
@@ -64,7 +64,7 @@
         self._opening: set[asyncio.Task[None]] = set()
         self._pools: dict[Address, ServerPool] = {}
         self._reuse_limits: ReuseLimits[Address] = ReuseLimits()
-        self.on_forgotten: Callable[[float], None] = lambda idle_s: None
+        self.on_idle_reset: Callable[[float], None] = lambda idle_s: None
         """Called when a reused connection was reset at once, with the seconds that it had been idle."""
         self._sweeper = self.loop.call_later(SWEEP_INTERVAL_S, self._sweep)
 
@@ -72,19 +72,19 @@
         self,
         address: Address,
         message: bytes,
-        listener: Listener,
+        listener: CallListener,
         expected_id: bytes = b"",
         id_header: bytes = b"",
-        renewed: Callable[[], bytes | None] | None = None,
+        refresh: Callable[[], bytes | None] | None = None,
     ) -> Call:
         """Starts a call. Of the listener's methods only `on_written` can be called before this returns.
 
         With `expected_id`, a response whose header `id_header` has another value, or none, fails the call
-        with `SPOILT`. `renewed` is called when a newly opened connection is established, before the first
+        with `SPOILT`. `refresh` is called when a newly opened connection is established, before the first
         byte is sent. It returns the current message; if it returns None, nothing is sent and the call fails
         with `NOT_SENT`.
         """
-        call = Call(message, listener, expected_id, id_header, renewed)
+        call = Call(message, listener, expected_id, id_header, refresh)
         pool = self._pools.get(address)
         if pool is None:
             pool = self._pools[address] = ServerPool(address)
@@ -160,9 +160,9 @@
         idle_s = sent_s - connection.idle_since
         if now_s - sent_s < IMMEDIATE_RESET_S:
             self._reuse_limits.record_reset(connection.pool.address, idle_s, now_s)
-            self.on_forgotten(idle_s)
+            self.on_idle_reset(idle_s)
 
-    def rest_at_most(self, limit_s: float, for_s: float) -> None:
+    def limit_reuse(self, limit_s: float, for_s: float) -> None:
         """Limits the idle time of reused connections to `limit_s` for `for_s`, as found by other nodes."""
         self._reuse_limits.apply_shared_limit(limit_s, for_s, self.loop.time())
 
@@ -177,7 +177,7 @@
             return
         now_s = self.loop.time()
         connection.expires_s = now_s + connection.max_idle_s
-        connection.pool.rest(connection, now_s)
+        connection.pool.add_idle(connection, now_s)
 
     async def _connect(self, pool: ServerPool, call: Call) -> None:
         """Opens a connection and sends the call on it.
--- a/cloverrouter/http/connection.py
+++ b/cloverrouter/http/connection.py
@@ -11,7 +11,7 @@
 from typing import Any, Protocol, cast
 
 from cloverrouter.http.exchange import Exchange
-from cloverrouter.http.fields import encode_answer
+from cloverrouter.http.fields import encode_response
 from cloverrouter.http.request import Request, RequestReader, ServerLimits
 from cloverrouter.http.sockets import hung_up, reset_at_close, unread
 
@@ -31,22 +31,22 @@
     HEAD = 2  # a request head is partly received
     BODY = 3  # the head is received, the body is not complete
     BUSY = 4  # a request is being handled
-    STUCK = 5  # the client does not read its response, so writing is paused
+    WRITE_BLOCKED = 5  # the client does not read its response, so writing is paused
     LINGERING = 6  # the last response is written; further input is read and discarded
 
 
 class Host(Protocol):
     """The server that a connection belongs to.
 
-    `buffer` is the read buffer shared by all connections, `held_bytes` the size of all incomplete
-    request bodies, and `deaf` the connections whose reading is paused.
+    `buffer` is the read buffer shared by all connections, `incomplete_bytes` the size of all incomplete
+    request bodies, and `reading_paused` the connections whose reading is paused.
     """
 
     loop: asyncio.AbstractEventLoop
     buffer: memoryview
     limits: ServerLimits
-    held_bytes: int
-    deaf: set[ServerConnection]
+    incomplete_bytes: int
+    reading_paused: set[ServerConnection]
 
     @property
     def closes_after_response(self) -> bool:
@@ -124,7 +124,7 @@
         """Whether the client has closed or reset the connection."""
         return self._transport is None or self.stage is Stage.LINGERING or hung_up(self._sock)
 
-    def ends_with(self, request: Request) -> bool:
+    def closes_after(self, request: Request) -> bool:
         """Whether the connection closes after the response to `request`.
 
         During a drain, pipelined requests that have already arrived are still served: the connection closes
@@ -155,7 +155,7 @@
             self._pending = []
             self._transport.write(b"".join(pending))
 
-    def answered(self, close: bool) -> None:
+    def response_written(self, close: bool) -> None:
         """Called when the last byte of a response has been written."""
         self._exchange = None
         if self._transport is None:
@@ -225,13 +225,13 @@
     def pause_writing(self) -> None:
         self.paused = True
         if self.stage is Stage.BUSY:
-            self._set_stage(Stage.STUCK)
+            self._set_stage(Stage.WRITE_BLOCKED)
         if self._exchange is not None and self._exchange.on_pause is not None:
             self._exchange.on_pause()
 
     def resume_writing(self) -> None:
         self.paused = False
-        if self.stage is Stage.STUCK:
+        if self.stage is Stage.WRITE_BLOCKED:
             self._set_stage(Stage.BUSY)
         if self._exchange is not None and self._exchange.on_resume is not None:
             self._exchange.on_resume()
@@ -272,7 +272,7 @@
         """Sets the stage when no request is in progress, from what has arrived of the next one."""
         reader = self._reader
         if self.paused:
-            self._set_stage(Stage.STUCK)
+            self._set_stage(Stage.WRITE_BLOCKED)
         elif reader is None or not reader.begun:
             self._set_stage(Stage.IDLE)
         elif reader.in_head:
@@ -296,11 +296,11 @@
         if not self._reading_paused and self._transport is not None:
             self._reading_paused = True
             self._transport.pause_reading()
-            self._server.deaf.add(self)
+            self._server.reading_paused.add(self)
 
     def _resume_reading(self) -> None:
         self._reading_paused = False
-        self._server.deaf.discard(self)
+        self._server.reading_paused.discard(self)
         if self._transport is not None and not self._transport.is_closing():
             self._transport.resume_reading()
 
@@ -317,9 +317,9 @@
         Many large incomplete bodies at once could otherwise exhaust memory.
         """
         server = self._server
-        server.held_bytes += size - self._incomplete_bytes
+        server.incomplete_bytes += size - self._incomplete_bytes
         grows, self._incomplete_bytes = size > self._incomplete_bytes, size
-        if grows and server.held_bytes > server.limits.held_bytes and self._reader is not None:
+        if grows and server.incomplete_bytes > server.limits.incomplete_bytes and self._reader is not None:
             self._reader.error = self._reader.error or 503
 
     def _disconnect(self) -> None:
@@ -346,7 +346,7 @@
         if exchange is not None and exchange.begun:
             self.abort()
         else:
-            self._transport.write(encode_answer(status, b"", b"", True))
+            self._transport.write(encode_response(status, b"", b"", True))
             self._close_gracefully()
         if exchange is not None:
             exchange.disconnect()
--- a/cloverrouter/http/exchange.py
+++ b/cloverrouter/http/exchange.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 from typing import Any, Protocol
 
-from cloverrouter.http.fields import CLOSE, Headers, encode_answer, encode_fields, status_line
+from cloverrouter.http.fields import CLOSE, Headers, encode_fields, encode_response, status_line
 from cloverrouter.http.request import Request
 
 KEEP_ALIVE = b"Connection: keep-alive\r\n"  # HTTP/1.0 connections close unless the server sends this
@@ -38,7 +38,7 @@
         """Whether the client has closed or reset the connection."""
         ...
 
-    def ends_with(self, request: Request) -> bool:
+    def closes_after(self, request: Request) -> bool:
         """Whether the connection closes after the response to `request`."""
         ...
 
@@ -54,7 +54,7 @@
         """Writes the data queued by `write_soon`."""
         ...
 
-    def answered(self, close: bool) -> None:
+    def response_written(self, close: bool) -> None:
         """Called when the last byte of the response has been written; `close` ends the connection."""
         ...
 
@@ -78,7 +78,7 @@
         "_close",
         "_connection",
         "_remaining_bytes",
-        "on_gone",
+        "on_disconnect",
         "on_pause",
         "on_resume",
         "request",
@@ -86,7 +86,7 @@
 
     def __init__(self, request: Request, connection: ResponseChannel) -> None:
         self.request = request
-        self.on_gone: Callable[[], None] | None = None  # the client left before the response ended
+        self.on_disconnect: Callable[[], None] | None = None  # the client left before the response ended
         self.on_pause: Callable[[], None] | None = None  # the client reads too slowly: stop writing
         self.on_resume: Callable[[], None] | None = None  # writing may continue
         self._connection: ResponseChannel | None = connection
@@ -118,7 +118,7 @@
         """The address and port of the client, or None if unknown."""
         return self._connection.peer if self._connection is not None else None
 
-    def gone(self) -> bool:
+    def client_gone(self) -> bool:
         """Whether the client has disconnected. Checks the socket itself, as the loop may report it later."""
         return self._connection is None or self._connection.hung_up()
 
@@ -127,11 +127,11 @@
         connection = self._connection
         if connection is None or self._begun:
             return
-        close = close or connection.ends_with(self.request)
+        close = close or connection.closes_after(self.request)
         fields = encode_fields(headers)
         if self.request.http_1_0 and not close:
             fields += KEEP_ALIVE
-        answer = encode_answer(status, body, fields, close)
+        answer = encode_response(status, body, fields, close)
         if body and self.request.method == b"HEAD":
             answer = answer[: -len(body)]
         connection.write(answer)
@@ -143,7 +143,7 @@
         if connection is None or self._begun:
             return
         self._begun = True
-        self._close = connection.ends_with(self.request)
+        self._close = connection.closes_after(self.request)
         self._bodiless = status in BODILESS or self.request.method == b"HEAD"
         fields = encode_fields(headers)
         if length is not None:
@@ -196,11 +196,11 @@
     def _finish(self, close: bool) -> None:
         connection, self._connection = self._connection, None
         if connection is not None:
-            connection.answered(close)
+            connection.response_written(close)
 
     def disconnect(self) -> None:
         """Called by the connection when the client has disconnected."""
         if self._connection is not None:
             self._connection = None
-            if self.on_gone is not None:
-                self.on_gone()
+            if self.on_disconnect is not None:
+                self.on_disconnect()
--- a/cloverrouter/http/fields.py
+++ b/cloverrouter/http/fields.py
@@ -72,7 +72,7 @@
     return b"".join([b"%b: %b\r\n" % field for field in headers])
 
 
-def encode_answer(status: int, body: bytes, fields: bytes = b"", close: bool = False) -> bytes:
+def encode_response(status: int, body: bytes, fields: bytes = b"", close: bool = False) -> bytes:
     """Encodes a complete response. `fields` are encoded header lines that end in CRLF."""
     return b"%b%bContent-Length: %d\r\n%b\r\n%b" % (
         status_line(status),
--- a/cloverrouter/http/idle.py
+++ b/cloverrouter/http/idle.py
@@ -29,7 +29,7 @@
     def __init__(self) -> None:
         self.idle: list[C] = []  # longest idle first
 
-    def rest(self, connection: C, now_s: float) -> None:
+    def add_idle(self, connection: C, now_s: float) -> None:
         """Adds a connection that has become idle."""
         connection.idle_since = now_s
         self.idle.append(connection)
--- a/cloverrouter/http/request.py
+++ b/cloverrouter/http/request.py
@@ -27,7 +27,7 @@
     body_timeout_s: float = 10.0  # from the end of the head to the end of the body
     idle_timeout_s: float = 15.0  # between requests
     max_connections: int = 3000
-    held_bytes: int = 48 * 1024 * 1024  # total of all incomplete request bodies
+    incomplete_bytes: int = 48 * 1024 * 1024  # total of all incomplete request bodies
     provisional: bool = False  # defaults until the configuration is known: 413 and 431 become 503
 
 
@@ -73,7 +73,7 @@
         "error",
         "expects_continue",
         "in_head",
-        "last",
+        "is_last",
         "limits",
         "ready",
     )
@@ -85,7 +85,7 @@
         self.ready: deque[Request] = deque()
         self.error = 0
         self.begun = False  # a part of an incomplete request has arrived
-        self.last = False  # the latest request ends the connection
+        self.is_last = False  # the latest request ends the connection
         self.on_message_begin()
         self.begun = False
 
@@ -97,9 +97,9 @@
         try:
             self._parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade):
-            if not self.last:
+            if not self.is_last:
                 self.error = self.error or 400
-        if self.last:
+        if self.is_last:
             return
         if self.in_head and was_in_head and len(self.ready) == before:
             self.begun = True
@@ -181,7 +181,7 @@
         parser = self._parser
         assert parser is not None
         keep_alive = parser.should_keep_alive()
-        self.last = not keep_alive
+        self.is_last = not keep_alive
         request = Request(
             parser.get_method(),
             self._target,
--- a/cloverrouter/http/server.py
+++ b/cloverrouter/http/server.py
@@ -42,8 +42,8 @@
         self.handle = handle
         self.limits = limits  # may be replaced; applies from the next request on
         self.buffer = memoryview(bytearray(READ_BYTES))
-        self.held_bytes = 0  # total of all incomplete request bodies
-        self.deaf: set[ServerConnection] = set()  # those whose reading is paused
+        self.incomplete_bytes = 0  # total of all incomplete request bodies
+        self.reading_paused: set[ServerConnection] = set()  # those whose reading is paused
         self._draining = self._closed = False
         self._stages: tuple[dict[ServerConnection, None], ...] = tuple({} for _ in Stage)
         self._sweeper: asyncio.TimerHandle | None = None
@@ -51,7 +51,7 @@
     async def listen(self, host: str, port: int) -> tuple[str, int]:
         """Starts to accept connections; returns the bound address. Raises OSError if it cannot be bound."""
         listener = bind((host, port))
-        self.accept_from(listener)
+        self.start_accepting(listener)
         if self._sweeper is None:
             self._sweep()
         own_host, own_port = listener.getsockname()[:2]
@@ -83,7 +83,7 @@
     @property
     def open_exchanges(self) -> int:
         """The number of requests without a complete response."""
-        return len(self._stages[Stage.BUSY]) + len(self._stages[Stage.STUCK])
+        return len(self._stages[Stage.BUSY]) + len(self._stages[Stage.WRITE_BLOCKED])
 
     @property
     def connections(self) -> int:
@@ -109,9 +109,9 @@
 
     # New connections
 
-    def _take(self, sock: socket.socket) -> None:
+    def _handle_accepted(self, sock: socket.socket) -> None:
         if self.connections >= self.limits.max_connections and not self._make_room():
-            self._turn_away(sock)
+            self._reject(sock)
         else:
             self._adopt(ServerConnection(self, sock), sock)
 
@@ -139,7 +139,7 @@
     def remove(self, connection: ServerConnection) -> None:
         """Removes a closed connection."""
         self._stages[connection.stage].pop(connection, None)
-        self.deaf.discard(connection)
+        self.reading_paused.discard(connection)
 
     def set_stage(self, connection: ServerConnection, stage: Stage) -> None:
         """Records that a connection enters `stage`."""
@@ -159,7 +159,7 @@
             connection.refuse(408)
         for connection in self._in_stage_since(Stage.BODY, now_s - limits.body_timeout_s):
             connection.refuse(408)
-        for connection in self._in_stage_since(Stage.STUCK, now_s - WRITE_TIMEOUT_S):
+        for connection in self._in_stage_since(Stage.WRITE_BLOCKED, now_s - WRITE_TIMEOUT_S):
             connection.drop()
         for connection in self._in_stage_since(Stage.LINGERING, now_s - LINGER_TIMEOUT_S):
             if not connection.has_unsent_data or now_s - connection.stage_since_s > WRITE_TIMEOUT_S:
@@ -168,7 +168,7 @@
             for connection in self._in_stage_since(stage, now_s - limits.idle_timeout_s):
                 if not connection.close_idle() and connection.has_unsent_data:
                     connection.drop()
-        for connection in list(self.deaf):
+        for connection in list(self.reading_paused):
             connection.close_if_hung_up()
         if self._draining:
             self._close_drainable(now_s)
--- a/cloverrouter/http/upstream.py
+++ b/cloverrouter/http/upstream.py
@@ -13,7 +13,7 @@
 
 import httptools
 
-from cloverrouter.http.answer import Call, Failure
+from cloverrouter.http.call import Call, Failure
 from cloverrouter.http.fields import Headers
 from cloverrouter.http.sockets import unread
 
@@ -45,7 +45,7 @@
 
     address: tuple[str, int]
 
-    def rest(self, connection: UpstreamConnection, now_s: float) -> None:
+    def add_idle(self, connection: UpstreamConnection, now_s: float) -> None:
         """Adds a connection that has become idle."""
         ...
 
--- a/cloverrouter/placement/idle_resets.py
+++ b/cloverrouter/placement/idle_resets.py
@@ -1,6 +1,6 @@
 """Detects servers that drop idle connections, from the reports of many proxies.
 
-A proxy finds out by losing a request (`http/rest.py`), and a request lost on such a connection cannot be
+A proxy finds out by losing a request (`http/reuse.py`), and a request lost on such a connection cannot be
 retried if it may run only once. So the first proxies that lose one warn all the others by way of the head.
 """
 
--- a/cloverrouter/proxy/frontend.py
+++ b/cloverrouter/proxy/frontend.py
@@ -19,7 +19,7 @@
 import httptools
 
 from cloverrouter.http.acceptor import Acceptor
-from cloverrouter.http.fields import encode_answer
+from cloverrouter.http.fields import encode_response
 from cloverrouter.http.sockets import READ_BYTES, hung_up, reset_at_close, unread
 from cloverrouter.http.sockets import bind as bind
 from cloverrouter.interface import Idempotency
@@ -453,7 +453,7 @@
         if self._open is not call or self._transport is None:
             return  # the client has gone
         close, self._long = self._ends_with(call), False
-        self._transport.write(encode_answer(status, body, headers, close))
+        self._transport.write(encode_response(status, body, headers, close))
         self._answered(call, close, state)
 
     def _ends_with(self, call: ClientCall) -> bool:
@@ -554,7 +554,7 @@
             self.end()
             self._source = None
             return
-        transport.write(encode_answer(status, b"", b"", True))
+        transport.write(encode_response(status, b"", b"", True))
         self._see_off()
 
     def _withdraw(self) -> None:
@@ -687,7 +687,7 @@
     async def listen(self, address: Address, inherited: socket.socket | None = None) -> Address:
         """Take connections at `address`, or those of a listening socket that is there already."""
         listener = inherited or bind(address)
-        self.accept_from(listener)
+        self.start_accepting(listener)
         self.loop.call_later(SWEEP_S, self._sweep)
         host, port = listener.getsockname()[:2]
         return host, port
@@ -717,9 +717,9 @@
             self._accept(self._listener)
         return self.open > before
 
-    def _take(self, sock: socket.socket) -> None:
+    def _handle_accepted(self, sock: socket.socket) -> None:
         if self.open >= self._most_open and not self._make_room():
-            self._turn_away(sock)
+            self._reject(sock)
         else:
             self._adopt(ClientConnection(self, sock), sock)
 
--- a/cloverrouter/proxy/program.py
+++ b/cloverrouter/proxy/program.py
@@ -287,7 +287,7 @@
     def _heard(self, link: Link, message: Json) -> None:
         if message.get("ready") is True and link is not self._predecessor:
             self._successor = link
-            self._frontend.accept_no_more()
+            self._frontend.stop_accepting()
             self._frontend.send_away()
         if isinstance(message.get("cordon"), str) and isinstance(message.get("on"), bool):
             self._cordon(message["cordon"], message["on"])
@@ -309,7 +309,7 @@
             self._successor = None
             if not self._draining:
                 log.warning("the new process is gone: back to work")
-                self._frontend.accept_again()
+                self._frontend.resume_accepting()
                 # Danger: the name in the folder was the new one's; the next would find nobody behind it.
                 if self._giver is not None:
                     self._giver.stop()
--- a/cloverrouter/proxy/upstream.py
+++ b/cloverrouter/proxy/upstream.py
@@ -468,7 +468,7 @@
 
     def put(self, connection: Connection) -> None:
         if self.upstream.uses(self):
-            self.rest(connection, self.upstream.loop.time())
+            self.add_idle(connection, self.upstream.loop.time())
         else:
             connection.abort()  # the host drains or is gone: an idle connection only burdens it
 
--- a/cloverrouter/router/flight.py
+++ b/cloverrouter/router/flight.py
@@ -55,7 +55,7 @@
             self._head += b"last-event-id: %b\r\n" % last_id
         wait_s = admitted.deadline - router.clock() + router.bounds.deadline_grace_ms / 1000
         self._deadline_timer = router.call_later(max(0.0, wait_s), self._deadline_passed)
-        exchange.on_gone = self._client_gone
+        exchange.on_disconnect = self._client_gone
         exchange.on_pause = self._pause
         exchange.on_resume = self._resume
 
@@ -80,7 +80,7 @@
     def _try(self) -> None:
         """Send the request to a server, if there is one and it may be sent."""
         self._retry_timer = None
-        if self._tries.sends and self.exchange.gone():
+        if self._tries.sends and self.exchange.client_gone():
             self._client_gone()
             return
         if not has_time(self._left_ms()) or not self._may_begin():
@@ -172,7 +172,7 @@
         """The request as it is to go out on a connection that has just come up: with less time left."""
         if attempt.over or not attempt.standing.ready:
             return None
-        if not has_time(self._left_ms()) or self.exchange.gone():
+        if not has_time(self._left_ms()) or self.exchange.client_gone():
             return None
         return self._message(attempt.standing)
 
@@ -347,7 +347,7 @@
         if attempt is not None and not attempt.over:
             attempt.give_up()
             self._record.attempt_ended("given up")
-        self.exchange.on_gone = self.exchange.on_pause = self.exchange.on_resume = None
+        self.exchange.on_disconnect = self.exchange.on_pause = self.exchange.on_resume = None
         self._router.landed(self)
 
     def _stop_patience(self) -> None:
--- a/cloverrouter/router/flight_host.py
+++ b/cloverrouter/router/flight_host.py
@@ -78,7 +78,7 @@
         ...
 
     def send(
-        self, attempt: Attempt, message: bytes, request_id: bytes, renewed: Callable[[], bytes | None]
+        self, attempt: Attempt, message: bytes, request_id: bytes, refresh: Callable[[], bytes | None]
     ) -> Call:
         """Start a send."""
         ...
--- a/cloverrouter/router/ports.py
+++ b/cloverrouter/router/ports.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 from typing import Protocol
 
-from cloverrouter.http.client import Address, Call, Listener
+from cloverrouter.http.client import Address, Call, CallListener
 
 Clock = Callable[[], float]
 """Seconds on the process's steady clock."""
@@ -32,10 +32,10 @@
         self,
         address: Address,
         message: bytes,
-        listener: Listener,
+        listener: CallListener,
         expected_id: bytes = b"",
         id_header: bytes = b"",
-        renewed: Callable[[], bytes | None] | None = None,
+        refresh: Callable[[], bytes | None] | None = None,
     ) -> Call:
         """Start a call."""
         ...
--- a/cloverrouter/router/router.py
+++ b/cloverrouter/router/router.py
@@ -252,11 +252,11 @@
         return self._keys
 
     def send(
-        self, attempt: Attempt, message: bytes, request_id: bytes, renewed: Callable[[], bytes | None]
+        self, attempt: Attempt, message: bytes, request_id: bytes, refresh: Callable[[], bytes | None]
     ) -> Call:
-        """Start a send; `renewed` gives the message for a connection that came up later, if it is wanted."""
+        """Start a send; `refresh` gives the message for a connection that came up later, if it is wanted."""
         address = attempt.standing.server.address
-        return self._pool.send(address, message, attempt, request_id, ATTEMPT_ID, renewed)
+        return self._pool.send(address, message, attempt, request_id, ATTEMPT_ID, refresh)
 
     def quota_wait(self, admitted: Admitted, again: bool) -> float:
         """Count a request for its tenant, if it has a quota: 0.0, or seconds after which to ask again."""
--- a/features/steps/answers_and_repeats.py
+++ b/features/steps/answers_and_repeats.py
@@ -49,7 +49,7 @@
         if world.wire.address == address:
             return
         context.elsewhere = True
-        world.wire.says(answer(world.request))
+        world.wire.send_bytes(answer(world.request))
     raise AssertionError("the server is not asked any more")
 
 
@@ -57,26 +57,26 @@
 def answers(context: Any, body: str) -> None:
     world = world_of(context)
     context.answered = answer(world.request, body.encode())
-    world.wire.says(context.answered)
+    world.wire.send_bytes(context.answered)
 
 
 @when('the rest goes out and its server answers "{body}"')
 def rest_and_answer(context: Any, body: str) -> None:
-    world_of(context).wire.takes_the_rest()
+    world_of(context).wire.finish_request()
     answers(context, body)
 
 
 @when('its server answers "{body}" and the same again')
 def answers_twice(context: Any, body: str) -> None:
     world = world_of(context)
-    world.wire.says(answer(world.request, body.encode()) * 2)
+    world.wire.send_bytes(answer(world.request, body.encode()) * 2)
 
 
 @when("later its server answers the same again")
 def answers_later(context: Any) -> None:
     world = world_of(context)
     world.clock.pass_ms(50)
-    world.wire.says(context.answered)
+    world.wire.send_bytes(context.answered)
 
 
 @when("an extra answer lies unread on the connection")
@@ -87,7 +87,7 @@
 @when("its server answers the request before it once more")
 def answers_before(context: Any) -> None:
     world = world_of(context)
-    world.wire.says(answer(context.before))
+    world.wire.send_bytes(answer(context.before))
     world.clock.pass_ms(100)
 
 
@@ -95,20 +95,20 @@
 def answers_no_id(context: Any) -> None:
     world = world_of(context)
     named = b"Cypresswinch-Attempt-Id: %b\r\n" % world.request
-    world.wire.says(answer(world.request).replace(named, b""))
+    world.wire.send_bytes(answer(world.request).replace(named, b""))
 
 
 @when("its server answers with its id twice")
 def answers_id_twice(context: Any) -> None:
     world = world_of(context)
     again = b"Cypresswinch-Attempt-Id: %b" % world.request
-    world.wire.says(answer(world.request, b"body", 200, again))
+    world.wire.send_bytes(answer(world.request, b"body", 200, again))
 
 
 @when("its server answers with its id and another")
 def answers_two_ids(context: Any) -> None:
     world = world_of(context)
-    world.wire.says(answer(world.request, b"body", 200, b"Cypresswinch-Attempt-Id: another"))
+    world.wire.send_bytes(answer(world.request, b"body", 200, b"Cypresswinch-Attempt-Id: another"))
 
 
 @when("the server takes {seconds:g} s")
@@ -126,57 +126,57 @@
 @when('its server answers "{body}" without a length and closes')
 def answers_unframed(context: Any, body: str) -> None:
     world = world_of(context)
-    world.wire.says(answer(world.request, body.encode(), 200, b"Connection: close", length=False))
-    world.wire.closes()
+    world.wire.send_bytes(answer(world.request, body.encode(), 200, b"Connection: close", length=False))
+    world.wire.close()
 
 
 @when('its server answers "{body}" without a length or a word, and closes')
 def answers_unframed_silently(context: Any, body: str) -> None:
     world = world_of(context)
-    world.wire.says(answer(world.request, body.encode(), 200, length=False))
-    world.wire.closes()
+    world.wire.send_bytes(answer(world.request, body.encode(), 200, length=False))
+    world.wire.close()
 
 
 @when('its server answers "{body}" without a length and resets the connection')
 def answers_unframed_and_resets(context: Any, body: str) -> None:
     world = world_of(context)
     wire = world.wire
-    wire.says(answer(world.request, body.encode(), 200, b"Connection: close", length=False))
-    wire.resets()
+    wire.send_bytes(answer(world.request, body.encode(), 200, b"Connection: close", length=False))
+    wire.reset()
     world.clock.pass_ms(100)
 
 
 @when("its server says that it did not run it")
 def refuses(context: Any) -> None:
     world = world_of(context)
-    world.wire.says(refusal(world.request))
+    world.wire.send_bytes(refusal(world.request))
 
 
 @when("its server answers 503 without saying that it did not run it")
 def promises_nothing(context: Any) -> None:
     world = world_of(context)
-    world.wire.says(answer(world.request, b"", 503))
+    world.wire.send_bytes(answer(world.request, b"", 503))
 
 
 @when("its server resets the connection")
 def server_resets(context: Any) -> None:
     world = world_of(context)
-    world.wire.resets()
+    world.wire.reset()
     world.clock.pass_ms(100)
 
 
 @when("its server sends half of an answer and closes the connection")
 def half_and_close(context: Any) -> None:
     world = world_of(context)
-    world.wire.says(answer(world.request, b"whole")[:-2])
-    world.wire.closes()
+    world.wire.send_bytes(answer(world.request, b"whole")[:-2])
+    world.wire.close()
 
 
 @when("its server sends half of an answer and resets the connection")
 def half_and_reset(context: Any) -> None:
     world = world_of(context)
-    world.wire.says(answer(world.request, b"whole")[:-2])
-    world.wire.resets()
+    world.wire.send_bytes(answer(world.request, b"whole")[:-2])
+    world.wire.reset()
 
 
 def events(first: int, last: int) -> bytes:
@@ -187,20 +187,20 @@
 def sends_cut(context: Any, first: int, last: int) -> None:
     world = world_of(context)
     half = event(last + 1)[:8]
-    world.wire.says(stream_head(world.request) + chunk(events(first, last) + half))
+    world.wire.send_bytes(stream_head(world.request) + chunk(events(first, last) + half))
 
 
 @when("its server sends events {first:d} to {last:d} and the end")
 def sends_to_the_end(context: Any, first: int, last: int) -> None:
     world = world_of(context)
-    world.wire.says(stream_head(world.request) + chunk(events(first, last)) + b"0\r\n\r\n")
+    world.wire.send_bytes(stream_head(world.request) + chunk(events(first, last)) + b"0\r\n\r\n")
 
 
 @when("its server sends events {first:d} to {last:d} for another request")
 def sends_for_another(context: Any, first: int, last: int) -> None:
     world = world_of(context)
-    while not world.exchange_is_over():
-        world.wire.says(stream_head(b"another") + chunk(events(first, last)) + b"0\r\n\r\n")
+    while not world.exchange_is_done():
+        world.wire.send_bytes(stream_head(b"another") + chunk(events(first, last)) + b"0\r\n\r\n")
         world.clock.pass_ms(500)
 
 
@@ -266,7 +266,7 @@
 @then("its connection is closed")
 @then("the connection to the first is closed")
 def connection_closed(context: Any) -> None:
-    assert context.first.transport.ended
+    assert context.first.transport.aborted
 
 
 @then("its answer is torn off")
--- a/tests/system/http_world.py
+++ b/tests/system/http_world.py
@@ -6,7 +6,7 @@
 from itertools import pairwise
 from typing import Any, cast
 
-from cloverrouter.http.answer import Call
+from cloverrouter.http.call import Call
 from cloverrouter.http.request import Request, RequestReader, ServerLimits
 from cloverrouter.http.upstream import UpstreamConnection
 from tests.system.peers import RecordingListener
@@ -23,7 +23,7 @@
     return [message[start:end] for start, end in pairwise(ends)]
 
 
-def read(pieces: list[bytes], limits: ServerLimits | None = None) -> tuple[list[Request], int]:
+def parse_requests(pieces: list[bytes], limits: ServerLimits | None = None) -> tuple[list[Request], int]:
     """Returns the complete requests and the error status, 0 for none, that the pieces give."""
     reader = RequestReader(limits or ServerLimits(), lambda: 0.0)
     for piece in pieces:
@@ -60,10 +60,10 @@
     def __init__(self) -> None:
         self.buffer = memoryview(bytearray(64 * 1024))
         self.connections: set[object] = set()
-        self.kept = 0
+        self.returned_count = 0
 
     def put(self, connection: object) -> None:
-        self.kept += 1
+        self.returned_count += 1
 
 
 class FakePool:
@@ -72,7 +72,7 @@
     def forget(self, connection: object) -> None: ...
 
 
-def answered_by(pieces: list[bytes], expected_id: bytes = b"") -> tuple[RecordingListener, FakeOwner]:
+def receive_response(pieces: list[bytes], expected_id: bytes = b"") -> tuple[RecordingListener, FakeOwner]:
     """Returns the events of a call whose response arrives in these pieces, followed by an orderly close."""
     owner, recorder, transport = FakeOwner(), RecordingListener(), FakeTransport()
     connection = UpstreamConnection(cast(Any, owner), cast(Any, FakePool()), cast(Any, None))
@@ -86,6 +86,6 @@
     if not transport.aborted:
         connection.eof_received()
     connection.connection_lost(None)
-    assert recorder.told.count("end") + recorder.told.count("failure") == 1
-    assert recorder.told[-1] in ("end", "failure")
+    assert recorder.events.count("end") + recorder.events.count("failure") == 1
+    assert recorder.events[-1] in ("end", "failure")
     return recorder, owner
--- a/tests/system/peers.py
+++ b/tests/system/peers.py
@@ -11,15 +11,15 @@
 from cloverrouter.http.client import Address, ConnectionPool, Failure, Headers
 from cloverrouter.http.server import Exchange, Server, ServerLimits
 
-LONG_S = 20.0  # timeout of a test
+TEST_TIMEOUT_S = 20.0  # timeout of a test
 RESET = struct.pack("ii", 1, 0)
 
 
-def play(scenario: Coroutine[Any, Any, None]) -> None:
+def run_scenario(scenario: Coroutine[Any, Any, None]) -> None:
     """Runs the coroutine of a test in a new event loop, with a timeout."""
 
     async def bounded() -> None:
-        async with asyncio.timeout(LONG_S):
+        async with asyncio.timeout(TEST_TIMEOUT_S):
             await scenario
 
     asyncio.run(bounded())
@@ -55,7 +55,7 @@
         length = next((int(value) for name, _, value in fields if name == b"content-length"), 0)
         return int(head.split()[1]), head, await self.reader.readexactly(length)
 
-    async def rest(self) -> bytes:
+    async def read_to_close(self) -> bytes:
         """Reads until an orderly close. Raises ConnectionResetError at a reset."""
         return await self.reader.read()
 
@@ -78,14 +78,14 @@
     def __init__(self, on_exchange: Callable[[Exchange], None] | None = None) -> None:
         self.on_exchange = on_exchange
         self.exchanges: list[Exchange] = []
-        self.told: list[str] = []
+        self.events: list[str] = []
         self._changed = asyncio.Condition()
 
     def __call__(self, exchange: Exchange) -> None:
         self.exchanges.append(exchange)
-        exchange.on_gone = lambda: self.told.append("gone")
-        exchange.on_pause = lambda: self.told.append("pause")
-        exchange.on_resume = lambda: self.told.append("resume")
+        exchange.on_disconnect = lambda: self.events.append("gone")
+        exchange.on_pause = lambda: self.events.append("pause")
+        exchange.on_resume = lambda: self.events.append("resume")
         if self.on_exchange is not None:
             self.on_exchange(exchange)
 
@@ -96,7 +96,7 @@
 
     async def wait_for_events(self, *what: str) -> None:
         """Waits until the events are exactly these."""
-        await until(lambda: self.told == list(what))
+        await until(lambda: self.events == list(what))
 
 
 async def serve(
@@ -116,36 +116,36 @@
         self.headers: Headers = []
         self.length: int | None = None
         self.body = b""
-        self.told: list[str] = []
+        self.events: list[str] = []
         self.failure: Failure | None = None
         self.finished = asyncio.Event()
         self.written = asyncio.Event()
         self.head_received = asyncio.Event()
 
     def on_written(self) -> None:
-        self.told.append("written")
+        self.events.append("written")
         self.written.set()
 
     def on_head(self, status: int, headers: Headers, length: int | None) -> None:
         self.status, self.headers, self.length = status, headers, length
-        self.told.append("head")
+        self.events.append("head")
         self.head_received.set()
 
     def on_data(self, data: bytes) -> None:
         self.body += data
-        if self.told[-1] != "data":
-            self.told.append("data")
+        if self.events[-1] != "data":
+            self.events.append("data")
 
     def body_ends_with(self, data: bytes) -> bool:
         return self.body.endswith(data)
 
     def on_end(self) -> None:
-        self.told.append("end")
+        self.events.append("end")
         self.finished.set()
 
     def on_failure(self, failure: Failure) -> None:
         self.failure = failure
-        self.told.append("failure")
+        self.events.append("failure")
         self.finished.set()
 
 
--- a/tests/system/reuse_world.py
+++ b/tests/system/reuse_world.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 from typing import Any, cast
 
-from cloverrouter.http.client import Address, Call, Listener
+from cloverrouter.http.client import Address, Call, CallListener
 from cloverrouter.http.upstream import UpstreamConnection
 from tests.system.router_world import FakeClock, ScriptedExchange, World
 
@@ -33,19 +33,19 @@
     def __init__(self) -> None:
         self.written = b""
         self.blocked = False
-        self.ended = False
+        self.aborted = False
 
     def set_write_buffer_limits(self, high: int) -> None: ...
 
     def write(self, data: bytes) -> None:
-        assert not self.ended, "a request goes out on a connection that has ended"
+        assert not self.aborted, "a request goes out on a connection that has ended"
         self.written += data
 
     def get_write_buffer_size(self) -> int:
         return int(self.blocked)
 
     def abort(self) -> None:
-        self.ended = True
+        self.aborted = True
 
     def pause_reading(self) -> None: ...
 
@@ -72,7 +72,7 @@
 
     # Used by the connection: `AddressPool`
 
-    def rest(self, connection: UpstreamConnection, now_s: float) -> None: ...
+    def add_idle(self, connection: UpstreamConnection, now_s: float) -> None: ...
 
     def forget(self, connection: UpstreamConnection) -> None:
         self._pool.forget(self)
@@ -86,24 +86,24 @@
         name = b"cypresswinch-attempt-id: "
         return [line[len(name) :] for line in lines if line.startswith(name)]
 
-    def says(self, data: bytes) -> None:
+    def send_bytes(self, data: bytes) -> None:
         """Sends bytes to the client."""
-        if not self.transport.ended:
+        if not self.transport.aborted:
             self._pool.buffer[: len(data)] = data
             self.connection.buffer_updated(len(data))
 
-    def takes_the_rest(self) -> None:
+    def finish_request(self) -> None:
         """Lets the last byte of the request be sent."""
         self.transport.blocked = False
         self.connection.resume_writing()
 
-    def closes(self) -> None:
+    def close(self) -> None:
         """Closes the connection in an orderly way."""
-        if not self.transport.ended:
+        if not self.transport.aborted:
             self.connection.eof_received()
         self.connection.connection_lost(None)
 
-    def resets(self) -> None:
+    def reset(self) -> None:
         """Resets the connection."""
         self.connection.connection_lost(ConnectionResetError())
 
@@ -131,12 +131,12 @@
         self,
         address: Address,
         message: bytes,
-        listener: Listener,
+        listener: CallListener,
         expected_id: bytes = b"",
         id_header: bytes = b"",
-        renewed: Callable[[], bytes | None] | None = None,
+        refresh: Callable[[], bytes | None] | None = None,
     ) -> Call:
-        call = Call(message, listener, expected_id, id_header, renewed)
+        call = Call(message, listener, expected_id, id_header, refresh)
         wire = self._take_clean(address) or self._open(address)
         wire.transport.blocked = self.blocked
         self.last = wire
@@ -193,7 +193,7 @@
             assert self.pool.last is not None
             pending.append((self.pool.last, self.pool.last.requests[-1]))
         for wire, request in pending:
-            wire.says(answer(request))
+            wire.send_bytes(answer(request))
 
     def ask(self, path: str) -> ScriptedExchange:
         self.exchange = self.world.ask(path)
@@ -202,7 +202,7 @@
     def ask_kind(self, kind: str) -> ScriptedExchange:
         return self.ask(f"/{ROUTE_OF[kind]}/x")
 
-    def exchange_is_over(self) -> bool:
+    def exchange_is_done(self) -> bool:
         return self.exchange is None or self.exchange.done
 
     @property
--- a/tests/system/router_world.py
+++ b/tests/system/router_world.py
@@ -11,7 +11,7 @@
 import attrs
 
 from cloverrouter.control.configuration import Configuration, Engine, Route, Service, Tenant
-from cloverrouter.http.client import Address, Call, Failure, Headers, Listener
+from cloverrouter.http.client import Address, Call, CallListener, Failure, Headers
 from cloverrouter.http.server import Exchange, Request
 from cloverrouter.placement.servers import Server
 from cloverrouter.router.bounds import RouterBounds
@@ -65,12 +65,12 @@
         self,
         address: Address,
         message: bytes,
-        listener: Listener,
-        renewed: Callable[[], bytes | None] | None,
+        listener: CallListener,
+        refresh: Callable[[], bytes | None] | None,
     ) -> None:
         self.address = address
         self.listener = listener
-        self.renewed = renewed
+        self.refresh = refresh
         self.written = False
         self.reused = False
         self.cancelled = False
@@ -107,7 +107,7 @@
 
     def write(self) -> bool:
         """The connection is up: the request goes out if it is still wanted."""
-        message = self.renewed() if self.renewed is not None else self.message
+        message = self.refresh() if self.refresh is not None else self.message
         if message is None:
             self.fail(Failure.NOT_SENT)
             return False
@@ -155,12 +155,12 @@
         self,
         address: Address,
         message: bytes,
-        listener: Listener,
+        listener: CallListener,
         expected_id: bytes = b"",
         id_header: bytes = b"",
-        renewed: Callable[[], bytes | None] | None = None,
+        refresh: Callable[[], bytes | None] | None = None,
     ) -> Call:
-        call = ScriptedCall(address, message, listener, renewed)
+        call = ScriptedCall(address, message, listener, refresh)
         assert call.field(id_header) == expected_id
         self.calls.append(call)
         return cast(Call, call)
@@ -178,7 +178,7 @@
 
     def __init__(self, request: Request) -> None:
         self.request = request
-        self.on_gone: Callable[[], None] | None = None
+        self.on_disconnect: Callable[[], None] | None = None
         self.on_pause: Callable[[], None] | None = None
         self.on_resume: Callable[[], None] | None = None
         self.status: int | None = None
@@ -194,7 +194,7 @@
     def field(self, name: bytes) -> bytes | None:
         return dict(self.headers).get(name)
 
-    def gone(self) -> bool:
+    def client_gone(self) -> bool:
         return self.left
 
     def respond(self, status: int, headers: Headers, body: bytes = b"", close: bool = False) -> None:
@@ -228,8 +228,8 @@
 
     def leave(self) -> None:
         self.left = True
-        if self.on_gone is not None:
-            self.on_gone()
+        if self.on_disconnect is not None:
+            self.on_disconnect()
 
 
 class FakeQuota:
--- a/tests/system/test_http_bytes.py
+++ b/tests/system/test_http_bytes.py
@@ -5,10 +5,10 @@
 from hypothesis import example, given
 from hypothesis import strategies as st
 
-from cloverrouter.http.answer import Failure
-from cloverrouter.http.fields import encode_answer, end_to_end, first
+from cloverrouter.http.call import Failure
+from cloverrouter.http.fields import encode_response, end_to_end, first
 from cloverrouter.http.request import ServerLimits
-from tests.system.http_world import answered_by, chunked, read, split_message
+from tests.system.http_world import chunked, parse_requests, receive_response, split_message
 
 NAMES = st.sampled_from([b"X-A", b"x-b", b"Accept", b"Authorization"])
 VALUES = st.binary(max_size=20).map(lambda raw: bytes(33 + byte % 90 for byte in raw))
@@ -34,10 +34,10 @@
     sent: list[tuple[bytes, bytes, bytes]], offsets: list[int]
 ) -> None:
     message = b"".join(part for part, _, _ in sent)
-    whole, error = read([message])
+    whole, error = parse_requests([message])
     assert error == 0
     assert [(request.target, request.body) for request in whole] == [(t, b) for _, t, b in sent]
-    assert read(split_message(message, offsets)) == (whole, 0)
+    assert parse_requests(split_message(message, offsets)) == (whole, 0)
 
 
 @given(requests(), st.integers(0, 10_000), st.binary(min_size=1, max_size=6), st.integers(0, 10_000))
@@ -47,20 +47,20 @@
     message = sent[0]
     at %= len(message)
     spoilt = message[:at] + noise + message[at:]
-    found, error = read(split_message(spoilt, [offset]))
+    found, error = parse_requests(split_message(spoilt, [offset]))
     assert error in (0, 400, 413, 431)
     assert all(request.target.startswith(b"/") for request in found)
 
 
 @given(st.binary(max_size=400), st.lists(st.integers(0, 10_000), max_size=4))
 def test_any_bytes_are_read_or_refused(noise: bytes, offsets: list[int]) -> None:
-    assert read(split_message(noise, offsets))[1] in (0, 400, 413, 431)
+    assert parse_requests(split_message(noise, offsets))[1] in (0, 400, 413, 431)
 
 
 @given(st.integers(1, 3000), st.lists(st.integers(0, 10_000), max_size=6))
 def test_limit_of_a_head_holds_however_it_is_split(size: int, offsets: list[int]) -> None:
     message = b"GET / HTTP/1.1\r\nHost: x\r\nA: %b\r\n\r\n" % (b"a" * size)
-    found, error = read(split_message(message, offsets), ServerLimits(head_bytes=1000))
+    found, error = parse_requests(split_message(message, offsets), ServerLimits(head_bytes=1000))
     if size > 1000:
         assert (found, error) == ([], 431)
     elif size < 900:
@@ -88,9 +88,9 @@
     sent: tuple[bytes, bytes, bool], offsets: list[int]
 ) -> None:
     message, body, is_reusable = sent
-    recorder, owner = answered_by(split_message(message, offsets), b"7")
-    assert (recorder.status, recorder.body, recorder.told[-1]) == (200, body, "end")
-    assert owner.kept == is_reusable
+    recorder, owner = receive_response(split_message(message, offsets), b"7")
+    assert (recorder.status, recorder.body, recorder.events[-1]) == (200, body, "end")
+    assert owner.returned_count == is_reusable
 
 
 @given(answers(), st.integers(0, 10_000), st.lists(st.integers(0, 10_000), max_size=6))
@@ -99,26 +99,26 @@
 ) -> None:
     message, _, is_reusable = sent
     part = message[: end % len(message)]
-    recorder, owner = answered_by(split_message(part, offsets), b"7")
+    recorder, owner = receive_response(split_message(part, offsets), b"7")
     if is_reusable:  # otherwise the close of the connection ends the response
         assert recorder.failure is Failure.BROKEN
-    assert owner.kept == 0
+    assert owner.returned_count == 0
 
 
 @given(answers(), st.lists(st.integers(0, 10_000), max_size=6))
 def test_answer_to_another_request_is_never_delivered(
     sent: tuple[bytes, bytes, bool], offsets: list[int]
 ) -> None:
-    recorder, owner = answered_by(split_message(sent[0], offsets), b"8")
-    assert recorder.told == ["written", "failure"] and recorder.failure is Failure.SPOILT
-    assert owner.kept == 0
+    recorder, owner = receive_response(split_message(sent[0], offsets), b"8")
+    assert recorder.events == ["written", "failure"] and recorder.failure is Failure.SPOILT
+    assert owner.returned_count == 0
 
 
 @given(st.binary(max_size=400), st.lists(st.integers(0, 10_000), max_size=4))
 @example(b"HTTP/1.0 200\r\n!:\r\n\r\n", [])
 def test_random_bytes_are_never_a_response(noise: bytes, offsets: list[int]) -> None:
-    recorder, owner = answered_by(split_message(noise, offsets))
-    assert recorder.told == ["written", "failure"] and owner.kept == 0
+    recorder, owner = receive_response(split_message(noise, offsets))
+    assert recorder.events == ["written", "failure"] and owner.returned_count == 0
 
 
 # Heads
@@ -132,4 +132,4 @@
 
 
 def test_unknown_status_has_a_reason_phrase() -> None:
-    assert encode_answer(299, b"") == b"HTTP/1.1 299 Error\r\nContent-Length: 0\r\n\r\n"
+    assert encode_response(299, b"") == b"HTTP/1.1 299 Error\r\nContent-Length: 0\r\n\r\n"
--- a/tests/system/test_http_client.py
+++ b/tests/system/test_http_client.py
@@ -9,7 +9,7 @@
 import pytest
 
 from cloverrouter.http.client import Address, Call, ConnectionPool, Failure
-from tests.system.peers import Peer, RecordingListener, Upstream, play, pool, until
+from tests.system.peers import Peer, RecordingListener, Upstream, pool, run_scenario, until
 
 OK = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
 CHUNKED = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
@@ -67,13 +67,13 @@
         for _ in range(2):
             recorder = await send_request(connections, upstream)
             assert (recorder.status, recorder.body, recorder.length) == (status, body, length)
-            assert recorder.told == ["written", "head"] + ["data"] * bool(body) + ["end"]
+            assert recorder.events == ["written", "head"] + ["data"] * bool(body) + ["end"]
             assert (b"a", b"b") not in recorder.headers
             assert (b"t", b"v") not in recorder.headers  # a trailer
         assert connections.opened == 1
         connections.close()
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_fields_come_as_received() -> None:
@@ -86,7 +86,7 @@
         assert recorder.headers == [(b"x-a", b"1"), (b"x-a", b"2"), (b"content-length", b"0")]
         connections.close()
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_answer_byte_by_byte() -> None:
@@ -103,7 +103,7 @@
         assert recorder.body == b"ok" and recorder.failure is None
         connections.close()
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_each_piece_is_delivered_when_it_arrives() -> None:
@@ -122,7 +122,7 @@
         await recorder.finished.wait()
         connections.close()
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_answer_to_head_has_no_body() -> None:
@@ -130,11 +130,11 @@
         upstream = await responding_with(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n", OK).start()
         connections = pool()
         recorder = await send_request(connections, upstream, b"HEAD /a HTTP/1.1\r\nHost: x\r\n\r\n")
-        assert recorder.told == ["written", "head", "end"] and recorder.length == 2
+        assert recorder.events == ["written", "head", "end"] and recorder.length == 2
         assert (await send_request(connections, upstream)).body == b"ok"
         connections.close()
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_answer_that_ends_with_the_connection() -> None:
@@ -144,11 +144,11 @@
         ).start()
         connections = pool()
         recorder = await send_request(connections, upstream)
-        assert recorder.told == ["written", "head", "data", "end"] and recorder.body == b"body"
+        assert recorder.events == ["written", "head", "data", "end"] and recorder.body == b"body"
         assert connections.idle(upstream.address) == 0
         connections.close()
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_answer_that_ends_with_the_connection_is_not_whole_after_a_reset() -> None:
@@ -161,11 +161,11 @@
         await until(lambda: recorder.body == b"body")
         peer.reset()
         await recorder.finished.wait()
-        assert recorder.told == ["written", "head", "data", "failure"]
+        assert recorder.events == ["written", "head", "data", "failure"]
         assert recorder.failure is Failure.BROKEN
         connections.close()
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 SPOILT = {
@@ -192,11 +192,11 @@
         upstream = await responding_with(SPOILT[name]).start()
         connections = pool()
         recorder = await send_request(connections, upstream)
-        assert recorder.told == ["written", "failure"] and recorder.failure is Failure.SPOILT
+        assert recorder.events == ["written", "failure"] and recorder.failure is Failure.SPOILT
         await until(lambda: connections.open == 0)
         connections.close()
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_bad_chunk_spoils_an_answer_that_has_begun() -> None:
@@ -209,11 +209,11 @@
         await recorder.head_received.wait()
         peer.send(b"1\r\n!\r\nxyz\r\n")
         await recorder.finished.wait()
-        assert recorder.told == ["written", "head", "data", "failure"]
+        assert recorder.events == ["written", "head", "data", "failure"]
         assert recorder.failure is Failure.SPOILT
         connections.close()
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_nothing_is_delivered_after_a_bad_chunk_in_the_first_read() -> None:
@@ -221,10 +221,10 @@
         upstream = await responding_with(CHUNKED + b"2\r\nok\r\nxyz\r\n").start()
         connections = pool()
         recorder = await send_request(connections, upstream)
-        assert recorder.told == ["written", "failure"] and recorder.failure is Failure.SPOILT
+        assert recorder.events == ["written", "failure"] and recorder.failure is Failure.SPOILT
         connections.close()
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 # Responses to other requests
@@ -239,11 +239,11 @@
         connections, recorder = pool(), RecordingListener()
         connections.send(upstream.address, MESSAGE, recorder, b"1", b"x-id")
         await recorder.finished.wait()
-        assert recorder.told == ["written", "failure"] and recorder.failure is Failure.SPOILT
+        assert recorder.events == ["written", "failure"] and recorder.failure is Failure.SPOILT
         await until(lambda: connections.open == 0)
         connections.close()
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_answer_with_the_expected_id_is_accepted() -> None:
@@ -258,7 +258,7 @@
         assert connections.opened == 1
         connections.close()
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_extra_answer_that_arrives_with_the_next_request_is_not_delivered() -> None:
@@ -275,10 +275,10 @@
         connections.send(upstream.address, MESSAGE, second, b"2", b"x-id")
         peer.send(response_with_id(1) + response_with_id(2))
         await second.finished.wait()
-        assert second.told == ["written", "failure"] and second.failure is Failure.SPOILT
+        assert second.events == ["written", "failure"] and second.failure is Failure.SPOILT
         connections.close()
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 @pytest.mark.parametrize("surplus", [OK, b"\x00", b"x" * 5000])
@@ -288,11 +288,11 @@
         connections = pool()
         for _ in range(2):
             recorder = await send_request(connections, upstream)
-            assert recorder.told == ["written", "head", "data", "end"] and recorder.body == b"ok"
+            assert recorder.events == ["written", "head", "data", "end"] and recorder.body == b"ok"
         assert connections.opened == 2
         connections.close()
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_unasked_bytes_on_an_idle_connection_end_it() -> None:
@@ -306,7 +306,7 @@
         assert connections.idle(upstream.address) == 0
         connections.close()
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_idle_connection_is_checked_before_it_is_reused() -> None:
@@ -335,7 +335,7 @@
             server.close()
             other.close()
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 @pytest.mark.parametrize("server_data", [OK, b"noise", b""])
@@ -363,14 +363,14 @@
             connections, recorder = pool(), RecordingListener()
             connections.send(listener.getsockname(), MESSAGE, recorder)
             await recorder.finished.wait()
-            assert recorder.told == ["failure"]
+            assert recorder.events == ["failure"]
             assert recorder.failure is Failure.CONNECT_FAILED
             assert connections.idle(listener.getsockname()) == 0
             connections.close()
             for server in server_sockets:
                 server.close()
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_connection_is_not_used_until_it_has_settled() -> None:
@@ -382,7 +382,7 @@
         assert connections.opened == 2
         connections.close()
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 # Reuse and close of connections
@@ -407,7 +407,7 @@
         assert connections.opened == 2
         connections.close()
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_idle_connections_end_before_the_server_ends_them() -> None:
@@ -426,7 +426,7 @@
         assert connection.expires_s - connection.idle_since == pytest.approx(60)
         connections.close()
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_expired_idle_connections_are_closed() -> None:
@@ -435,10 +435,10 @@
         connections = pool(idle_timeout_s=0.01)
         await send_request(connections, upstream)
         await until(lambda: connections.open == 0)
-        assert await upstream.peers[0].rest() == b""
+        assert await upstream.peers[0].read_to_close() == b""
         connections.close()
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_server_that_closes_an_idle_connection_is_asked_on_a_new_one() -> None:
@@ -452,7 +452,7 @@
         assert connections.opened == 2
         connections.close()
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_latest_used_is_used_first() -> None:
@@ -475,7 +475,7 @@
         assert await upstream.peers[2].head() == MESSAGE
         connections.close()
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_dropped_address_keeps_its_calls_and_loses_its_idle_connections() -> None:
@@ -498,7 +498,7 @@
         await until(lambda: connections.open == 0)
         connections.close()
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_longest_idle_makes_room() -> None:
@@ -514,7 +514,7 @@
         assert [connections.idle(upstream.address) for upstream in (first, second, third)] == [0, 1, 1]
         connections.close()
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 # Failures
@@ -527,11 +527,11 @@
         connections, recorder = pool(), RecordingListener()
         connections.send(address, MESSAGE, recorder)
         await recorder.finished.wait()
-        assert recorder.told == ["failure"] and recorder.failure is Failure.CONNECT_FAILED
+        assert recorder.events == ["failure"] and recorder.failure is Failure.CONNECT_FAILED
         assert connections.opened == 0 and connections.busy(address) == 0
         connections.close()
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def full_listener() -> tuple[socket.socket, list[socket.socket]]:
@@ -552,14 +552,14 @@
         connections, recorder = pool(connect_timeout_s=0.05), RecordingListener()
         call = connections.send(listener.getsockname(), MESSAGE, recorder)
         await recorder.finished.wait()
-        assert recorder.told == ["failure"] and recorder.failure is Failure.CONNECT_FAILED
+        assert recorder.events == ["failure"] and recorder.failure is Failure.CONNECT_FAILED
         assert not call.written
         await until(lambda: connections.open == 0)
         for sock in (listener, *fillers):
             sock.close()
         connections.close()
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_no_socket_left() -> None:
@@ -569,27 +569,27 @@
         connections.send(upstream.address, MESSAGE, RecordingListener())
         await upstream.peer()
         connections.send(upstream.address, MESSAGE, recorder)
-        assert recorder.told == []  # the listener is never called from within `send`
+        assert recorder.events == []  # the listener is never called from within `send`
         await recorder.finished.wait()
-        assert recorder.told == ["failure"] and recorder.failure is Failure.NOT_SENT
+        assert recorder.events == ["failure"] and recorder.failure is Failure.NOT_SENT
         connections.close()
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_request_that_is_not_wanted_any_more_does_not_go_out() -> None:
     async def scenario() -> None:
         upstream = await responding_with(OK).start()
         connections, recorder = pool(), RecordingListener()
-        connections.send(upstream.address, MESSAGE, recorder, renewed=lambda: None)
+        connections.send(upstream.address, MESSAGE, recorder, refresh=lambda: None)
         await recorder.finished.wait()
-        assert recorder.told == ["failure"] and recorder.failure is Failure.NOT_SENT
+        assert recorder.events == ["failure"] and recorder.failure is Failure.NOT_SENT
         assert connections.idle(upstream.address) == 1
         assert (await send_request(connections, upstream)).body == b"ok"  # the connection is reused
         assert connections.opened == 1
         connections.close()
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_request_is_renewed_for_a_connection_that_had_to_be_opened() -> None:
@@ -605,13 +605,13 @@
         connections = pool()
         for first in (b"GET /old HTTP/1.1\r\n\r\n", b"GET /at-once HTTP/1.1\r\n\r\n"):
             recorder = RecordingListener()
-            renewed = lambda: b"GET /new HTTP/1.1\r\n\r\n"  # noqa: E731
-            connections.send(upstream.address, first, recorder, renewed=renewed)
+            refresh = lambda: b"GET /new HTTP/1.1\r\n\r\n"  # noqa: E731
+            connections.send(upstream.address, first, recorder, refresh=refresh)
             await recorder.finished.wait()
         assert [head.split()[1] for head in heads] == [b"/new", b"/at-once"]
         connections.close()
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 @pytest.mark.parametrize("part", [b"", b"HTTP/1.1 200", OK[:-1], CHUNKED + b"2\r\nok\r\n"])
@@ -627,12 +627,12 @@
             peer.send(part)
         end(peer)  # type: ignore[operator]
         await recorder.finished.wait()
-        assert recorder.failure is Failure.BROKEN and recorder.told[-1] == "failure"
+        assert recorder.failure is Failure.BROKEN and recorder.events[-1] == "failure"
         await until(lambda: connections.open == 0)
         assert len(upstream.peers) == 1  # the client does not retry
         connections.close()
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_reset_of_a_used_connection_may_have_run_it() -> None:
@@ -651,7 +651,7 @@
         assert second.failure is Failure.BROKEN and len(upstream.peers) == 1
         connections.close()
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_server_that_closes_a_new_connection_at_once_has_not_run_it() -> None:
@@ -669,10 +669,10 @@
             connections.send(listener.getsockname(), MESSAGE, recorder)
             await recorder.finished.wait()
             loop.remove_reader(listener)
-            assert recorder.told == ["failure"] and recorder.failure is Failure.CONNECT_FAILED
+            assert recorder.events == ["failure"] and recorder.failure is Failure.CONNECT_FAILED
             connections.close()
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def narrow_listener() -> socket.socket:
@@ -710,11 +710,11 @@
         connections, call, peer = await half_sent(recorder)
         peer.reset()
         await recorder.finished.wait()
-        assert recorder.told == ["failure"] and recorder.failure is Failure.CONNECT_FAILED
+        assert recorder.events == ["failure"] and recorder.failure is Failure.CONNECT_FAILED
         assert not call.written
         connections.close()
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_last_byte_of_a_large_request_is_reported() -> None:
@@ -726,10 +726,10 @@
         assert call.written
         peer.send(OK)
         await recorder.finished.wait()
-        assert recorder.told == ["written", "head", "data", "end"]
+        assert recorder.events == ["written", "head", "data", "end"]
         connections.close()
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_refusal_before_the_whole_request_counts_and_ends_the_connection() -> None:
@@ -738,11 +738,11 @@
         connections, _, peer = await half_sent(recorder)
         peer.send(b"HTTP/1.1 413 Large\r\nContent-Length: 0\r\n\r\n")
         await recorder.finished.wait()
-        assert recorder.told == ["head", "end"] and recorder.status == 413
+        assert recorder.events == ["head", "end"] and recorder.status == 413
         await until(lambda: connections.open == 0)
         connections.close()
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_refusal_that_has_begun_before_the_whole_request_is_no_lack_of_a_connection() -> None:
@@ -753,10 +753,10 @@
         await recorder.head_received.wait()
         peer.reset()
         await recorder.finished.wait()
-        assert recorder.told == ["head", "failure"] and recorder.failure is Failure.BROKEN
+        assert recorder.events == ["head", "failure"] and recorder.failure is Failure.BROKEN
         connections.close()
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_success_before_the_whole_request_is_rejected() -> None:
@@ -765,10 +765,10 @@
         connections, _, peer = await half_sent(recorder)
         peer.send(OK)
         await recorder.finished.wait()
-        assert recorder.told == ["failure"]
+        assert recorder.events == ["failure"]
         connections.close()
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_connection_has_a_user_timeout() -> None:
@@ -784,7 +784,7 @@
         assert connection._sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY)
         connections.close()
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_close_fails_the_calls_in_flight() -> None:
@@ -802,7 +802,7 @@
         for sock in (listener, *fillers):
             sock.close()
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 # Cancellation and backpressure
@@ -816,16 +816,16 @@
         peer = await upstream.peer()
         assert await peer.head() == MESSAGE
         call.cancel()
-        assert await peer.rest() == b""
+        assert await peer.read_to_close() == b""
         await until(lambda: connections.open == 0)
-        assert recorder.told == ["written"] and call.done
+        assert recorder.events == ["written"] and call.done
         assert connections.busy(upstream.address) == 0
         call.cancel()
         call.pause()
         call.resume()
         connections.close()
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_cancel_while_connecting_sends_nothing_and_keeps_the_connection() -> None:
@@ -836,10 +836,10 @@
         assert connections.busy(upstream.address) == 0
         await until(lambda: connections.idle(upstream.address) == 1)
         assert (await send_request(connections, upstream)).body == b"ok"
-        assert connections.opened == 1 and recorder.told == []
+        assert connections.opened == 1 and recorder.events == []
         connections.close()
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 @pytest.mark.parametrize("at", ["head", "data"])
@@ -848,13 +848,13 @@
         call: Call
 
         def on_head(self, *what: object) -> None:
-            self.told.append("head")
+            self.events.append("head")
             if at == "head":
                 self.call.cancel()
                 self.finished.set()
 
         def on_data(self, data: bytes) -> None:
-            self.told.append("data")
+            self.events.append("data")
             self.call.cancel()
             self.finished.set()
 
@@ -864,10 +864,10 @@
         canceller.call = connections.send(upstream.address, MESSAGE, canceller)
         await canceller.finished.wait()
         await until(lambda: connections.open == 0)
-        assert canceller.told[-1] == at and len(canceller.told) == (2 if at == "head" else 3)
+        assert canceller.events[-1] == at and len(canceller.events) == (2 if at == "head" else 3)
         connections.close()
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_call_started_in_on_end_reuses_the_connection() -> None:
@@ -885,7 +885,7 @@
         assert calls[0].reused and second.body == b"ok" and connections.opened == 1
         connections.close()
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_back_pressure_reaches_the_server() -> None:
@@ -904,10 +904,10 @@
         assert not drained.done() and len(recorder.body) < LARGE_BODY_BYTES
         call.resume()
         await recorder.finished.wait()
-        assert len(recorder.body) == LARGE_BODY_BYTES and recorder.told[-1] == "end"
+        assert len(recorder.body) == LARGE_BODY_BYTES and recorder.events[-1] == "end"
         peer.send(b"late")  # shows that reading has resumed
         await until(lambda: connections.open == 0)
         await drained
         connections.close()
 
-    play(scenario())
+    run_scenario(scenario())
--- a/tests/system/test_http_server.py
+++ b/tests/system/test_http_server.py
@@ -9,7 +9,7 @@
 
 from cloverrouter.http.connection import Stage
 from cloverrouter.http.server import Exchange, ServerLimits
-from tests.system.peers import Peer, play, serve, until
+from tests.system.peers import Peer, run_scenario, serve, until
 
 GET = b"GET /a?b=c HTTP/1.1\r\nHost: x\r\n\r\n"
 CHUNKED = b"POST /a HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\n"
@@ -44,7 +44,7 @@
         assert handler.exchanges[0].done
         server.close()
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_target_is_as_received() -> None:
@@ -56,7 +56,7 @@
         assert handler.exchanges[0].request.target == b"/%7Ea//b/../c?d=%20&e?f"
         server.close()
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 @pytest.mark.parametrize(
@@ -79,7 +79,7 @@
         assert all(exchange.request.header(b"t") is None for exchange in handler.exchanges)  # a trailer
         server.close()
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_byte_by_byte() -> None:
@@ -92,7 +92,7 @@
         assert (await peer.answer())[2] == b"hello"
         server.close()
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_pipelined_requests_are_handed_over_one_at_a_time() -> None:
@@ -111,7 +111,7 @@
         assert first.done and server.open_exchanges == 0
         server.close()
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_pipelined_requests_past_the_bound_wait_in_the_kernel() -> None:
@@ -122,8 +122,8 @@
         for _ in range(200):
             peer.send(post(body))
         await handler.request()
-        await until(lambda: server.deaf)
-        (connection,) = server.deaf
+        await until(lambda: server.reading_paused)
+        (connection,) = server.reading_paused
         reader = connection._reader
         assert reader is not None
         assert sum(len(request.body) for request in reader.ready) < 4 * len(body)
@@ -134,7 +134,7 @@
         assert len(handler.exchanges) == 200
         server.close()
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_disconnect_while_reading_is_paused_is_noticed() -> None:
@@ -142,14 +142,14 @@
         server, handler, address = await serve()
         peer = await Peer.connect(address)
         peer.send(GET * 1000)
-        await until(lambda: server.deaf)
+        await until(lambda: server.reading_paused)
         peer.close()
         await handler.wait_for_events("gone")
         assert len(handler.exchanges) == 1
         await until(lambda: server.connections == 0)
         server.close()
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_expected_continue_is_sent_before_the_body() -> None:
@@ -162,7 +162,7 @@
         assert (await peer.answer())[2] == b"ok"
         server.close()
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_expected_continue_waits_for_the_answer_before() -> None:
@@ -176,7 +176,7 @@
         assert await peer.head() == b"HTTP/1.1 100 Continue\r\n\r\n"
         server.close()
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 # Invalid requests
@@ -232,13 +232,13 @@
         peer.send(message)
         status, head, _ = await peer.answer()
         assert status == expected and b"Connection: close\r\n" in head
-        assert await peer.rest() == b""
+        assert await peer.read_to_close() == b""
         assert handler.exchanges == []
         peer.close()
         await until(lambda: server.connections == 0)
         server.close()
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_request_at_the_limits_is_accepted() -> None:
@@ -250,7 +250,7 @@
         assert handler.exchanges[0].request.header(b"a") == b"a" * 900
         server.close()
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_limits_are_replaceable() -> None:
@@ -264,7 +264,7 @@
         assert (await peer.answer())[0] == 413
         server.close()
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_error_reaches_a_client_that_is_still_sending() -> None:
@@ -278,10 +278,10 @@
         for _ in range(20):
             peer.send(b"a" * (LARGE_BODY_BYTES // 20))
             await peer.writer.drain()
-        assert await peer.rest() == b""
+        assert await peer.read_to_close() == b""
         server.close()
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_error_behind_an_open_request_cancels_it() -> None:
@@ -294,12 +294,12 @@
         exchange = await handler.request()
         peer.send(b"\x00\x01")
         assert (await peer.answer())[0] == 400
-        assert handler.told == ["gone"] and exchange.done
+        assert handler.events == ["gone"] and exchange.done
         exchange.respond(200)
-        assert await peer.rest() == b""
+        assert await peer.read_to_close() == b""
         server.close()
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_no_error_is_written_after_a_partial_answer() -> None:
@@ -313,10 +313,10 @@
         await peer.head()
         peer.send(b"\x00\x01")
         await handler.wait_for_events("gone")
-        assert b"HTTP" not in await peer.rest()
+        assert b"HTTP" not in await peer.read_to_close()
         server.close()
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_bytes_after_the_last_request_are_ignored() -> None:
@@ -326,29 +326,29 @@
         peer.send(post(b"last", b"Connection: close\r\n") + GET + b"\x00")
         status, head, body = await peer.answer()
         assert (status, body) == (200, b"last") and b"Connection: close\r\n" in head
-        assert await peer.rest() == b""
+        assert await peer.read_to_close() == b""
         assert len(handler.exchanges) == 1
         server.close()
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_unfinished_bodies_are_bounded_together() -> None:
     async def scenario() -> None:
-        server, handler, address = await serve(echo, held_bytes=50_000)
+        server, handler, address = await serve(echo, incomplete_bytes=50_000)
         first, second = await Peer.connect(address), await Peer.connect(address)
         message = post(b"a" * 40_000)
         first.send(message[:-1])
-        await until(lambda: server.held_bytes == 39_999)
+        await until(lambda: server.incomplete_bytes == 39_999)
         second.send(message[:-1])
         assert (await second.answer())[0] == 503
-        assert server.held_bytes == 39_999
+        assert server.incomplete_bytes == 39_999
         first.send(message[-1:])
         assert (await first.answer())[0] == 200
-        assert server.held_bytes == 0 and len(handler.exchanges) == 1
+        assert server.incomplete_bytes == 0 and len(handler.exchanges) == 1
         server.close()
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 # Timeouts
@@ -361,10 +361,10 @@
         peer.send(GET[:-2])
         status, head, _ = await peer.answer()
         assert status == 408 and b"Connection: close\r\n" in head
-        assert await peer.rest() == b"" and handler.exchanges == []
+        assert await peer.read_to_close() == b"" and handler.exchanges == []
         server.close()
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_slow_head_of_a_later_request_ends_with_408() -> None:
@@ -376,7 +376,7 @@
         assert (await peer.answer())[0] == 408
         server.close()
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_slow_body_ends_with_408() -> None:
@@ -385,10 +385,10 @@
         peer = await Peer.connect(address)
         peer.send(post(b"body")[:-1])
         assert (await peer.answer())[0] == 408
-        assert await peer.rest() == b"" and handler.exchanges == []
+        assert await peer.read_to_close() == b"" and handler.exchanges == []
         server.close()
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_idle_connections_are_closed_without_a_response() -> None:
@@ -397,11 +397,11 @@
         silent, asked = await Peer.connect(address), await Peer.connect(address)
         asked.send(GET)
         assert (await asked.answer())[0] == 200
-        assert await asked.rest() == b"" and await silent.rest() == b""
+        assert await asked.read_to_close() == b"" and await silent.read_to_close() == b""
         await until(lambda: server.connections == 0)
         server.close()
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_open_request_has_no_timeout_in_the_server() -> None:
@@ -412,12 +412,12 @@
         peer, silent = await Peer.connect(address), await Peer.connect(address)
         peer.send(GET)
         exchange = await handler.request()
-        assert await silent.rest() == b""  # the server has enforced its timeouts
+        assert await silent.read_to_close() == b""  # the server has enforced its timeouts
         exchange.respond(200)
         assert (await peer.answer())[0] == 200
         server.close()
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 # Responses
@@ -440,7 +440,7 @@
         assert (await peer.answer())[0] == 204
         server.close()
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_answer_of_unknown_length_comes_in_chunks() -> None:
@@ -462,7 +462,7 @@
         assert (await peer.answer())[0] == 200
         server.close()
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_answer_of_unknown_length_to_an_old_client_ends_with_the_connection() -> None:
@@ -476,10 +476,10 @@
         exchange.write(b"one")
         exchange.end()
         assert b"Connection: close\r\n" in await peer.head()
-        assert await peer.rest() == b"one"
+        assert await peer.read_to_close() == b"one"
         server.close()
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_half_an_answer_to_an_old_client_ends_with_a_reset() -> None:
@@ -494,11 +494,11 @@
         assert await peer.reader.readexactly(3) == b"one"
         exchange.abort()
         with pytest.raises(ConnectionResetError):
-            await peer.rest()
-        assert handler.told == []  # the handler that aborts is not notified
+            await peer.read_to_close()
+        assert handler.events == []  # the handler that aborts is not notified
         server.close()
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_half_an_answer_in_chunks_has_no_last_chunk() -> None:
@@ -513,10 +513,10 @@
         exchange.write(b"two")
         exchange.abort()
         exchange.end()
-        assert await peer.rest() == b"3\r\none\r\n3\r\ntwo\r\n"
+        assert await peer.read_to_close() == b"3\r\none\r\n3\r\ntwo\r\n"
         server.close()
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 @pytest.mark.parametrize("pieces", [[b"abc"], [b"abcd", b"e"]])
@@ -530,13 +530,13 @@
         for piece in pieces:
             exchange.write(piece)
         exchange.end()
-        head, _, body = (await peer.rest()).partition(b"\r\n\r\n")
+        head, _, body = (await peer.read_to_close()).partition(b"\r\n\r\n")
         assert head.startswith(b"HTTP/1.1 200")
         assert b"abcd".startswith(body)  # the client would read any excess as the next response
         assert exchange.done and len(handler.exchanges) == 1
         server.close()
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_http_1_0_keep_alive_is_confirmed() -> None:
@@ -548,10 +548,10 @@
             assert b"Connection: keep-alive\r\n" in (await peer.answer())[1]
         peer.send(b"GET /a HTTP/1.0\r\n\r\n")
         assert b"Connection: close\r\n" in (await peer.answer())[1]
-        assert await peer.rest() == b""
+        assert await peer.read_to_close() == b""
         server.close()
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_no_body_where_none_may_come() -> None:
@@ -578,7 +578,7 @@
         assert b"204" in await peer.head()
         server.close()
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_only_one_answer_goes_out() -> None:
@@ -593,10 +593,10 @@
         exchange.write(b"x")
         exchange.end()
         assert (await peer.answer())[2] == b"one"
-        assert await peer.rest() == b""
+        assert await peer.read_to_close() == b""
         server.close()
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_no_answer_goes_out_within_another() -> None:
@@ -614,7 +614,7 @@
         assert (await peer.answer())[2] == b"abcd"
         server.close()
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_handler_that_fails_is_a_500() -> None:
@@ -626,10 +626,10 @@
         peer = await Peer.connect(address)
         peer.send(GET)
         assert (await peer.answer())[0] == 500
-        assert await peer.rest() == b""
+        assert await peer.read_to_close() == b""
         server.close()
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_handler_that_fails_in_an_answer_cuts_it() -> None:
@@ -641,10 +641,10 @@
         server, _, address = await serve(fail)
         peer = await Peer.connect(address)
         peer.send(GET)
-        assert b"500" not in await peer.rest()
+        assert b"500" not in await peer.read_to_close()
         server.close()
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_back_pressure_of_the_client_is_reported() -> None:
@@ -656,7 +656,7 @@
         exchange.begin(200, [], LARGE_BODY_BYTES)
         exchange.write(b"a" * (LARGE_BODY_BYTES - 1))
         await until(lambda: exchange.paused)
-        assert handler.told == ["pause"]
+        assert handler.events == ["pause"]
         assert server.open_exchanges == 1
         await peer.head()
         assert len(await peer.reader.readexactly(LARGE_BODY_BYTES - 1)) == LARGE_BODY_BYTES - 1
@@ -667,7 +667,7 @@
         assert await peer.reader.readexactly(1) == b"a"
         server.close()
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_next_request_waits_until_the_answer_is_taken_up() -> None:
@@ -684,7 +684,7 @@
         assert (await peer.answer())[0] == 200
         server.close()
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 # Disconnecting clients
@@ -701,19 +701,19 @@
         if begun:
             exchange.begin(200, [], None)
             await peer.head()
-        assert not exchange.gone()
+        assert not exchange.client_gone()
         leave(peer)  # type: ignore[operator]
         await handler.wait_for_events("gone")
-        assert exchange.gone() and exchange.done
+        assert exchange.client_gone() and exchange.done
         exchange.write(b"x")
         exchange.end()
         exchange.respond(200)
         exchange.abort()
         await until(lambda: server.connections == 0)
-        assert handler.told == ["gone"] and len(handler.exchanges) == 1 and server.open_exchanges == 0
+        assert handler.events == ["gone"] and len(handler.exchanges) == 1 and server.open_exchanges == 0
         server.close()
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_disconnect_is_seen_before_the_loop_reports_it() -> None:
@@ -722,14 +722,14 @@
         with socket.create_connection(address) as client:
             client.sendall(GET)
             exchange = await handler.request()
-            assert not exchange.gone()
+            assert not exchange.client_gone()
             client.sendall(b"G")  # the end of input follows unread bytes
             client.shutdown(socket.SHUT_WR)
-            assert exchange.gone() and handler.told == []
+            assert exchange.client_gone() and handler.events == []
             await handler.wait_for_events("gone")
         server.close()
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_disconnect_after_the_answer_is_not_reported() -> None:
@@ -740,10 +740,10 @@
         await peer.answer()
         peer.close()
         await until(lambda: server.connections == 0)
-        assert handler.told == []
+        assert handler.events == []
         server.close()
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_data_of_a_connection_stays_with_it() -> None:
@@ -759,7 +759,7 @@
         assert (await handler.request(1)).data == {"key": "value"}
         server.close()
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 # Shutdown and connection limit
@@ -783,7 +783,7 @@
         assert server.open_exchanges == 0
         server.close()
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_drain_ends_connections_with_their_answers() -> None:
@@ -797,10 +797,10 @@
         (await handler.request(1)).respond(200)
         assert b"Connection" not in (await idle.answer())[1]
         server.drain()
-        assert await idle.rest() == b""
+        assert await idle.read_to_close() == b""
         exchange.respond(200)
         assert b"Connection: close\r\n" in (await busy.answer())[1]
-        assert await busy.rest() == b""
+        assert await busy.read_to_close() == b""
         half.send(GET[20:])
         (await handler.request(2)).respond(200)
         assert b"Connection: close\r\n" in (await half.answer())[1]
@@ -816,7 +816,7 @@
         await until(lambda: server.connections == 0)
         server.close()
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_drain_ends_a_connection_with_the_last_of_what_waits_on_it() -> None:
@@ -830,10 +830,10 @@
         assert b"Connection" not in (await peer.answer())[1]
         (await handler.request(1)).respond(200)
         assert b"Connection: close\r\n" in (await peer.answer())[1]
-        assert await peer.rest() == b""
+        assert await peer.read_to_close() == b""
         server.close()
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_drain_closes_connections_without_a_request() -> None:
@@ -842,10 +842,10 @@
         peer = await Peer.connect(address)
         await until(lambda: server.connections == 1)
         server.drain()
-        assert await peer.rest() == b""
+        assert await peer.read_to_close() == b""
         server.close()
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_close_ends_everything_at_once() -> None:
@@ -856,10 +856,10 @@
         await handler.request()
         await until(lambda: server.connections == 2)
         server.close()
-        assert await peer.rest() == b"" and await silent.rest() == b""
-        assert handler.told == ["gone"] and server.connections == 0
+        assert await peer.read_to_close() == b"" and await silent.read_to_close() == b""
+        assert handler.events == ["gone"] and server.connections == 0
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_idle_connection_makes_room_for_a_new_one() -> None:
@@ -872,12 +872,12 @@
         new = await Peer.connect(address)
         new.send(GET)
         assert (await new.answer())[0] == 200
-        assert await idle.rest() == b""
+        assert await idle.read_to_close() == b""
         other.send(GET)
         assert (await other.answer())[0] == 200
         server.close()
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_connection_over_the_limit_gets_503() -> None:
@@ -893,7 +893,7 @@
         assert (await busy.answer())[0] == 200
         server.close()
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_many_idle_connections_end_with_their_answers() -> None:
@@ -907,7 +907,7 @@
         assert [b"Connection: close" in head for head in heads] == [False, False, True]
         server.close()
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_connections_without_input_have_no_parser() -> None:
@@ -920,4 +920,4 @@
         peer.close()
         server.close()
 
-    play(scenario())
+    run_scenario(scenario())
--- a/tests/system/test_pages_node.py
+++ b/tests/system/test_pages_node.py
@@ -19,7 +19,7 @@
 from cloverrouter.daemon.traffic import BODY_TIMEOUT_S, Traffic
 from cloverrouter.http.server import Server, ServerLimits
 from tests.system.no_signals import NoSignals
-from tests.system.peers import LONG_S, Peer, Upstream, play, until
+from tests.system.peers import TEST_TIMEOUT_S, Peer, Upstream, run_scenario, until
 from tests.system.router_world import CONFIGURATION
 from tests.system.router_world import World as RouterWorld
 
@@ -93,9 +93,9 @@
         node.stop()
         assert await readiness(told) == 503
         assert await readiness(told) == 503
-        assert await asyncio.wait_for(running, LONG_S) == 0
+        assert await asyncio.wait_for(running, TEST_TIMEOUT_S) == 0
 
-    play(scene())
+    run_scenario(scene())
 
 
 def test_a_process_that_is_told_to_end_while_it_starts_ends() -> None:
@@ -103,9 +103,9 @@
         node = Node(settings("127.77.1.3"), "none.toml", NoSignals())
         running = asyncio.create_task(node.run())
         node.stop()
-        assert await asyncio.wait_for(running, LONG_S) == 0
+        assert await asyncio.wait_for(running, TEST_TIMEOUT_S) == 0
 
-    play(scene())
+    run_scenario(scene())
 
 
 # DENIED: without a configuration its limits are not known either
@@ -135,7 +135,7 @@
         node.stop()
         await running
 
-    play(scene())
+    run_scenario(scene())
 
 
 def test_limits_told_before_clients_are_served_hold_for_them() -> None:
@@ -147,7 +147,7 @@
         traffic.serve_clients(server)
         assert server.limits == ServerLimits(900, 800, 0.7, BODY_TIMEOUT_S, 0.6, max_connections=50)
 
-    play(scene())
+    run_scenario(scene())
 
 
 # LOST: at SIGHUP
@@ -183,4 +183,4 @@
         node.stop()
         await running
 
-    play(scene())
+    run_scenario(scene())
--- a/tests/system/test_pages_wire.py
+++ b/tests/system/test_pages_wire.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from tests.system.peers import Peer, play, until
+from tests.system.peers import Peer, run_scenario, until
 from tests.system.wire_world import WireWorld, head, request
 
 AT_MOST_S = 0.5
@@ -27,7 +27,7 @@
     loop = asyncio.get_running_loop()
     began = loop.time()
     with suppress(ConnectionResetError):
-        assert await peer.rest() == b""
+        assert await peer.read_to_close() == b""
     assert loop.time() - began < AT_MOST_S
 
 
@@ -57,7 +57,7 @@
         assert world.router.in_flight == 0 and len(world.upstream.peers) == 1
         world.close()
 
-    play(scene())
+    run_scenario(scene())
 
 
 @pytest.mark.parametrize("leave", LEAVING)
@@ -76,7 +76,7 @@
         assert world.router.in_flight == 0 and len(world.upstream.peers) == 1
         world.close()
 
-    play(scene())
+    run_scenario(scene())
 
 
 @pytest.mark.parametrize("leave", LEAVING)
@@ -89,14 +89,14 @@
         client.send(b"".join(request("/again/x", b"t%d" % number) for number in range(1, 30)))
         server = await world.upstream.peer()
         await server.head()
-        await until(lambda: world.server.deaf)
+        await until(lambda: world.server.reading_paused)
         leave(client)
         await ends_soon(server)
         await until(lambda: world.server.connections == 0)
         assert len(world.upstream.peers) == 1 and world.router.in_flight == 0
         world.close()
 
-    play(scene())
+    run_scenario(scene())
 
 
 @pytest.mark.parametrize("leave", LEAVING)
@@ -114,7 +114,7 @@
         assert world.router.in_flight == 0
         world.close()
 
-    play(scene())
+    run_scenario(scene())
 
 
 # UNASKED: a server that answers before it has read a long body, and reads on
@@ -137,7 +137,7 @@
         assert len(rest) < len(LARGE)  # else this has shown nothing
         world.close()
 
-    play(scene())
+    run_scenario(scene())
 
 
 def test_behind_an_early_answer_the_next_request_follows_the_whole_body() -> None:
@@ -159,7 +159,7 @@
         assert await server.reader.readexactly(4) == b"next"
         world.close()
 
-    play(scene())
+    run_scenario(scene())
 
 
 # MIXED: answers without a length
@@ -181,7 +181,7 @@
         assert came.endswith(b"0\r\n\r\n") or b"Content-Length: %d\r\n" % size in came
         world.close()
 
-    play(scene())
+    run_scenario(scene())
 
 
 @pytest.mark.parametrize("path", ["/once/x", "/talk/x"])
@@ -206,7 +206,7 @@
         assert not came.endswith(b"0\r\n\r\n") and not came.startswith(b"HTTP/1.1 200")
         world.close()
 
-    play(scene())
+    run_scenario(scene())
 
 
 @pytest.mark.parametrize("path", ["/talk/x", "/resume/x"])
@@ -231,4 +231,4 @@
         assert is_whole or path == "/talk/x" or came.count(b"data:") == came.count(b"word\n\n")
         world.close()
 
-    play(scene())
+    run_scenario(scene())
--- a/tests/system/test_rest_limits.py
+++ b/tests/system/test_reuse_limits.py
@@ -5,7 +5,7 @@
 import math
 
 from cloverrouter.http.client import ConnectionPool, Failure
-from cloverrouter.http.rest import LIMIT_DURATION_S, ReuseLimits
+from cloverrouter.http.reuse import LIMIT_DURATION_S, ReuseLimits
 from cloverrouter.placement.idle_resets import (
     MIN_REPORTERS,
     REPORT_INTERVAL_S,
@@ -14,7 +14,7 @@
     IdleResetReporter,
 )
 from cloverrouter.placement.trouble_messages import RestReport
-from tests.system.peers import RecordingListener, Upstream, play
+from tests.system.peers import RecordingListener, Upstream, run_scenario
 
 NOW = 50.0
 MESSAGE = b"POST /a HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n"
@@ -128,4 +128,4 @@
         assert connections.idle(upstream.address) == 0
         connections.close()
 
-    play(scenario())
+    run_scenario(scenario())
--- a/tests/system/wire_world.py
+++ b/tests/system/wire_world.py
@@ -50,7 +50,7 @@
         listed = ListedServer("desk-0", "desk", self.upstream.address, "east", 12, True)
         self.router.servers_changed([listed])
         self.server = Server(
-            self.router.handle, ServerLimits(body_bytes=LARGEST_BODY, held_bytes=LARGEST_BODY)
+            self.router.handle, ServerLimits(body_bytes=LARGEST_BODY, incomplete_bytes=LARGEST_BODY)
         )
         self.address: Address = await self.server.listen("127.0.0.1", 0)
         return self
@@ -62,7 +62,7 @@
     @property
     def stuck(self) -> bool:
         """Whether a client doesn't read its answer."""
-        return any(connection.paused for connection in self.server._stages[Stage.STUCK])
+        return any(connection.paused for connection in self.server._stages[Stage.WRITE_BLOCKED])
 
     @property
     def heard(self) -> bool:
--- a/tests/test_closing.py
+++ b/tests/test_closing.py
@@ -220,7 +220,7 @@
             first = await it.client()
             first.send("/unsafe", timeout_ms=30_000)
             await host.wait(lambda: len(host.seen) == 1)
-            it.front.accept_no_more()
+            it.front.stop_accepting()
             second = await plain_client(it, ask())
             it.front._accept(it.front.listener)
             got, orderly = await all_of(second)
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -317,7 +317,7 @@
             (connection,) = it.upstream.connections
             # It rests, and has settled: the next request would go out at once.
             await until(lambda: it.upstream.loop.time() > connection.idle_since + SETTLE_S)
-            it.front.accept_no_more()
+            it.front.stop_accepting()
             with socket.create_connection(it.address) as gone:
                 gone.sendall(b"POST /unsafe HTTP/1.1\r\nX-Request-ID: gone\r\nContent-Length: 0\r\n\r\n")
             it.front._accept(it.front.listener)
