--- a/cloverrouter/router/active_request.py
+++ b/cloverrouter/router/active_request.py
@@ -56,7 +56,7 @@
             self._message_head += b"last-event-id: %b\r\n" % last_id
         deadline_wait_s = admitted.deadline - router.clock() + router.bounds.deadline_grace_ms / 1000
         self._deadline_timer = router.call_later(max(0.0, deadline_wait_s), self._on_deadline)
-        exchange.on_gone = self._on_client_gone
+        exchange.on_disconnect = self._on_client_gone
         exchange.on_pause = self._pause_attempt
         exchange.on_resume = self._resume_attempt
 
@@ -81,7 +81,7 @@
     def _try_send(self) -> None:
         """Sends the request if a server is available and the quota, the budget and the time left allow it."""
         self._retry_timer = None
-        if self._retry_state.sends and self.exchange.gone():
+        if self._retry_state.sends and self.exchange.client_gone():
             self._on_client_gone()
             return
         if not has_time(self._time_left_ms()) or not self._may_send():
@@ -190,7 +190,7 @@
         None if it must not be sent any more."""
         if attempt.is_over or not attempt.server_state.ready:
             return None
-        if not has_time(self._time_left_ms()) or self.exchange.gone():
+        if not has_time(self._time_left_ms()) or self.exchange.client_gone():
             return None
         return self._encode_message(attempt.server_state)
 
@@ -372,7 +372,7 @@
         if attempt is not None and not attempt.is_over:
             attempt.cancel()
             self._record.attempt_ended("given up")
-        self.exchange.on_gone = self.exchange.on_pause = self.exchange.on_resume = None
+        self.exchange.on_disconnect = self.exchange.on_pause = self.exchange.on_resume = None
         self._router.on_finished(self)
 
     def _stop_hang_detection(self) -> None:
--- a/cloverrouter/router/request_host.py
+++ b/cloverrouter/router/request_host.py
@@ -78,9 +78,9 @@
         ...
 
     def send(
-        self, attempt: Attempt, message: bytes, request_id: bytes, renewed: Callable[[], bytes | None]
+        self, attempt: Attempt, message: bytes, request_id: bytes, refresh: Callable[[], bytes | None]
     ) -> Call:
-        """Starts a send; `renewed` returns the message for a connection that was established later, or
+        """Starts a send; `refresh` returns the message for a connection that was established later, or
         None if the send is no longer wanted."""
         ...
 
--- a/cloverrouter/router/router.py
+++ b/cloverrouter/router/router.py
@@ -261,12 +261,12 @@
         return self._attempt_count
 
     def send(
-        self, attempt: Attempt, message: bytes, request_id: bytes, renewed: Callable[[], bytes | None]
+        self, attempt: Attempt, message: bytes, request_id: bytes, refresh: Callable[[], bytes | None]
     ) -> Call:
-        """Starts a send; `renewed` returns the message for a connection that was established later, or
+        """Starts a send; `refresh` returns the message for a connection that was established later, or
         None if the send is no longer wanted."""
         address = attempt.server_state.server.address
-        return self._pool.send(address, message, attempt, request_id, ATTEMPT_ID, renewed)
+        return self._pool.send(address, message, attempt, request_id, ATTEMPT_ID, refresh)
 
     def charge_quota(self, admitted: AdmittedRequest, again: bool) -> float:
         """Charges a request against its tenant's quota, if it has one: returns 0.0, or the seconds after
--- a/tests/system/test_pages_wire.py
+++ b/tests/system/test_pages_wire.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from tests.system.peers import Peer, play, until
+from tests.system.peers import Peer, run_scenario, until
 from tests.system.wire_world import WireWorld, head, request
 
 MAX_DELAY_S = 0.5
@@ -28,7 +28,7 @@
     loop = asyncio.get_running_loop()
     started_at = loop.time()
     with suppress(ConnectionResetError):
-        assert await peer.rest() == b""
+        assert await peer.read_to_close() == b""
     assert loop.time() - started_at < MAX_DELAY_S
 
 
@@ -58,7 +58,7 @@
         assert world.router.in_flight == 0 and len(world.upstream.peers) == 1
         world.close()
 
-    play(scene())
+    run_scenario(scene())
 
 
 @pytest.mark.parametrize("leave", LEAVING)
@@ -77,7 +77,7 @@
         assert world.router.in_flight == 0 and len(world.upstream.peers) == 1
         world.close()
 
-    play(scene())
+    run_scenario(scene())
 
 
 @pytest.mark.parametrize("leave", LEAVING)
@@ -90,14 +90,14 @@
         client.send(b"".join(request("/again/x", b"t%d" % number) for number in range(1, 30)))
         server = await world.upstream.peer()
         await server.head()
-        await until(lambda: world.server.deaf)
+        await until(lambda: world.server.reading_paused)
         leave(client)
         await assert_ends_soon(server)
         await until(lambda: world.server.connections == 0)
         assert len(world.upstream.peers) == 1 and world.router.in_flight == 0
         world.close()
 
-    play(scene())
+    run_scenario(scene())
 
 
 @pytest.mark.parametrize("leave", LEAVING)
@@ -115,7 +115,7 @@
         assert world.router.in_flight == 0
         world.close()
 
-    play(scene())
+    run_scenario(scene())
 
 
 # Servers that answer before they have read a long body, and keep reading
@@ -138,7 +138,7 @@
         assert len(rest) < len(LARGE_BODY)  # otherwise the body was not cut off
         world.close()
 
-    play(scene())
+    run_scenario(scene())
 
 
 def test_behind_an_early_answer_the_next_request_follows_the_whole_body() -> None:
@@ -160,7 +160,7 @@
         assert await server.reader.readexactly(4) == b"next"
         world.close()
 
-    play(scene())
+    run_scenario(scene())
 
 
 # Answers without a length
@@ -182,7 +182,7 @@
         assert received.endswith(b"0\r\n\r\n") or b"Content-Length: %d\r\n" % size in received
         world.close()
 
-    play(scene())
+    run_scenario(scene())
 
 
 @pytest.mark.parametrize("path", ["/once/x", "/talk/x"])
@@ -207,7 +207,7 @@
         assert not received.endswith(b"0\r\n\r\n") and not received.startswith(b"HTTP/1.1 200")
         world.close()
 
-    play(scene())
+    run_scenario(scene())
 
 
 @pytest.mark.parametrize("path", ["/talk/x", "/resume/x"])
@@ -232,4 +232,4 @@
         assert is_whole or path == "/talk/x" or received.count(b"data:") == received.count(b"word\n\n")
         world.close()
 
-    play(scene())
+    run_scenario(scene())
--- a/tests/system/wire_world.py
+++ b/tests/system/wire_world.py
@@ -50,7 +50,8 @@
         listed = ListedServer("desk-0", "desk", self.upstream.address, "east", 12, True)
         self.router.servers_changed([listed])
         self.server = Server(
-            self.router.handle, ServerLimits(body_bytes=LARGEST_BODY_BYTES, held_bytes=LARGEST_BODY_BYTES)
+            self.router.handle,
+            ServerLimits(body_bytes=LARGEST_BODY_BYTES, incomplete_bytes=LARGEST_BODY_BYTES),
         )
         self.address: Address = await self.server.listen("127.0.0.1", 0)
         return self
@@ -62,7 +63,7 @@
     @property
     def has_blocked_client(self) -> bool:
         """Whether a client doesn't read its answer."""
-        return any(connection.paused for connection in self.server._stages[Stage.STUCK])
+        return any(connection.paused for connection in self.server._stages[Stage.WRITE_BLOCKED])
 
     @property
     def has_answer_data(self) -> bool:
