--- a/cloverrouter/control/distribution_messages.py
+++ b/cloverrouter/control/distribution_messages.py
@@ -59,7 +59,7 @@
 class Part:
     """A part of a snapshot taken at `sequence`, or of the update of that number.
 
-    `total` and `checksum` (CRC-32) are those of the whole as it is sent: `packing` 0 plain, 1 deflated.
+    `total` and `checksum` (CRC-32) are those of the whole as it is sent: `encoding` 0 plain, 1 deflated.
     """
 
     sequence: int
@@ -67,7 +67,7 @@
     offset: int
     total: int
     checksum: int
-    packing: int
+    encoding: int
     data: bytes
 
 
--- a/cloverrouter/control/publisher.py
+++ b/cloverrouter/control/publisher.py
@@ -22,12 +22,12 @@
 WINDOW_COUNT = 256
 WINDOW_BYTES = 2 * 1024 * 1024
 PUSH_BYTES = 256 * 1024
-SHORTEST_OFFER_PERIOD = 0.5
-LONGEST_OFFER_PERIOD = 1.0
-OFFERS_A_SECOND = 200
-SUBSCRIPTION_EXPIRES = 7.0
-COUNTING_TIME = 3.0
-PACKAGES_KEPT = 3
+MIN_OFFER_PERIOD_S = 0.5
+MAX_OFFER_PERIOD_S = 1.0
+MAX_OFFERS_PER_S = 200
+SUBSCRIPTION_EXPIRY_S = 7.0
+COUNTING_DELAY_S = 3.0
+MAX_CACHED_PACKAGES = 3
 
 
 @attrs.frozen(slots=True)
@@ -39,10 +39,10 @@
 
 @attrs.define(slots=True)
 class _Subscription:
-    heard_at: float
+    last_message_at: float
     acknowledged: int = NOTHING
     wants_push: bool = False
-    pushed: int = NOTHING
+    last_pushed: int = NOTHING
 
 
 Effect = Send | SnapshotWanted
@@ -64,7 +64,7 @@
         self._newest = NOTHING
         self._subscriptions: dict[str, _Subscription] = {}
         self._packages: dict[tuple[int, bool], Package] = {}
-        self._wait_for_snapshot: set[str] = set()
+        self._awaiting_snapshot: set[str] = set()
         self._counts_from = 0.0
         self._fleet_size = FleetSize()
         self._next_offer = 0.0
@@ -84,7 +84,7 @@
 
     def start(self, now: float, remembered: int = 0) -> list[Effect]:
         """Subscribers are counted after a while. `remembered`: how many there were when this voter ended."""
-        self._counts_from = now + COUNTING_TIME
+        self._counts_from = now + COUNTING_DELAY_S
         self._fleet_size.record_count(now, remembered)
         return []
 
@@ -113,14 +113,14 @@
         self._window_bytes += len(update)
         self._newest = sequence
         effects = self._trim()
-        return effects + [self._tell(now, ip, each) for ip, each in self._subscriptions.items()]
+        return effects + [self._push_or_offer(now, ip, each) for ip, each in self._subscriptions.items()]
 
     def restored(self, now: float, sequence: int, snapshot: bytes) -> list[Effect]:
         """The committed state as of `sequence`, at the start, after a transfer, or because it was wanted."""
         if self._snapshot is not None and sequence <= self._snapshot[0]:
             return []
         self._snapshot = (sequence, snapshot)
-        waiting, self._wait_for_snapshot = self._wait_for_snapshot, set()
+        waiting, self._awaiting_snapshot = self._awaiting_snapshot, set()
         effects: list[Effect] = []
         if sequence > self._newest:
             self._updates.clear()
@@ -128,7 +128,7 @@
             self._newest = sequence
             effects += [self._offer(now, ip) for ip in self._subscriptions if ip not in waiting]
         for ip in waiting:
-            effects += self._snapshot_pulled(ip)
+            effects += self._send_snapshot(ip)
         return effects
 
     def tick(self, now: float) -> list[Effect]:
@@ -145,48 +145,51 @@
         """A subscriber's message."""
         match message:
             case Subscribe():
-                return self._subscribed(now, ip, message)
+                return self._handle_subscribe(now, ip, message)
             case Acknowledge():
                 subscription = self._subscription(now, ip)
                 subscription.acknowledged = max(subscription.acknowledged, message.sequence)
             case Pull():
                 self._subscription(now, ip)
-                return self._pulled(now, ip, message.have)
+                return self._answer_pull(now, ip, message.have)
             case PullPart():
                 self._subscription(now, ip)
                 return self._part_pulled(now, ip, message)
         return []
 
-    def _subscribed(self, now: float, ip: str, message: Subscribe) -> list[Effect]:
+    def _handle_subscribe(self, now: float, ip: str, message: Subscribe) -> list[Effect]:
         subscription = self._subscription(now, ip)
         if message.have < subscription.acknowledged:
-            subscription.pushed = NOTHING
+            subscription.last_pushed = NOTHING
         subscription.acknowledged = message.have
         subscription.wants_push = message.wants_push
         return [self._offer(now, ip)]
 
     def _subscription(self, now: float, ip: str) -> _Subscription:
         subscription = self._subscriptions.setdefault(ip, _Subscription(now))
-        subscription.heard_at = now
+        subscription.last_message_at = now
         return subscription
 
-    def _tell(self, now: float, ip: str, subscription: _Subscription) -> Send:
+    def _push_or_offer(self, now: float, ip: str, subscription: _Subscription) -> Send:
         """The newest update itself to those who have all before it and want it, an offer to the others."""
         sequence, update = self._updates[-1]
-        has_last = self._is_confirmed and sequence - 1 in (subscription.acknowledged, subscription.pushed)
-        if not (subscription.wants_push and has_last and len(update) <= PART_BYTES):
+        has_previous = self._is_confirmed and sequence - 1 in (
+            subscription.acknowledged,
+            subscription.last_pushed,
+        )
+        if not (subscription.wants_push and has_previous and len(update) <= PART_BYTES):
             return self._offer(now, ip)
         if self._bytes_after(subscription.acknowledged) > PUSH_BYTES:
             return self._offer(now, ip)
-        subscription.pushed = sequence
+        subscription.last_pushed = sequence
         return Send(ip, Delta(sequence, (update,), sequence))
 
-    def _pulled(self, now: float, ip: str, have: int) -> list[Effect]:
+    def _answer_pull(self, now: float, ip: str, have: int) -> list[Effect]:
         if have >= self._offered:
             return [self._offer(now, ip)]
         following = self._updates_after(have)
         if have == NOTHING or not following or self._is_snapshot_shorter(have):
-            return self._snapshot_pulled(ip)
+            return self._send_snapshot(ip)
         if len(following[0][1]) > PART_BYTES:
             return [Send(ip, self._package(following[0][0], False, following[0][1]).part(0))]
         subscription = self._subscriptions[ip]
@@ -196,12 +199,12 @@
             if size > PART_BYTES:
                 break
             updates.append(update)
-            subscription.pushed = sequence
+            subscription.last_pushed = sequence
         return [Send(ip, Delta(have + 1, tuple(updates), self._newest))]
 
-    def _snapshot_pulled(self, ip: str) -> list[Effect]:
-        if self._snapshot is None or not self._is_base(self._snapshot[0]):
-            self._wait_for_snapshot.add(ip)
+    def _send_snapshot(self, ip: str) -> list[Effect]:
+        if self._snapshot is None or not self._can_extend(self._snapshot[0]):
+            self._awaiting_snapshot.add(ip)
             return [SnapshotWanted()]
         sequence, snapshot = self._snapshot
         return [Send(ip, self._package(sequence, True, snapshot).part(0))]
@@ -211,7 +214,7 @@
             return [self._offer(now, ip)]
         package = self._package_again(message.sequence, message.is_snapshot)
         if package is None or not 0 <= message.offset < max(1, len(package.data)):
-            return self._pulled(now, ip, self._subscriptions[ip].acknowledged)
+            return self._answer_pull(now, ip, self._subscriptions[ip].acknowledged)
         return [Send(ip, package.part(message.offset))]
 
     def _package_again(self, sequence: int, is_snapshot: bool) -> Package | None:
@@ -233,7 +236,7 @@
         key = (sequence, is_snapshot)
         package = self._packages.pop(key, None) or pack(sequence, is_snapshot, data)
         self._packages[key] = package
-        while len(self._packages) > PACKAGES_KEPT:
+        while len(self._packages) > MAX_CACHED_PACKAGES:
             del self._packages[next(iter(self._packages))]
         return package
 
@@ -252,33 +255,37 @@
         return size
 
     def _is_snapshot_shorter(self, have: int) -> bool:
-        if self._snapshot is None or self._snapshot[0] <= have or not self._is_base(self._snapshot[0]):
+        if self._snapshot is None or self._snapshot[0] <= have or not self._can_extend(self._snapshot[0]):
             return False
         sequence, snapshot = self._snapshot
         return len(snapshot) + self._bytes_after(sequence) < self._bytes_after(have)
 
-    def _is_base(self, sequence: int) -> bool:
+    def _can_extend(self, sequence: int) -> bool:
         """True if the window holds everything after that."""
         return sequence == self._newest or bool(self._updates_after(sequence))
 
     def _trim(self) -> list[Effect]:
-        had_base = self._snapshot is not None and self._is_base(self._snapshot[0])
+        could_extend = self._snapshot is not None and self._can_extend(self._snapshot[0])
         while len(self._updates) > WINDOW_COUNT or (
             self._window_bytes > WINDOW_BYTES and len(self._updates) > 1
         ):
             self._window_bytes -= len(self._updates.popleft()[1])
-        has_base = self._snapshot is not None and self._is_base(self._snapshot[0])
-        return [SnapshotWanted()] if had_base and not has_base else []
+        can_extend = self._snapshot is not None and self._can_extend(self._snapshot[0])
+        return [SnapshotWanted()] if could_extend and not can_extend else []
 
     def _offer(self, now: float, ip: str) -> Send:
         every_ms = round(self._offer_period() * 1000)
         return Send(ip, Offer(self._offered, self.fleet_size(now), every_ms))
 
     def _offer_period(self) -> float:
-        period = len(self._subscriptions) / OFFERS_A_SECOND
-        return min(LONGEST_OFFER_PERIOD, max(SHORTEST_OFFER_PERIOD, period))
+        period = len(self._subscriptions) / MAX_OFFERS_PER_S
+        return min(MAX_OFFER_PERIOD_S, max(MIN_OFFER_PERIOD_S, period))
 
     def _expire(self, now: float) -> None:
-        late = [ip for ip, each in self._subscriptions.items() if now - each.heard_at > SUBSCRIPTION_EXPIRES]
+        late = [
+            ip
+            for ip, each in self._subscriptions.items()
+            if now - each.last_message_at > SUBSCRIPTION_EXPIRY_S
+        ]
         for ip in late:
             del self._subscriptions[ip]
--- a/cloverrouter/control/quota_duty.py
+++ b/cloverrouter/control/quota_duty.py
@@ -26,7 +26,7 @@
         self._fleet_size = 1
         self._allocator: QuotaAllocator | None = None
         self._epoch = -1
-        self._sure_until = float("-inf")
+        self._latest_lead_until = float("-inf")
 
     def configure(self, limits: Mapping[str, TenantLimit], fleet_size: int) -> None:
         """Limits in force from now on, and how many proxies there may be."""
@@ -52,8 +52,8 @@
             last, self._allocator = self._allocator, None
             if last is None:
                 return []
-            return [last.hand_over(min(now, self._sure_until), head, epoch)]
-        if self._allocator is not None and now < self._sure_until:
+            return [last.hand_over(min(now, self._latest_lead_until), head, epoch)]
+        if self._allocator is not None and now < self._latest_lead_until:
             self._allocator.next_epoch(epoch)
         else:
             self._allocator = self._begun_anew(now, epoch, read_note(), disk)
@@ -61,14 +61,14 @@
         return []
 
     def _begun_anew(
-        self, now: float, epoch: int, begins_with: Mapping[str, int] | None, disk: str | None
+        self, now: float, epoch: int, initial_tokens: Mapping[str, int] | None, disk: str | None
     ) -> QuotaAllocator:
         """An allocator. Where a note counts and this process never lent anything, it was an earlier process
         at this disk that lent last."""
-        lent_until = self._started if begins_with is not None and not self._has_allocated else None
+        lent_until = self._started if initial_tokens is not None and not self._has_allocated else None
         self._has_allocated = True
         reserves = Reserves(disk) if disk is not None else None
-        return QuotaAllocator(epoch, now, self._rules, begins_with, reserves, lent_until)
+        return QuotaAllocator(epoch, now, self._rules, initial_tokens, reserves, lent_until)
 
     def receive(self, now: float, lead_until: float | None, ip: str, message: object) -> list[Effect]:
         """A datagram of a proxy, or of an earlier head.
@@ -103,5 +103,5 @@
     def _leads(self, now: float, lead_until: float | None) -> bool:
         if lead_until is None:
             return False
-        self._sure_until = max(self._sure_until, lead_until)
+        self._latest_lead_until = max(self._latest_lead_until, lead_until)
         return now < lead_until
--- a/cloverrouter/control/quota_note.py
+++ b/cloverrouter/control/quota_note.py
@@ -18,10 +18,10 @@
 from cloverrouter.control.updates import decoded
 from cloverrouter.messages import MessageError, message
 
-AHEAD_S = 0.5  # of a pool's rate: what may be lent beyond the promise before another note is due
-LOOK_PERIOD_S = 0.2  # between looks at all pools; half of `AHEAD_S` lasts for longer
+LENDABLE_MARGIN_S = 0.5  # of a pool's rate: what may be lent beyond the promise before another note is due
+CHECK_PERIOD_S = 0.2  # between looks at all pools; half of `LENDABLE_MARGIN_S` lasts for longer
 RAISE_PERIOD_S = 1.0  # between notes that only promise more
-UNANSWERED_S = 0.12  # an ask that waits longer for a note is worth nothing
+MAX_ASK_WAIT_S = 0.12  # an ask that waits longer for a note is worth nothing
 
 
 @message(356)
@@ -74,56 +74,56 @@
         self._identity = identity
         self._durable: Mapping[str, int] = {}
         self._written: Mapping[str, int] = {}
-        self._under_way: QuotaNote | None = None
+        self._pending_note: QuotaNote | None = None
         self._epoch = -1
-        self._raised_at = self._looked_at = float("-inf")
-        self._pressed: set[str] = set()
+        self._last_raise_at = self._last_check_at = float("-inf")
+        self._release_requests: set[str] = set()
 
     def of(self, tenant: str) -> int:
         """Tokens of a tenant that may not be lent now."""
         return max(self._durable.get(tenant, 0), self._written.get(tenant, 0))
 
-    def press(self, tenant: str) -> None:
+    def request_release(self, tenant: str) -> None:
         """A request waits for tokens that are promised: the next note takes the promise back."""
-        self._pressed.add(tenant)
+        self._release_requests.add(tenant)
 
-    def looks(self, now: float) -> bool:
-        """Whether to ask now if a note is `due`: one is under way at a time."""
-        is_time = bool(self._pressed) or now - self._looked_at >= LOOK_PERIOD_S
-        return self._under_way is None and is_time
+    def is_check_due(self, now: float) -> bool:
+        """Whether to ask now if a note is `due_note`: one is under way at a time."""
+        is_time = bool(self._release_requests) or now - self._last_check_at >= CHECK_PERIOD_S
+        return self._pending_note is None and is_time
 
-    def due(self, now: float, epoch: int, pools: Mapping[str, TenantPool]) -> KeepNote | None:
+    def due_note(self, now: float, epoch: int, pools: Mapping[str, TenantPool]) -> KeepNote | None:
         """The note to write now, if any. The pools are filled up to now."""
-        self._looked_at = now
-        wanted = {name: self._wanted(name, pool) for name, pool in pools.items()}
+        self._last_check_at = now
+        wanted = {name: self._target_reserve(name, pool) for name, pool in pools.items()}
         is_urgent = any(wanted[name] < self._written.get(name, 0) for name in wanted)
-        may_raise = now - self._raised_at >= RAISE_PERIOD_S
+        may_raise = now - self._last_raise_at >= RAISE_PERIOD_S
         if not is_urgent and not (may_raise and (wanted != self._written or epoch != self._epoch)):
             return None
         if may_raise:
-            self._raised_at = now
+            self._last_raise_at = now
         else:
             wanted = {name: min(tokens, self._written.get(name, 0)) for name, tokens in wanted.items()}
         self._epoch = epoch
         self._written = wanted
-        self._pressed.clear()
-        self._under_way = QuotaNote(self._identity, epoch, dict(wanted))
-        return KeepNote(self._under_way)
+        self._release_requests.clear()
+        self._pending_note = QuotaNote(self._identity, epoch, dict(wanted))
+        return KeepNote(self._pending_note)
 
     def noted(self, note: QuotaNote) -> bool:
         """A note is on the disk; whether it is the one that was under way."""
-        if note != self._under_way:
+        if note != self._pending_note:
             return False
-        self._durable, self._under_way = self._written, None
+        self._durable, self._pending_note = self._written, None
         return True
 
-    def _wanted(self, name: str, pool: TenantPool) -> int:
+    def _target_reserve(self, name: str, pool: TenantPool) -> int:
         """What to promise of a pool: the same as before while that is about right."""
         before, left = self._written.get(name, 0), pool.left()
-        ahead = min(pool.plan.rate * AHEAD_S, pool.most_at_start() / 2)
-        if name in self._pressed:
+        margin = min(pool.plan.rate * LENDABLE_MARGIN_S, pool.max_initial_tokens() / 2)
+        if name in self._release_requests:
             return 0
-        best = int(max(min(left - ahead, pool.most_at_start()), 0.0))
-        is_low = before > 0 and left - before < ahead / 2
-        is_high = best - before > ahead / 2 or best == pool.most_at_start() > before
+        best = int(max(min(left - margin, pool.max_initial_tokens()), 0.0))
+        is_low = before > 0 and left - before < margin / 2
+        is_high = best - before > margin / 2 or best == pool.max_initial_tokens() > before
         return best if is_low or is_high else before
--- a/cloverrouter/control/transfer.py
+++ b/cloverrouter/control/transfer.py
@@ -9,10 +9,10 @@
 from cloverrouter.control.distribution_messages import DEFLATED, PLAIN, Part
 
 PART_BYTES = 64 * 1024
-PACK_FROM = 16 * 1024
-PACK_LEVEL = 1
+MIN_DEFLATE_BYTES = 16 * 1024
+DEFLATE_LEVEL = 1
 PARTS_IN_FLIGHT = 2
-MAX_TOTAL = 64 * 1024 * 1024
+MAX_TRANSFER_BYTES = 64 * 1024 * 1024
 
 
 @attrs.frozen(slots=True)
@@ -21,7 +21,7 @@
 
     sequence: int
     is_snapshot: bool
-    packing: int
+    encoding: int
     checksum: int
     data: bytes
 
@@ -29,39 +29,39 @@
         """The part at that offset; without data beyond the end."""
         data = self.data[offset : offset + PART_BYTES]
         return Part(
-            self.sequence, self.is_snapshot, offset, len(self.data), self.checksum, self.packing, data
+            self.sequence, self.is_snapshot, offset, len(self.data), self.checksum, self.encoding, data
         )
 
 
 def pack(sequence: int, is_snapshot: bool, data: bytes) -> Package:
     """The package of a snapshot or an update."""
-    packing, packed = PLAIN, data
-    if len(data) >= PACK_FROM:
-        deflated = zlib.compress(data, PACK_LEVEL)
+    encoding, packed = PLAIN, data
+    if len(data) >= MIN_DEFLATE_BYTES:
+        deflated = zlib.compress(data, DEFLATE_LEVEL)
         if len(deflated) < len(data):
-            packing, packed = DEFLATED, deflated
-    return Package(sequence, is_snapshot, packing, zlib.crc32(packed), packed)
+            encoding, packed = DEFLATED, deflated
+    return Package(sequence, is_snapshot, encoding, zlib.crc32(packed), packed)
 
 
 class Assembly:
     """The receiving end: parts put together, in whatever order they come."""
 
     def __init__(self, first: Part) -> None:
-        self._kind = _kind(first)
-        self._packing = first.packing
+        self._transfer_key = _transfer_key(first)
+        self._encoding = first.encoding
         self._parts: dict[int, bytes] = {}
         self.sequence = first.sequence
         self.is_snapshot = first.is_snapshot
         self.total = first.total
 
     @property
-    def is_whole(self) -> bool:
+    def is_complete(self) -> bool:
         """True if all parts are here."""
         return sum(len(data) for data in self._parts.values()) >= self.total
 
     def takes(self, part: Part) -> bool:
         """True if the part belongs to what is being put together."""
-        return _kind(part) == self._kind
+        return _transfer_key(part) == self._transfer_key
 
     def add(self, part: Part) -> None:
         """Takes a part in."""
@@ -75,23 +75,23 @@
     def content(self) -> bytes | None:
         """The whole, unpacked; None if its bytes are not what was sent."""
         data = b"".join(self._parts[offset] for offset in sorted(self._parts))
-        if len(data) != self.total or zlib.crc32(data) != self._kind[-1]:
+        if len(data) != self.total or zlib.crc32(data) != self._transfer_key[-1]:
             return None
         try:
-            return zlib.decompress(data) if self._packing == DEFLATED else data
+            return zlib.decompress(data) if self._encoding == DEFLATED else data
         except zlib.error:
             return None
 
 
-def is_sensible(part: Part) -> bool:
+def is_valid_part(part: Part) -> bool:
     """True if the part can belong to something whole."""
     return (
-        0 <= part.total <= MAX_TOTAL
+        0 <= part.total <= MAX_TRANSFER_BYTES
         and part.offset % PART_BYTES == 0
         and 0 <= part.offset <= part.total
         and len(part.data) == min(PART_BYTES, part.total - part.offset)
     )
 
 
-def _kind(part: Part) -> tuple[int, bool, int, int, int]:
-    return (part.sequence, part.is_snapshot, part.total, part.packing, part.checksum)
+def _transfer_key(part: Part) -> tuple[int, bool, int, int, int]:
+    return (part.sequence, part.is_snapshot, part.total, part.encoding, part.checksum)
--- a/cloverrouter/control/voter_choice.py
+++ b/cloverrouter/control/voter_choice.py
@@ -10,10 +10,10 @@
 
 from cloverrouter.control.distribution_messages import NOTHING, Offer
 
-LEASE = 1.5
-LEASE_PERIODS = 2.5
-PENALTY = 5.0
-MAY_BE_BEHIND = 1.0
+MIN_LEASE_S = 1.5
+LEASE_OFFER_PERIODS = 2.5
+FAILURE_PENALTY_S = 5.0
+MAX_LAG_S = 1.0
 
 
 @attrs.frozen(slots=True)
@@ -29,10 +29,10 @@
     zone: str
     rank: float
     newest: int = NOTHING
-    heard_at: float = -math.inf
-    told_at: float = -math.inf
+    last_message_at: float = -math.inf
+    last_report_at: float = -math.inf
     """When it told last what it has committed."""
-    lease: float = LEASE
+    lease: float = MIN_LEASE_S
     penalty_until: float = -math.inf
     behind_since: float = math.inf
 
@@ -52,29 +52,29 @@
     def __contains__(self, ip: object) -> bool:
         return ip in self._voters
 
-    def change(self, voters: Sequence[VoterAddress]) -> None:
+    def set_voters(self, voters: Sequence[VoterAddress]) -> None:
         """These are the voters now."""
         known = self._voters
         self._voters = {
             each.ip: known.get(each.ip) or _Voter(each.zone, self._random.random()) for each in voters
         }
 
-    def heard(self, now: float, ip: str) -> bool:
+    def record_message(self, now: float, ip: str) -> bool:
         """A message of the voter came; returns whether it was the first one after a silence."""
         voter = self._voters[ip]
-        is_back = not self._is_live(now, voter) and voter.heard_at > -math.inf
-        voter.heard_at = now
+        is_back = not self._is_live(now, voter) and voter.last_message_at > -math.inf
+        voter.last_message_at = now
         return is_back
 
-    def offered(self, now: float, ip: str, offer: Offer) -> None:
+    def record_offer(self, now: float, ip: str, offer: Offer) -> None:
         """The voter tells what it has, and how often it tells."""
         self.has(now, ip, offer.newest)
-        self._voters[ip].lease = max(LEASE, LEASE_PERIODS * offer.every_ms / 1000)
+        self._voters[ip].lease = max(MIN_LEASE_S, LEASE_OFFER_PERIODS * offer.every_ms / 1000)
 
     def has(self, now: float, ip: str, newest: int) -> None:
         """The voter has committed that much."""
         self._voters[ip].newest = max(self._voters[ip].newest, newest)
-        self._voters[ip].told_at = now
+        self._voters[ip].last_report_at = now
         newest_of_all = self.newest_of_all()
         for voter in self._voters.values():
             if voter.newest >= newest_of_all:
@@ -82,10 +82,10 @@
             else:
                 voter.behind_since = min(voter.behind_since, now)
 
-    def failed(self, now: float, ip: str) -> None:
+    def record_failure(self, now: float, ip: str) -> None:
         """The voter did not answer in time."""
         if ip in self._voters:
-            self._voters[ip].penalty_until = now + PENALTY
+            self._voters[ip].penalty_until = now + FAILURE_PENALTY_S
 
     def newest(self, ip: str) -> int:
         """What the voter has committed, as far as was heard."""
@@ -95,7 +95,7 @@
         """The newest committed sequence number heard of."""
         return max((voter.newest for voter in self._voters.values()), default=NOTHING)
 
-    def silent(self, now: float) -> list[str]:
+    def silent_voters(self, now: float) -> list[str]:
         """The voters whose leases have run out."""
         return [ip for ip, voter in self._voters.items() if not self._is_live(now, voter)]
 
@@ -103,26 +103,26 @@
         """True if more than half of the voters were heard of within their leases."""
         return 2 * sum(self._is_live(now, voter) for voter in self._voters.values()) > len(self._voters)
 
-    def told_by_majority_at(self) -> float:
+    def majority_report_at(self) -> float:
         """Since when more than half of the voters have told what they have; minus infinity without."""
-        latest_first = sorted([voter.told_at for voter in self._voters.values()], reverse=True)
+        latest_first = sorted([voter.last_report_at for voter in self._voters.values()], reverse=True)
         return latest_first[len(latest_first) // 2] if latest_first else -math.inf
 
-    def best(self, now: float, above: int | None = None) -> str | None:
+    def best_source(self, now: float, above: int | None = None) -> str | None:
         """The voter to fetch from: one in touch first, then this machine itself, its zone, and the rank it
         drew.
 
         With `above`, only of those that have committed more than that.
         """
         candidates = [ip for ip, voter in self._voters.items() if above is None or voter.newest > above]
-        return min(candidates, key=lambda ip: self._order(now, ip), default=None)
+        return min(candidates, key=lambda ip: self._preference(now, ip), default=None)
 
-    def _order(self, now: float, ip: str) -> tuple[bool, bool, bool, bool, float]:
+    def _preference(self, now: float, ip: str) -> tuple[bool, bool, bool, bool, float]:
         voter = self._voters[ip]
-        is_punished = now < voter.penalty_until or now - voter.behind_since > MAY_BE_BEHIND
+        is_avoided = now < voter.penalty_until or now - voter.behind_since > MAX_LAG_S
         is_far = voter.zone != self._own_zone
-        return (is_punished, not self._is_live(now, voter), ip != self._own_ip, is_far, voter.rank)
+        return (is_avoided, not self._is_live(now, voter), ip != self._own_ip, is_far, voter.rank)
 
     @staticmethod
     def _is_live(now: float, voter: _Voter) -> bool:
-        return now - voter.heard_at <= voter.lease
+        return now - voter.last_message_at <= voter.lease
--- a/tests/system/test_distribution.py
+++ b/tests/system/test_distribution.py
@@ -28,122 +28,122 @@
     PullPart,
     Subscribe,
 )
-from cloverrouter.control.transfer import PART_BYTES, Assembly, is_sensible, pack
+from cloverrouter.control.transfer import PART_BYTES, Assembly, is_valid_part, pack
 from tests.system.distribution_fleet import DistributionFleet, Machine, sends
 from tests.system.lossy_world import World
 
 
-def fleet(size: int = 11, seed: int = 1, loss: float = 0.0, state: bytes = b"0;") -> DistributionFleet:
+def make_fleet(size: int = 11, seed: int = 1, loss: float = 0.0, state: bytes = b"0;") -> DistributionFleet:
     world = World(seed, loss=loss)
-    made = DistributionFleet(world, size, state=state)
+    fleet = DistributionFleet(world, size, state=state)
     world.run(4)
-    return made
+    return fleet
 
 
 def test_all_machines_get_the_state_at_the_start() -> None:
     world = World(1)
-    made = DistributionFleet(world, 30)
+    fleet = DistributionFleet(world, 30)
     world.run(0.001)
-    assert world.run_until(made.all_have, limit=1) < 0.3
+    assert world.run_until(fleet.all_have, limit=1) < 0.3
 
 
 def test_a_change_is_pushed_to_all_in_one_trip() -> None:
-    made = fleet(size=30)
-    made.commit(b"1;")
-    assert made.world.run_until(made.all_have, limit=1) < 0.03
+    fleet = make_fleet(size=30)
+    fleet.commit(b"1;")
+    assert fleet.world.run_until(fleet.all_have, limit=1) < 0.03
 
 
 def test_changes_get_through_a_lossy_network() -> None:
     for seed in range(5):
-        made = fleet(seed=seed, loss=0.2)
+        fleet = make_fleet(seed=seed, loss=0.2)
         for number in range(5):
-            made.commit(b"%d;" % number)
-            made.world.run(made.world.now + 0.3)
-        made.world.run(made.world.now + 3)
-        assert made.all_have(), seed
+            fleet.commit(b"%d;" % number)
+            fleet.world.run(fleet.world.now + 0.3)
+        fleet.world.run(fleet.world.now + 3)
+        assert fleet.all_have(), seed
 
 
 def test_a_storm_of_changes_reaches_all_and_one_that_was_cut_off_catches_up_by_differences() -> None:
-    made = fleet()
-    cut = made.ips[8]
-    made.world.cut([cut], [ip for ip in made.ips if ip != cut])
+    fleet = make_fleet()
+    cut = fleet.ips[8]
+    fleet.world.cut([cut], [ip for ip in fleet.ips if ip != cut])
     for number in range(20):
-        made.commit(b"%d;" % number)
-        made.world.run(made.world.now + 0.2)
-    assert made.all_have([ip for ip in made.ips if ip != cut])
-    assert not made.machine(cut).subscriber.current(made.world.now)
-    made.world.join()
-    made.link_up(cut)
-    assert made.world.run_until(made.all_have, limit=3) < 0.5
-    made.world.run(made.world.now + 0.1)
-    assert made.machine(cut).subscriber.current(made.world.now)
-    assert len(made.world.seen(cut, Replace)) == 1
-    for ip in made.ips:
-        assert made.machine(ip).versions == sorted(set(made.machine(ip).versions))
+        fleet.commit(b"%d;" % number)
+        fleet.world.run(fleet.world.now + 0.2)
+    assert fleet.all_have([ip for ip in fleet.ips if ip != cut])
+    assert not fleet.machine(cut).subscriber.current(fleet.world.now)
+    fleet.world.join()
+    fleet.link_up(cut)
+    assert fleet.world.run_until(fleet.all_have, limit=3) < 0.5
+    fleet.world.run(fleet.world.now + 0.1)
+    assert fleet.machine(cut).subscriber.current(fleet.world.now)
+    assert len(fleet.world.seen(cut, Replace)) == 1
+    for ip in fleet.ips:
+        assert fleet.machine(ip).versions == sorted(set(fleet.machine(ip).versions))
 
 
 def test_a_machine_too_far_behind_gets_the_whole() -> None:
-    made = fleet()
-    cut = made.ips[8]
-    made.world.cut([cut], [ip for ip in made.ips if ip != cut])
+    fleet = make_fleet()
+    cut = fleet.ips[8]
+    fleet.world.cut([cut], [ip for ip in fleet.ips if ip != cut])
     for number in range(400):
-        made.commit(b"%d;" % number)
-        made.world.run(made.world.now + 0.02)
-    made.world.join()
-    made.link_up(cut)
-    assert made.world.run_until(made.all_have, limit=3) < 1
-    assert len(made.world.seen(cut, Replace)) == 2
+        fleet.commit(b"%d;" % number)
+        fleet.world.run(fleet.world.now + 0.02)
+    fleet.world.join()
+    fleet.link_up(cut)
+    assert fleet.world.run_until(fleet.all_have, limit=3) < 1
+    assert len(fleet.world.seen(cut, Replace)) == 2
 
 
 def test_a_long_state_comes_in_parts_with_few_under_way() -> None:
     state = Random(1).randbytes(10 * PART_BYTES + 17)
     world = World(2)
-    made = DistributionFleet(world, 6, state=state)
+    fleet = DistributionFleet(world, 6, state=state)
     world.run(0.001)
-    assert world.run_until(made.all_have, limit=2) < 1
+    assert world.run_until(fleet.all_have, limit=2) < 1
     update = Random(2).randbytes(3 * PART_BYTES)
-    made.commit(update)
-    assert world.run_until(made.all_have, limit=2) < 1
-    assert all(made.machine(ip).versions == [0, 1] for ip in made.ips)
+    fleet.commit(update)
+    assert world.run_until(fleet.all_have, limit=2) < 1
+    assert all(fleet.machine(ip).versions == [0, 1] for ip in fleet.ips)
 
 
 def test_a_long_state_gets_through_a_lossy_network() -> None:
     state = Random(1).randbytes(10 * PART_BYTES + 17)
     for seed in range(3):
         world = World(seed, loss=0.05)
-        made = DistributionFleet(world, 6, state=state)
+        fleet = DistributionFleet(world, 6, state=state)
         world.run(0.001)
-        world.run_until(made.all_have, limit=20)
+        world.run_until(fleet.all_have, limit=20)
 
 
 def test_the_source_is_in_the_own_zone_and_another_one_when_it_is_silent() -> None:
-    made = fleet()
-    machine = made.machine(made.ips[4])
-    assert machine.subscriber.source == made.voters[1]
-    made.world.stop(made.voters[1])
-    made.world.run(made.world.now + 0.1)
-    made.commit(b"1;")
-    others = [ip for ip in made.ips if ip != made.voters[1]]
-    assert made.world.run_until(lambda: made.all_have(others), limit=2) < 0.4
-    made.world.run(made.world.now + 2)
-    assert machine.subscriber.source in (made.voters[0], made.voters[2])
-    made.restart(made.voters[1])
-    made.world.run(made.world.now + 8)
-    assert machine.subscriber.source == made.voters[1]
+    fleet = make_fleet()
+    machine = fleet.machine(fleet.ips[4])
+    assert machine.subscriber.source == fleet.voters[1]
+    fleet.world.stop(fleet.voters[1])
+    fleet.world.run(fleet.world.now + 0.1)
+    fleet.commit(b"1;")
+    others = [ip for ip in fleet.ips if ip != fleet.voters[1]]
+    assert fleet.world.run_until(lambda: fleet.all_have(others), limit=2) < 0.4
+    fleet.world.run(fleet.world.now + 2)
+    assert machine.subscriber.source in (fleet.voters[0], fleet.voters[2])
+    fleet.restart(fleet.voters[1])
+    fleet.world.run(fleet.world.now + 8)
+    assert machine.subscriber.source == fleet.voters[1]
 
 
 def test_being_current_is_a_lease_from_a_majority_of_the_voters() -> None:
-    made = fleet()
-    subscriber = made.machine(made.ips[9]).subscriber
-    assert subscriber.current(made.world.now)
-    made.world.stop(made.voters[0])
-    made.world.run(made.world.now + 3)
-    assert subscriber.current(made.world.now)
-    made.world.stop(made.voters[1])
-    made.world.run(made.world.now + 1)
-    assert subscriber.current(made.world.now)
-    made.world.run(made.world.now + 1.1)
-    assert not subscriber.current(made.world.now)
+    fleet = make_fleet()
+    subscriber = fleet.machine(fleet.ips[9]).subscriber
+    assert subscriber.current(fleet.world.now)
+    fleet.world.stop(fleet.voters[0])
+    fleet.world.run(fleet.world.now + 3)
+    assert subscriber.current(fleet.world.now)
+    fleet.world.stop(fleet.voters[1])
+    fleet.world.run(fleet.world.now + 1)
+    assert subscriber.current(fleet.world.now)
+    fleet.world.run(fleet.world.now + 1.1)
+    assert not subscriber.current(fleet.world.now)
 
 
 def test_a_machine_without_voters_is_not_current() -> None:
@@ -151,81 +151,85 @@
 
 
 def test_a_voter_that_lags_behind_does_not_turn_anyone_back() -> None:
-    made = fleet()
-    made.commit(b"1;")
-    made.world.run(made.world.now + 1)
-    machine = made.machine(made.ips[4])
+    fleet = make_fleet()
+    fleet.commit(b"1;")
+    fleet.world.run(fleet.world.now + 1)
+    machine = fleet.machine(fleet.ips[4])
     publisher = Publisher()
-    publisher.restored(made.world.now, 0, b"0;")
-    lagging = made.world.cores[made.voters[1]]
+    publisher.restored(fleet.world.now, 0, b"0;")
+    lagging = fleet.world.cores[fleet.voters[1]]
     assert isinstance(lagging, Machine)
     lagging.publisher = publisher
-    made.world.run(made.world.now + 5)
+    fleet.world.run(fleet.world.now + 5)
     assert machine.in_force == b"0;1;"
-    made.commit(b"2;")
-    made.world.run(made.world.now + 1)
+    fleet.commit(b"2;")
+    fleet.world.run(fleet.world.now + 1)
     assert machine.in_force == b"0;1;2;"
     assert machine.versions == [0, 1, 2]
 
 
 def test_a_restarted_machine_gets_the_newest_at_once() -> None:
-    made = fleet()
+    fleet = make_fleet()
     for number in range(5):
-        made.commit(b"%d;" % number)
-    made.world.run(made.world.now + 1)
-    made.restart(made.ips[7])
-    made.world.run(made.world.now + 0.11)
-    assert made.world.run_until(made.all_have, limit=1) < 0.1
+        fleet.commit(b"%d;" % number)
+    fleet.world.run(fleet.world.now + 1)
+    fleet.restart(fleet.ips[7])
+    fleet.world.run(fleet.world.now + 0.11)
+    assert fleet.world.run_until(fleet.all_have, limit=1) < 0.1
     first = next(
-        at for at, ip, each in reversed(made.world.effects) if ip == made.ips[7] and isinstance(each, Replace)
+        at
+        for at, ip, each in reversed(fleet.world.effects)
+        if ip == fleet.ips[7] and isinstance(each, Replace)
     )
-    assert [at for at, ip, each in made.world.effects if ip == made.ips[7] and isinstance(each, Apply)][
+    assert [at for at, ip, each in fleet.world.effects if ip == fleet.ips[7] and isinstance(each, Apply)][
         -1
     ] == first
 
 
 def test_voters_know_who_has_what_and_how_many_there_are() -> None:
-    made = fleet(size=20)
-    made.commit(b"1;")
-    made.world.run(made.world.now + 2.5)
-    for ip in made.voters:
-        publisher = made.machine(ip).publisher
+    fleet = make_fleet(size=20)
+    fleet.commit(b"1;")
+    fleet.world.run(fleet.world.now + 2.5)
+    for ip in fleet.voters:
+        publisher = fleet.machine(ip).publisher
         assert publisher is not None
-        assert publisher.acknowledged() == dict.fromkeys(made.ips, 1)
-    assert {made.machine(ip).subscriber.fleet_size() for ip in made.ips} == {20}
+        assert publisher.acknowledged() == dict.fromkeys(fleet.ips, 1)
+    assert {fleet.machine(ip).subscriber.fleet_size() for ip in fleet.ips} == {20}
 
 
 def test_the_fleet_does_not_seem_smaller_right_after_a_voter_or_all_voters_start_again() -> None:
-    made = fleet(size=20)
-    for ip in made.voters:
-        made.restart(ip)
+    fleet = make_fleet(size=20)
+    for ip in fleet.voters:
+        fleet.restart(ip)
     for _ in range(100):
-        made.world.run(made.world.now + 0.1)
-        assert {made.machine(ip).subscriber.fleet_size() for ip in made.ips[3:]} == {20}
+        fleet.world.run(fleet.world.now + 0.1)
+        assert {fleet.machine(ip).subscriber.fleet_size() for ip in fleet.ips[3:]} == {20}
 
 
 def test_without_a_change_only_offers_and_subscriptions_travel() -> None:
-    made = fleet()
-    made.world.counts_bytes = True
-    made.world.run(made.world.now + 10)
-    assert set(made.world.bytes_by_kind) == {"Offer", "Subscribe"}
+    fleet = make_fleet()
+    fleet.world.counts_bytes = True
+    fleet.world.run(fleet.world.now + 10)
+    assert set(fleet.world.bytes_by_kind) == {"Offer", "Subscribe"}
 
 
 # One core at a time
 
 
-def subscriber(have: bytes | None = b"base", sequence: int = 5) -> Subscriber:
-    made = Subscriber("10.0.0.9", "a", Random(1))
-    made.voters_changed(0.0, [VoterAddress("v1", "a"), VoterAddress("v2", "b"), VoterAddress("v3", "b")])
+def make_subscriber(have: bytes | None = b"base", sequence: int = 5) -> Subscriber:
+    subscriber = Subscriber("10.0.0.9", "a", Random(1))
+    subscriber.voters_changed(
+        0.0, [VoterAddress("v1", "a"), VoterAddress("v2", "b"), VoterAddress("v3", "b")]
+    )
     if have is not None:
-        made.receive(0.0, "v1", Offer(sequence, 0, 500))
-        made.receive(0.0, "v1", pack(sequence, True, have).part(0))
-        assert made.have == sequence
-    return made
+        subscriber.receive(0.0, "v1", Offer(sequence, 0, 500))
+        subscriber.receive(0.0, "v1", pack(sequence, True, have).part(0))
+        assert subscriber.have == sequence
+    return subscriber
 
 
 def test_updates_already_in_force_are_skipped_and_a_gap_is_pulled() -> None:
-    core = subscriber()
+    core = make_subscriber()
     effects = core.receive(1.0, "v1", Delta(4, (b"4", b"5", b"6"), 6))
     assert effects[0] == Apply(6, (b"6",))
     assert core.receive(1.0, "v2", Delta(6, (b"6",), 6)) == []
@@ -235,7 +239,7 @@
 
 
 def test_a_pull_without_an_answer_goes_to_another_voter() -> None:
-    core = subscriber()
+    core = make_subscriber()
     for ip in ("v1", "v2", "v3"):
         core.receive(1.0, ip, Offer(5, 0, 500))
     effects = core.receive(1.0, "v1", Offer(6, 0, 500))
@@ -246,7 +250,7 @@
 
 
 def test_news_of_others_are_pulled_from_them_when_the_source_lags() -> None:
-    core = subscriber()
+    core = make_subscriber()
     assert core.receive(1.0, "v2", Offer(6, 0, 500)) == []
     assert sends(core.tick(1.1), Pull) == []
     (send,) = sends(core.tick(1.2), Pull)
@@ -254,11 +258,11 @@
 
 
 def test_a_part_with_damaged_bytes_is_not_put_in_force() -> None:
-    core = subscriber()
+    core = make_subscriber()
     core.receive(1.0, "v1", Offer(9, 0, 500))
     package = pack(9, True, b"state")
     whole = package.part(0)
-    damaged = Part(9, True, 0, whole.total, whole.checksum, whole.packing, b"stat?")
+    damaged = Part(9, True, 0, whole.total, whole.checksum, whole.encoding, b"stat?")
     effects = core.receive(1.0, "v1", damaged)
     assert not any(isinstance(effect, Replace) for effect in effects)
     assert core.have == 5
@@ -266,7 +270,7 @@
 
 def test_a_stranger_is_not_heard() -> None:
     """A machine that is no voter any more, or never was one."""
-    core = subscriber()
+    core = make_subscriber()
     for message in (Offer(9, 0, 500), Delta(6, (b"6",), 6), pack(9, True, b"state").part(0)):
         assert core.receive(1.0, "stranger", message) == []
     assert core.have == 5
@@ -275,7 +279,7 @@
 
 def test_parts_count_from_whom_they_were_asked_of() -> None:
     """One that comes late, of a voter that was given up meanwhile."""
-    core = subscriber()
+    core = make_subscriber()
     core.receive(1.0, "v1", Offer(9, 0, 500))
     package = pack(9, True, b"state")
     assert not any(isinstance(effect, Replace) for effect in core.receive(1.0, "v2", package.part(0)))
@@ -286,7 +290,7 @@
 def test_parts_of_two_wholes_are_not_put_together() -> None:
     """Two voters' states of the same number may differ in their bytes, though not in what they say."""
     one, other = (pack(9, True, Random(seed).randbytes(2 * PART_BYTES)) for seed in (1, 2))
-    core = subscriber()
+    core = make_subscriber()
     core.receive(1.0, "v1", Offer(9, 0, 500))
     core.receive(1.0, "v1", one.part(0))
     core.receive(1.0, "v1", other.part(PART_BYTES))
@@ -297,7 +301,7 @@
 
 
 def test_another_source_continues_the_same_transfer() -> None:
-    core = subscriber()
+    core = make_subscriber()
     package = pack(9, True, Random(1).randbytes(4 * PART_BYTES))
     for ip in ("v1", "v2", "v3"):
         core.receive(1.0, ip, Offer(9, 0, 500))
@@ -392,12 +396,12 @@
     random.shuffle(parts)
     assembly = Assembly(parts[0])
     for part in parts:
-        assert is_sensible(part)
+        assert is_valid_part(part)
         assembly.add(part)
-    assert assembly.is_whole
+    assert assembly.is_complete
     assert assembly.content() == data
 
 
 @pytest.mark.parametrize("offset", [0, 1, PART_BYTES])
 def test_senseless_parts_are_told(offset: int) -> None:
-    assert not is_sensible(Part(1, True, offset, 10, 0, 0, b"short"))
+    assert not is_valid_part(Part(1, True, offset, 10, 0, 0, b"short"))
--- a/tests/system/test_distribution_chaos.py
+++ b/tests/system/test_distribution_chaos.py
@@ -9,9 +9,12 @@
 from tests.system.lossy_world import World
 from tests.system.trouble import Trouble
 
-STEP = 0.05
-BOUND, BOUND_WITH_LOSS = 1.0, 2.0  # the contract allows two seconds, and links do not lose single messages
-LARGE = 300_000
+STEP_S = 0.05
+BOUND_S, BOUND_WITH_LOSS_S = (
+    1.0,
+    2.0,
+)  # the contract allows two seconds, and links do not lose single messages
+LARGE_UPDATE_BYTES = 300_000
 
 
 class Chaos:
@@ -21,7 +24,7 @@
 
     def __init__(self, seed: int, loss: float) -> None:
         self.world = World(seed, loss=loss)
-        self.bound = BOUND_WITH_LOSS if loss else BOUND
+        self.bound = BOUND_WITH_LOSS_S if loss else BOUND_S
         self.random = self.world.random
         self.fleet = DistributionFleet(self.world, 9)
         self.trouble = Trouble(self.world, self.fleet.ips, self.fleet.voters, self.fleet.restart)
@@ -34,26 +37,26 @@
         end = self.world.now + seconds
         next_trouble, next_change = 4.0, 5.0
         while self.world.now < end:
-            self.world.run(self.world.now + STEP)
+            self.world.run(self.world.now + STEP_S)
             if self.world.now >= next_trouble:
                 next_trouble = self.world.now + self.random.uniform(1, 7)
                 self.trouble.make()
             if self.world.now >= next_change and self.trouble.majority():
                 next_change = self.world.now + self.random.choice([0.1, 0.2, 2.0])
                 self.commit()
-            self.teach_voters()
+            self.update_voters()
             self.trouble.note()
             self.check()
 
     def commit(self) -> None:
-        length = LARGE if self.random.random() < 0.05 and not self.world.loss else 20
+        length = LARGE_UPDATE_BYTES if self.random.random() < 0.05 and not self.world.loss else 20
         update = self.random.randbytes(length)
         self.updates.append(update)
         self.fleet.sequence += 1
         self.fleet.state += update
         self.committed_at.append(self.world.now)
 
-    def teach_voters(self) -> None:
+    def update_voters(self) -> None:
         """What the chain does: a voter in the majority has all that is committed."""
         for ip in self.trouble.majority():
             machine = self.fleet.machine(ip)
--- a/tests/system/test_quota_duty.py
+++ b/tests/system/test_quota_duty.py
@@ -10,11 +10,11 @@
 ME, OTHER = "10.0.0.1", "10.0.0.2"
 
 
-def duty() -> QuotaDuty:
-    made = QuotaDuty(ME, QuotaRules())
-    made.configure({"a": TenantLimit(100_000, 100_000)}, 4)
-    made.view_changed(0.0, 3, ME)
-    return made
+def make_duty() -> QuotaDuty:
+    duty = QuotaDuty(ME, QuotaRules())
+    duty.configure({"a": TenantLimit(100_000, 100_000)}, 4)
+    duty.view_changed(0.0, 3, ME)
+    return duty
 
 
 def ask(epoch: int) -> QuotaAsk:
@@ -22,22 +22,22 @@
 
 
 def test_the_head_answers_while_it_is_sure() -> None:
-    one = duty()
-    one.tick(19.9, 20.3)
-    assert one.receive(20.0, 20.3, OTHER, ask(3))
-    assert one.receive(20.4, 20.3, OTHER, ask(3)) == []
-    assert one.receive(20.4, None, OTHER, ask(3)) == []
+    duty = make_duty()
+    duty.tick(19.9, 20.3)
+    assert duty.receive(20.0, 20.3, OTHER, ask(3))
+    assert duty.receive(20.4, 20.3, OTHER, ask(3)) == []
+    assert duty.receive(20.4, None, OTHER, ask(3)) == []
 
 
 def test_another_head_ends_it() -> None:
-    one = duty()
-    one.view_changed(5.0, 4, OTHER)
-    assert one.receive(20.0, 20.3, OTHER, ask(3)) == []
-    assert one.receive(20.0, 20.3, OTHER, ask(4)) == []
+    duty = make_duty()
+    duty.view_changed(5.0, 4, OTHER)
+    assert duty.receive(20.0, 20.3, OTHER, ask(3)) == []
+    assert duty.receive(20.0, 20.3, OTHER, ask(4)) == []
 
 
 def test_the_last_head_hands_over_what_is_left() -> None:
-    last, following = duty(), QuotaDuty(OTHER, QuotaRules())
+    last, following = make_duty(), QuotaDuty(OTHER, QuotaRules())
     following.configure({"a": TenantLimit(100_000, 100_000)}, 4)
     last.tick(20.0, 20.4)
     (handover,) = last.view_changed(30.0, 4, OTHER)
@@ -55,36 +55,36 @@
 
 
 def test_what_a_head_has_left_does_not_grow_after_it_was_head() -> None:
-    one, other = duty(), duty()
-    one.tick(20.0, 20.4)
-    other.tick(20.0, 20.4)
-    one.receive(20.1, 20.4, OTHER, ask(3))
-    other.receive(20.1, 20.4, OTHER, ask(3))
-    (early,) = one.view_changed(20.5, 4, OTHER)
-    (late,) = other.view_changed(90.0, 4, OTHER)
+    duty, other_duty = make_duty(), make_duty()
+    duty.tick(20.0, 20.4)
+    other_duty.tick(20.0, 20.4)
+    duty.receive(20.1, 20.4, OTHER, ask(3))
+    other_duty.receive(20.1, 20.4, OTHER, ask(3))
+    (early,) = duty.view_changed(20.5, 4, OTHER)
+    (late,) = other_duty.view_changed(90.0, 4, OTHER)
     assert early == late
 
 
 def test_a_head_that_was_sure_all_the_time_goes_on() -> None:
-    one = duty()
-    one.tick(20.0, 20.4)
-    one.view_changed(20.1, 4, None)
-    one.view_changed(20.2, 4, ME)
-    assert one.receive(20.2, 20.6, OTHER, ask(3))
-    assert one.receive(20.2, 20.6, OTHER, ask(4))
+    duty = make_duty()
+    duty.tick(20.0, 20.4)
+    duty.view_changed(20.1, 4, None)
+    duty.view_changed(20.2, 4, ME)
+    assert duty.receive(20.2, 20.6, OTHER, ask(3))
+    assert duty.receive(20.2, 20.6, OTHER, ask(4))
 
 
 def test_a_head_that_was_not_begins_anew() -> None:
-    one = duty()
-    one.tick(20.0, 20.4)
-    one.view_changed(20.5, 4, ME)
-    assert one.receive(20.5, 20.9, OTHER, ask(4)) == []
-    assert one.receive(20.7, 20.9, OTHER, ask(4))
-    assert one.receive(20.7, 20.9, OTHER, ask(3)) == []
+    duty = make_duty()
+    duty.tick(20.0, 20.4)
+    duty.view_changed(20.5, 4, ME)
+    assert duty.receive(20.5, 20.9, OTHER, ask(4)) == []
+    assert duty.receive(20.7, 20.9, OTHER, ask(4))
+    assert duty.receive(20.7, 20.9, OTHER, ask(3)) == []
 
 
 def test_a_machine_that_never_was_head_is_silent() -> None:
-    one = QuotaDuty(OTHER, QuotaRules())
-    one.view_changed(0.0, 3, ME)
-    assert one.receive(1.0, 1.4, ME, ask(3)) == []
-    assert one.tick(1.0, 1.4) == []
+    duty = QuotaDuty(OTHER, QuotaRules())
+    duty.view_changed(0.0, 3, ME)
+    assert duty.receive(1.0, 1.4, ME, ask(3)) == []
+    assert duty.tick(1.0, 1.4) == []
--- a/tests/system/test_quota_note.py
+++ b/tests/system/test_quota_note.py
@@ -30,23 +30,23 @@
 NOTE = QuotaNote(DISK, 7, {"a": 50_000})
 
 
-def allocator(begins_with: dict[str, int] | None = None) -> QuotaAllocator:
-    found = QuotaAllocator(7, 10.0, None, begins_with, Reserves(DISK))
-    found.configure(LIMITS, 10)
-    return found
+def make_allocator(initial_tokens: dict[str, int] | None = None) -> QuotaAllocator:
+    allocator = QuotaAllocator(7, 10.0, None, initial_tokens, Reserves(DISK))
+    allocator.configure(LIMITS, 10)
+    return allocator
 
 
-def filled() -> tuple[QuotaAllocator, QuotaNote]:
+def full_allocator() -> tuple[QuotaAllocator, QuotaNote]:
     """An allocator whose pool is full, with the note that says so on the disk."""
-    found = allocator()
+    allocator = make_allocator()
     for step in range(200):
-        found.tick(11.0 + step * 0.05)
-        due = found.note_due(11.0 + step * 0.05)
+        allocator.tick(11.0 + step * 0.05)
+        due = allocator.note_due(11.0 + step * 0.05)
         if due is not None:
-            found.noted(11.0 + step * 0.05, due.note)
+            allocator.noted(11.0 + step * 0.05, due.note)
             newest = due.note
     assert newest.left["a"] > 0
-    return found, newest
+    return allocator, newest
 
 
 def ask(tokens: int, number: int = 1) -> QuotaAsk:
@@ -70,9 +70,9 @@
     ],
 )
 def test_a_note_that_is_none_counts_for_nothing_and_says_why(data: bytes, reason: str) -> None:
-    found = read_note(data, DISK, 7)
-    assert found.left is None
-    assert found.refused.startswith(reason)
+    result = read_note(data, DISK, 7)
+    assert result.left is None
+    assert result.refused.startswith(reason)
 
 
 def test_a_disk_without_a_note_has_nothing_to_refuse() -> None:
@@ -85,43 +85,43 @@
 
 
 def test_what_is_promised_is_not_lent_before_the_promise_is_taken_back_on_the_disk() -> None:
-    found, note = filled()
+    allocator, note = full_allocator()
     promised = note.left["a"]
-    at_first = lent(found.receive(21.0, PROXY, ask(10**9)))
+    at_first = lent(allocator.receive(21.0, PROXY, ask(10**9)))
     assert at_first == 0, "the ask waits for the disk"
-    due = found.note_due(21.0)
+    due = allocator.note_due(21.0)
     assert isinstance(due, KeepNote) and due.note.left["a"] == 0
-    assert found.note_due(21.001) is None, "one is under way at a time"
-    assert lent(found.noted(21.004, due.note)) > promised
+    assert allocator.note_due(21.001) is None, "one is under way at a time"
+    assert lent(allocator.noted(21.004, due.note)) > promised
 
 
 def test_small_asks_beside_the_promise_do_not_wait() -> None:
-    found, note = filled()
-    assert lent(found.receive(21.0, PROXY, ask(9_000))) == 9_000
+    allocator, note = full_allocator()
+    assert lent(allocator.receive(21.0, PROXY, ask(9_000))) == 9_000
     assert note.left["a"] > 0
 
 
 def test_an_ask_that_has_waited_too_long_for_the_disk_is_not_answered() -> None:
-    found, _ = filled()
-    assert found.receive(21.0, PROXY, ask(10**9)) == []
-    due = found.note_due(21.0)
+    allocator, _ = full_allocator()
+    assert allocator.receive(21.0, PROXY, ask(10**9)) == []
+    due = allocator.note_due(21.0)
     assert due is not None
-    assert found.noted(21.5, due.note) == []
+    assert allocator.noted(21.5, due.note) == []
 
 
 def test_a_note_that_was_not_under_way_frees_nothing() -> None:
-    found, _ = filled()
-    found.receive(21.0, PROXY, ask(10**9))
-    found.note_due(21.0)
-    assert found.noted(21.01, QuotaNote(DISK, 7, {})) == []
+    allocator, _ = full_allocator()
+    allocator.receive(21.0, PROXY, ask(10**9))
+    allocator.note_due(21.0)
+    assert allocator.noted(21.01, QuotaNote(DISK, 7, {})) == []
 
 
 def test_a_pool_begins_with_what_was_noted_up_to_what_proxies_may_not_have_run_themselves() -> None:
-    empty, noted, much = allocator(), allocator({"a": 50_000}), allocator({"a": 10**9})
+    empty, noted, much = make_allocator(), make_allocator({"a": 50_000}), make_allocator({"a": 10**9})
     levels = [each.figures(10.0)["a"].tokens for each in (empty, noted, much)]
     assert levels[0] < levels[1] < levels[2]
     assert levels[0] + 50_000 == levels[1]
-    assert levels[2] <= 0.2 * much.figures(10.0)["a"].room + 1
+    assert levels[2] <= 0.2 * much.figures(10.0)["a"].capacity + 1
 
 
 def test_a_process_that_finds_a_note_at_its_start_lends_at_once_one_that_goes_on_does_not() -> None:
--- a/tests/system/test_restart_state.py
+++ b/tests/system/test_restart_state.py
@@ -30,7 +30,7 @@
 DISK_BYTES = 4 * 1024 * 1024
 
 
-def restarted() -> Publisher:
+def restarted_publisher() -> Publisher:
     """A publisher that knows up to 4 from its disk, and has a subscriber."""
     publisher = Publisher(is_confirmed=False)
     publisher.start(0.0)
@@ -45,18 +45,18 @@
 
 @pytest.mark.parametrize("message", [Subscribe(NOTHING, True), Pull(NOTHING), Pull(3), PullPart(4, True, 0)])
 def test_what_is_not_confirmed_is_not_handed_out(message: object) -> None:
-    effects = restarted().receive(0.1, PROXY, message)
+    effects = restarted_publisher().receive(0.1, PROXY, message)
     assert offers(effects) == {NOTHING} and len(effects) == 1
 
 
 def test_nor_is_what_gets_committed_meanwhile_or_told_by_the_clock() -> None:
-    publisher = restarted()
+    publisher = restarted_publisher()
     assert offers(publisher.committed(0.1, 5, b"update 5")) == {NOTHING}
     assert offers(publisher.tick(1.0)) == {NOTHING}
 
 
 def test_what_is_confirmed_is_offered_at_once_and_handed_out() -> None:
-    publisher = restarted()
+    publisher = restarted_publisher()
     publisher.committed(0.1, 5, b"update 5")
     assert offers(publisher.confirm(0.2)) == {5}
     assert not publisher.confirm(0.3)
@@ -132,17 +132,17 @@
         lambda *_, **__: None,
     )  # fmt: skip
 
-    def told() -> set[int]:
+    def offered_to_proxy() -> set[int]:
         return {message.newest for ip, message in sent if ip == PROXY and isinstance(message, Offer)}
 
-    async def scene() -> None:
+    async def scenario() -> None:
         role = await ReplicaRole.open(settings, ports, Random(1))
         role.start(100.0)
         role.subscriber_says(100.1, PROXY, Subscribe(NOTHING, True))
         role.tick(100.0 + UNCONFIRMED_PARTS * CONNECTIVITY_S - 0.1)
-        assert told() == {NOTHING}
+        assert offered_to_proxy() == {NOTHING}
         role.tick(100.0 + UNCONFIRMED_PARTS * CONNECTIVITY_S + 0.1)
-        assert told() == {NOTHING, 1}
+        assert offered_to_proxy() == {NOTHING, 1}
         role.close()
 
-    asyncio.run(scene())
+    asyncio.run(scenario())
--- a/tests/system/test_revocation.py
+++ b/tests/system/test_revocation.py
@@ -22,60 +22,60 @@
 VOTERS = ("10.0.0.1", "10.0.0.2", "10.0.0.3")
 
 
-def subscriber_with(have: int, now: float) -> Subscriber:
+def make_subscriber(have: int, now: float) -> Subscriber:
     """One that has put that much in force."""
-    made = Subscriber("10.0.0.9", "east", Random(1))
-    made.start(now)
-    made.voters_changed(now, [VoterAddress(ip, "east") for ip in VOTERS])
-    made._have, made._held = have, None
-    return made
+    subscriber = Subscriber("10.0.0.9", "east", Random(1))
+    subscriber.start(now)
+    subscriber.voters_changed(now, [VoterAddress(ip, "east") for ip in VOTERS])
+    subscriber._have, subscriber._pending_changes = have, None
+    return subscriber
 
 
-def offer(made: Subscriber, now: float, ip: str, newest: int) -> None:
-    made.receive(now, ip, Offer(newest, 3, 500))
+def offer(subscriber: Subscriber, now: float, ip: str, newest: int) -> None:
+    subscriber.receive(now, ip, Offer(newest, 3, 500))
 
 
 def test_what_a_majority_offers_is_known_as_of_then() -> None:
-    made = subscriber_with(7, 10.0)
-    assert made.complete_as_of() == -math.inf
-    offer(made, 10.0, VOTERS[0], 7)
-    assert made.complete_as_of() == -math.inf
-    offer(made, 10.4, VOTERS[1], 7)
-    assert made.complete_as_of() == 10.0
-    offer(made, 10.6, VOTERS[2], 6)
-    assert made.complete_as_of() == 10.4
+    subscriber = make_subscriber(7, 10.0)
+    assert subscriber.complete_as_of() == -math.inf
+    offer(subscriber, 10.0, VOTERS[0], 7)
+    assert subscriber.complete_as_of() == -math.inf
+    offer(subscriber, 10.4, VOTERS[1], 7)
+    assert subscriber.complete_as_of() == 10.0
+    offer(subscriber, 10.6, VOTERS[2], 6)
+    assert subscriber.complete_as_of() == 10.4
 
 
 def test_what_is_offered_and_not_here_yet_stands_still() -> None:
-    made = subscriber_with(7, 10.0)
+    subscriber = make_subscriber(7, 10.0)
     for ip in VOTERS:
-        offer(made, 10.0, ip, 7)
-    assert made.complete_as_of() == 10.0
+        offer(subscriber, 10.0, ip, 7)
+    assert subscriber.complete_as_of() == 10.0
     for ip in VOTERS:
-        offer(made, 11.0, ip, 8)
-    assert made.complete_as_of() == 10.0
-    made.receive(11.2, VOTERS[0], Delta(8, (b"x",), 8))
-    assert made.complete_as_of() == 11.0
+        offer(subscriber, 11.0, ip, 8)
+    assert subscriber.complete_as_of() == 10.0
+    subscriber.receive(11.2, VOTERS[0], Delta(8, (b"x",), 8))
+    assert subscriber.complete_as_of() == 11.0
 
 
 def test_a_state_that_is_not_in_force_yet_does_not_count() -> None:
-    made = subscriber_with(7, 10.0)
-    made._held = []
+    subscriber = make_subscriber(7, 10.0)
+    subscriber._pending_changes = []
     for ip in VOTERS:
-        offer(made, 10.0, ip, 7)
-    assert made.complete_as_of() == -math.inf
+        offer(subscriber, 10.0, ip, 7)
+    assert subscriber.complete_as_of() == -math.inf
 
 
 def test_one_voter_of_three_is_not_enough() -> None:
-    made = subscriber_with(7, 10.0)
+    subscriber = make_subscriber(7, 10.0)
     for ip in VOTERS:
-        offer(made, 10.0, ip, 7)
+        offer(subscriber, 10.0, ip, 7)
     for step in range(1, 20):
-        offer(made, 10.0 + step, VOTERS[0], 7)
-    assert made.complete_as_of() == 10.0
+        offer(subscriber, 10.0 + step, VOTERS[0], 7)
+    assert subscriber.complete_as_of() == 10.0
 
 
-def limited(enforced: bool, complete_as_of: float) -> float:
+def key_deadline(enforced: bool, complete_as_of: float) -> float:
     """Until when keys are taken."""
     router = SimpleNamespace(keys_hold_until=math.inf)
     plane: Any = SimpleNamespace(
@@ -88,9 +88,9 @@
 
 
 def test_keys_hold_for_as_long_as_a_revocation_may_be_late() -> None:
-    assert limited(True, 10.0) == 15.0 - REVOCATION_MARGIN_S
-    assert limited(True, -math.inf) == -math.inf
-    assert limited(False, 10.0) == math.inf
+    assert key_deadline(True, 10.0) == 15.0 - REVOCATION_MARGIN_S
+    assert key_deadline(True, -math.inf) == -math.inf
+    assert key_deadline(False, 10.0) == math.inf
 
 
 def test_a_key_that_may_have_been_taken_away_is_not_taken() -> None:
--- a/tests/system/test_start_over.py
+++ b/tests/system/test_start_over.py
@@ -13,7 +13,7 @@
 from cloverrouter.control.distribution_messages import NOTHING, Offer, Pull
 from cloverrouter.control.document import ConfigurationState
 from cloverrouter.control.orders import MachineSnapshot
-from cloverrouter.control.subscriber import LONGEST_REREAD_PAUSE, Apply, Replace, Subscriber
+from cloverrouter.control.subscriber import MAX_REFETCH_DELAY_S, Apply, Replace, Subscriber
 from cloverrouter.control.transfer import pack
 from cloverrouter.control.updates import ConfigurationPatched
 from cloverrouter.control.voter_choice import VoterAddress
@@ -29,7 +29,7 @@
 VOTER = "10.0.0.1"
 
 
-def with_state(sequence: int) -> Subscriber:
+def subscriber_at(sequence: int) -> Subscriber:
     """A subscriber that has put that state in force."""
     subscriber = Subscriber("10.0.0.9", "east", Random(1))
     subscriber.voters_changed(0.0, [VoterAddress(VOTER, "east")])
@@ -40,7 +40,7 @@
 
 
 def test_what_could_not_be_put_in_force_is_fetched_whole() -> None:
-    subscriber = with_state(5)
+    subscriber = subscriber_at(5)
     subscriber.start_over(1.0)
     effects = subscriber.tick(1.2)
     assert Send(VOTER, Pull(NOTHING)) in effects
@@ -49,7 +49,7 @@
 
 
 def test_it_is_not_replaced_by_an_older_state() -> None:
-    subscriber = with_state(5)
+    subscriber = subscriber_at(5)
     subscriber.start_over(1.0)
     subscriber.tick(1.2)
     assert not subscriber.receive(1.3, VOTER, pack(4, True, b"older").part(0))
@@ -79,15 +79,15 @@
 
 
 def test_an_address_that_gets_free_is_waited_for() -> None:
-    clock, told = Clock(), list[OSError]()
+    clock, reported = Clock(), list[OSError]()
 
     async def listen() -> str:
         if clock.waited_s < 3.0:
             raise OSError(errno.EADDRINUSE, "in use")
         return "listening"
 
-    assert asyncio.run(when_free(listen, told.append, clock.sleep)) == "listening"
-    assert len(told) == 1
+    assert asyncio.run(when_free(listen, reported.append, clock.sleep)) == "listening"
+    assert len(reported) == 1
 
 
 @pytest.mark.parametrize(("number", "waits_s"), [(errno.EADDRINUSE, PATIENCE_S), (errno.EACCES, 0.0)])
@@ -137,18 +137,18 @@
 
 
 def test_a_state_that_can_not_be_read_is_fetched_more_and_more_seldom_and_told() -> None:
-    subscriber = with_state(5)
+    subscriber = subscriber_at(5)
     subscriber.start_over(1.0)
     asked = pulls(subscriber, 1.0, 61.0)
     pauses = [later - earlier for earlier, later in itertools.pairwise(asked)]
     assert len(asked) < 15
-    assert pauses[-1] >= LONGEST_REREAD_PAUSE > pauses[0]
+    assert pauses[-1] >= MAX_REFETCH_DELAY_S > pauses[0]
     assert subscriber.unread == len(asked) + 1
     assert subscriber.behind_s(61.0) == 60.0
 
 
 def test_once_a_state_is_in_force_all_is_as_before() -> None:
-    subscriber = with_state(5)
+    subscriber = subscriber_at(5)
     subscriber.start_over(1.0)
     subscriber.start_over(1.1)
     subscriber.applied()
@@ -159,7 +159,7 @@
 
 
 def test_a_proxy_that_gets_nothing_newer_for_too_long_is_behind() -> None:
-    subscriber = with_state(5)
+    subscriber = subscriber_at(5)
     assert subscriber.behind_s(1.0) == 0.0
     subscriber.receive(1.0, VOTER, Offer(7, 3, 500))
     assert subscriber.behind_s(3.0) == 2.0
