--- a/cloverrouter/control/distribution.py
+++ b/cloverrouter/control/distribution.py
@@ -1,18 +1,19 @@
-"""Committed configurations to every machine, by versioned updates over long-lived links, after the manner
-of xDS.
+"""Distributes committed configurations to all machines as versioned updates over long-lived connections,
+similar to xDS.
 
-Every machine subscribes to all voters, each of which offers the newest sequence number at each change and
-twice a second. One of them (its source: in its own zone if it can be) pushes updates as they are committed;
-what is missing is pulled from it, or from another one if it does not answer. Updates where the machine has
-the state before, a snapshot where not; long ones in parts of 64 KiB, two under way at a time, so that a
-slow link stays free for other messages. A majority of voters heard of within the lease is what lets a
-machine call itself current.
+Each machine subscribes to all voters. Each voter offers its newest sequence number at each change and once or
+twice a second. One voter is the machine's source, in its own zone if possible: it pushes updates as they are
+committed, and missing state is pulled from it, or from another voter if it does not answer. A machine that
+has the preceding state gets updates, any other one a snapshot. Long content is sent in parts of 64 KiB, at
+most two in flight, so that a slow link stays free for other messages. A machine is current while it has
+received messages from a majority of the voters within their leases.
 
-Cost at 350 machines and 3 voters: offers 1 a second from each voter to each machine (350 x 16 B a second
-from a voter), subscriptions every 2 s (10 B); a change is a push to each machine (its bytes + 20 B, a third
-of them from each voter), two offers of 16 B and a receipt of 10 B. A snapshot of 1 MB (about 120 KB
-deflated) for 117 machines is 14 MB from each voter. For thousands of machines the pushes would go down a
-tree whose inner places are the proxies of a zone, while offers stay direct.
+Cost with 350 machines and 3 voters: each voter sends each machine one offer per second (350 x 16 bytes/s
+per voter), and each machine sends a subscription every 2 s (10 bytes). A change costs, per machine, one push
+(the update + 20 bytes; each voter sends a third of the pushes), two offers of 16 bytes and an acknowledgement
+of 10 bytes. A snapshot of 1 MB (about 120 KB deflated) for 117 machines costs each voter 14 MB. With
+thousands of machines, pushes would have to be relayed through a tree with proxies of each zone as inner
+nodes, while offers stay direct.
 """
 
 from __future__ import annotations
--- a/cloverrouter/control/distribution_messages.py
+++ b/cloverrouter/control/distribution_messages.py
@@ -1,4 +1,4 @@
-"""How committed configurations travel from voters to all machines (message types 250 to 299)."""
+"""Messages that distribute committed configurations from voters to all machines (types 250 to 299)."""
 
 from __future__ import annotations
 
@@ -10,8 +10,9 @@
 
 @message(250)
 class Subscribe:
-    """Subscriber to every voter, now and then: what it has (`NOTHING` at first). `wants_push`: this voter
-    is its source.
+    """Subscriber to every voter, periodically: the newest sequence number that it has (`NOTHING` at first).
+
+    `wants_push`: this voter is the subscriber's source.
     """
 
     have: int
@@ -22,7 +23,7 @@
 class Offer:
     """Voter to subscriber, at each change and every `every_ms`: the newest committed sequence number.
 
-    `fleet_size`: how many machines subscribe to this voter; 0 while it can't know.
+    `fleet_size`: number of machines that subscribe to this voter; 0 while unknown.
     """
 
     newest: int
@@ -32,14 +33,14 @@
 
 @message(252)
 class Pull:
-    """Subscriber to its source: wants what follows `have`."""
+    """Subscriber to its source: requests the state after sequence number `have`."""
 
     have: int
 
 
 @message(253)
 class Delta:
-    """Committed updates in order, the first of which has the sequence number `first`."""
+    """Voter to subscriber: consecutive committed updates, the first with the sequence number `first`."""
 
     first: int
     updates: tuple[bytes, ...]
@@ -48,7 +49,7 @@
 
 @message(254)
 class PullPart:
-    """Subscriber to its source: wants the part at `offset` of a snapshot or of a long update."""
+    """Subscriber to its source: requests the part at byte `offset` of a snapshot or of a long update."""
 
     sequence: int
     is_snapshot: bool
@@ -57,9 +58,10 @@
 
 @message(255)
 class Part:
-    """A part of a snapshot taken at `sequence`, or of the update of that number.
+    """Voter to subscriber: a part of the snapshot as of `sequence`, or of the update with that number.
 
-    `total` and `checksum` (CRC-32) are those of the whole as it is sent: `encoding` 0 plain, 1 deflated.
+    `total` (bytes) and `checksum` (CRC-32) are those of the whole encoded content. `encoding`: `PLAIN` or
+    `DEFLATED`.
     """
 
     sequence: int
@@ -73,6 +75,6 @@
 
 @message(256)
 class Acknowledge:
-    """Subscriber to its source: it has put `sequence` in force."""
+    """Subscriber to its source: it has applied the state up to `sequence`."""
 
     sequence: int
--- a/cloverrouter/control/publisher.py
+++ b/cloverrouter/control/publisher.py
@@ -1,4 +1,4 @@
-"""The voter's side of distribution: what is committed, and who has it."""
+"""The voter's side of distribution: serves committed state and tracks which subscriber has it."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 WINDOW_COUNT = 256
 WINDOW_BYTES = 2 * 1024 * 1024
-PUSH_BYTES = 256 * 1024
+MAX_UNACKNOWLEDGED_BYTES = 256 * 1024  # above it, updates are offered instead of pushed
 MIN_OFFER_PERIOD_S = 0.5
 MAX_OFFER_PERIOD_S = 1.0
 MAX_OFFERS_PER_S = 200
@@ -32,8 +32,8 @@
 
 @attrs.frozen(slots=True)
 class SnapshotWanted:
-    """The replica is to call `restored` with the newest committed state: the last snapshot is too old to
-    build on.
+    """Effect: the replica must call `restored` with the newest committed state, since the window of updates
+    does not reach back to the last snapshot.
     """
 
 
@@ -49,11 +49,11 @@
 
 
 class Publisher:
-    """The pure core on each replica. It holds the newest snapshot and a window of recent updates.
+    """The state machine on each replica, without I/O: the newest snapshot and a window of recent updates.
 
-    Danger: a replica that was started again knows only of some updates that they are committed. Handed out
-    before a head has told of the others, its state brings back what was replaced long ago. So it offers
-    nothing before it is confirmed.
+    A restarted replica may not know of the last committed updates. State that it handed out before a head has
+    announced them could bring back a configuration that was replaced long ago. Therefore it offers nothing
+    before it is confirmed.
     """
 
     def __init__(self, is_confirmed: bool = True) -> None:
@@ -71,25 +71,25 @@
 
     @property
     def newest(self) -> int:
-        """The newest committed sequence number, or `NOTHING`."""
+        """The newest committed sequence number known here, or `NOTHING`."""
         return self._newest
 
     def acknowledged(self) -> dict[str, int]:
-        """What each subscribed machine is known to have in force."""
+        """Returns the newest acknowledged sequence number of each subscriber, by IP."""
         return {ip: each.acknowledged for ip, each in self._subscriptions.items()}
 
     def fleet_size(self, now: float) -> int:
-        """How many machines have subscribed of late; 0 for a while after a first start."""
+        """Returns the number of recent subscribers; 0 for `COUNTING_DELAY_S` after a first start."""
         return self._fleet_size.largest(now)
 
     def start(self, now: float, remembered: int = 0) -> list[Effect]:
-        """Subscribers are counted after a while. `remembered`: how many there were when this voter ended."""
+        """Counts subscribers from `COUNTING_DELAY_S` on. `remembered`: their number before the restart."""
         self._counts_from = now + COUNTING_DELAY_S
         self._fleet_size.record_count(now, remembered)
         return []
 
     def confirm(self, now: float) -> list[Effect]:
-        """All that was committed before is known here by now."""
+        """Handles that all updates committed before the start are now known here: offers them to all."""
         if self._is_confirmed:
             return []
         self._is_confirmed = True
@@ -100,11 +100,11 @@
         return self._newest if self._is_confirmed else NOTHING
 
     def resign(self) -> None:
-        """This machine is no voter any more."""
+        """Drops all subscriptions: this machine is no longer a voter."""
         self._subscriptions.clear()
 
     def committed(self, now: float, sequence: int, update: bytes) -> list[Effect]:
-        """An update was committed. One that does not follow the last asks for a snapshot."""
+        """Handles a committed update. Requests a snapshot if updates before it are missing."""
         if sequence <= self._newest:
             return []
         if sequence != self._newest + 1:
@@ -116,7 +116,7 @@
         return effects + [self._push_or_offer(now, ip, each) for ip, each in self._subscriptions.items()]
 
     def restored(self, now: float, sequence: int, snapshot: bytes) -> list[Effect]:
-        """The committed state as of `sequence`, at the start, after a transfer, or because it was wanted."""
+        """Takes the committed state as of `sequence`: at the start, after a transfer or when requested."""
         if self._snapshot is not None and sequence <= self._snapshot[0]:
             return []
         self._snapshot = (sequence, snapshot)
@@ -132,7 +132,7 @@
         return effects
 
     def tick(self, now: float) -> list[Effect]:
-        """Offers to all now and then, which also tell them that they are in touch."""
+        """Sends the periodic offers if they are due. They also serve as heartbeats."""
         if now < self._next_offer:
             return []
         self._next_offer = now + self._offer_period()
@@ -142,7 +142,7 @@
         return [self._offer(now, ip) for ip in self._subscriptions]
 
     def receive(self, now: float, ip: str, message: object) -> list[Effect]:
-        """A subscriber's message."""
+        """Handles a subscriber's message."""
         match message:
             case Subscribe():
                 return self._handle_subscribe(now, ip, message)
@@ -171,7 +171,7 @@
         return subscription
 
     def _push_or_offer(self, now: float, ip: str, subscription: _Subscription) -> Send:
-        """The newest update itself to those who have all before it and want it, an offer to the others."""
+        """Pushes the newest update to a subscriber that wants it and has its predecessor; else offers it."""
         sequence, update = self._updates[-1]
         has_previous = self._is_confirmed and sequence - 1 in (
             subscription.acknowledged,
@@ -179,7 +179,7 @@
         )
         if not (subscription.wants_push and has_previous and len(update) <= PART_BYTES):
             return self._offer(now, ip)
-        if self._bytes_after(subscription.acknowledged) > PUSH_BYTES:
+        if self._bytes_after(subscription.acknowledged) > MAX_UNACKNOWLEDGED_BYTES:
             return self._offer(now, ip)
         subscription.last_pushed = sequence
         return Send(ip, Delta(sequence, (update,), sequence))
@@ -218,8 +218,10 @@
         return [Send(ip, package.part(message.offset))]
 
     def _package_again(self, sequence: int, is_snapshot: bool) -> Package | None:
-        """A package that was begun to be sent. One that is asked for stays, though newer ones come, so that
-        who has a slow link gets through in a storm of changes.
+        """Returns a package whose transfer has begun, None if it is no longer available.
+
+        Each use moves the package to the end of the eviction order, so that a subscriber on a slow link can
+        finish its transfer while changes are frequent.
         """
         known = self._packages.get((sequence, is_snapshot))
         if known is not None:
@@ -241,7 +243,7 @@
         return package
 
     def _updates_after(self, have: int) -> list[tuple[int, bytes]]:
-        """The updates that follow `have` without a gap; empty if the window does not reach back so far."""
+        """Returns the updates that follow `have` without a gap; empty if the window begins later."""
         if not self._updates or have < self._updates[0][0] - 1:
             return []
         return [each for each in self._updates if each[0] > have]
@@ -261,7 +263,7 @@
         return len(snapshot) + self._bytes_after(sequence) < self._bytes_after(have)
 
     def _can_extend(self, sequence: int) -> bool:
-        """True if the window holds everything after that."""
+        """Returns whether the window holds all updates after `sequence`."""
         return sequence == self._newest or bool(self._updates_after(sequence))
 
     def _trim(self) -> list[Effect]:
--- a/cloverrouter/control/quota_allocator.py
+++ b/cloverrouter/control/quota_allocator.py
@@ -1,17 +1,18 @@
-"""Hands out the tenants' limits. Runs on the head of the chain.
+"""Enforces the tenants' rate limits over the fleet: lends tokens to proxies. Runs on the head of the chain.
 
-Each tenant has a pool that fills at its rate; requests that wait at proxies are given credit out of it.
-Proxies that have not heard an answer of the allocator for a while stand by for it: each has an even
-part of `STANDBY_PART` of the rate. That part flows into the pool only while the proxy surely doesn't
-stand by: its reports confirm an answer, and each answer says for how long it binds. A proxy that was
-never heard counts as standing by, up to the size of the fleet.
+Each tenant has a token pool that fills at the tenant's rate. Proxies ask for tokens for waiting requests and
+get them as short-lived credit. A proxy that has received no answer of the allocator for a while enters
+standby: it admits requests on its own, at an equal share of `STANDBY_PART` of the rate. That share flows into
+the pool only while the proxy is certainly not in standby: its reports acknowledge an answer, and each answer
+states for how long the proxy must not enter standby. Proxies that have never sent a report count as being in
+standby, up to the size of the fleet.
 
-So an allocator needs to know nothing of the one before, except that its credit has run out. One that is
-still there hands over what is left of its pools; one that began again at the same disk finds there what the
-one before had promised not to lend (`control/quota_note.py`).
+So a new allocator needs no state of the previous one; it only waits until the credit of that one has expired.
+A previous allocator that is still running hands over what is left in its pools. An allocator that starts at
+the same disk reads there what the previous one had promised not to lend (`control/quota_note.py`).
 
-State: 1.5 MB for 670 tenants and 350 proxies. A report takes it 34 us there, an ask 16 us, besides 4 to
-5 us for the decoding and encoding of each message.
+State: 1.5 MB for 670 tenants and 350 proxies. At that size a report takes 34 us and a request for credit
+16 us, plus 4 to 5 us to decode and encode each message.
 """
 
 from __future__ import annotations
@@ -39,51 +40,54 @@
 )
 
 CREDIT_S = 0.12
-CLOCK_MARGIN = 0.02  # a proxy's clock may run faster or slower than this one by this part
+CLOCK_MARGIN = 0.02  # the largest relative drift between the clocks of a proxy and this machine
 EXPIRY_MARGIN_S = 0.01
-PEER_EXPIRY_S = 30.0  # a proxy silent for so long
+PEER_EXPIRY_S = 30.0  # after this time in possible standby, a proxy is forgotten
 MAX_TRACKED_ANSWERS = 16
 MAX_PAST_INCARNATIONS = 4
 
 
 @attrs.define(slots=True)
 class _Peer:
-    """One proxy."""
+    """One proxy: the process it runs, and until when it is certainly not in standby."""
 
     incarnation: int
-    idle_until: float = 0.0  # it surely does not stand by before
-    silent: bool = True
-    newest: int = 0  # report of this incarnation
-    idle_by: dict[int, float] = attrs.field(factory=dict)  # report to what its answer makes of `idle_until`
+    idle_until: float = 0.0  # it is certainly not in standby before this time
+    silent: bool = True  # it may be in standby
+    newest: int = 0  # highest report number of this incarnation
+    idle_by: dict[int, float] = attrs.field(factory=dict)  # report number to `idle_until` once acknowledged
     past_incarnations: deque[int] = attrs.field(factory=lambda: deque(maxlen=MAX_PAST_INCARNATIONS))
 
     def accepts(self, report: QuotaReport) -> bool:
-        """False for a report that is late, by far or of a process that has ended."""
+        """Returns False for a report that is far out of order or comes from an earlier incarnation."""
         if report.incarnation in self.past_incarnations:
             return False
         return report.incarnation != self.incarnation or report.number > self.newest - MAX_TRACKED_ANSWERS
 
     def start_incarnation(self, incarnation: int) -> None:
-        """Another process, which keeps to what the one before was told."""
+        """Handles a restart of the proxy. `idle_until` stays: the new process honours it as well."""
         self.past_incarnations.append(self.incarnation)
         self.incarnation, self.newest = incarnation, 0
         self.idle_by.clear()
 
     def answered(self, report: int, idle_until: float) -> None:
-        """An answer goes out that binds the proxy until then, if it is the first to arrive for the report."""
+        """Records an answer that keeps the proxy out of standby until then, once acknowledged.
+
+        Of several answers to a report, the first counts: the proxy may have received that one only.
+        """
         self.idle_by.setdefault(report, idle_until)
         self.newest = max(self.newest, report)
         for old in [number for number in self.idle_by if number <= self.newest - MAX_TRACKED_ANSWERS]:
             del self.idle_by[old]
 
     def confirmed(self, report: int) -> None:
-        """An answer to that report has arrived."""
+        """Handles the acknowledgement of the answer to that report."""
         self.idle_until = max(self.idle_until, self.idle_by.get(report, 0.0))
 
 
 @attrs.frozen(slots=True)
 class PoolFigures:
-    """One tenant's pool: tokens in it, the most it may hold, and the part of the rate that flows to it."""
+    """One tenant's pool: its level and capacity in tokens, and the part of the rate that flows into it."""
 
     tokens: float
     capacity: float
@@ -91,7 +95,7 @@
 
 
 class QuotaAllocator:
-    """The allocator of one head. The caller feeds it only while this machine surely is the only one."""
+    """The allocator of one head. The caller must use it only while no other machine can be head."""
 
     def __init__(
         self,
@@ -102,14 +106,17 @@
         reserves: Reserves | None = None,
         lent_until: float | None = None,
     ) -> None:
-        """`initial_tokens`: what an earlier allocator at this disk has surely not lent (`NoteRead.left`).
-        `reserves`: where notes can be kept; without, none are. `lent_until`: since when surely nobody has
-        lent anything, if that was earlier than `now`."""
+        """Creates the allocator for the view of that epoch.
+
+        `initial_tokens`: tokens by tenant that an earlier allocator at this disk certainly has not lent
+        (`NoteRead.left`). `reserves`: tracks the notes; None if they cannot be stored. `lent_until`: no other
+        allocator has lent anything since then; None: since `now`.
+        """
         self._initial_tokens = dict(initial_tokens or {})
         self._reserves = reserves
         self._waiting_asks: list[
             tuple[float, str, QuotaAsk]
-        ] = []  # asks that wait for a note, and since when
+        ] = []  # since when, proxy, ask that waits for a note
         self._epochs = range(epoch, epoch + 1)
         self._now = now
         self._rules = rules if rules is not None else QuotaRules()
@@ -118,12 +125,12 @@
         self._fleet_size = 0
         self._pools: dict[str, TenantPool] = {}
         self._peers: dict[str, _Peer] = {}
-        self._in_contact_count = 0  # peers that surely don't stand by
+        self._in_contact_count = 0  # peers that are certainly not in standby
         self._next_silent_at = float("inf")
         self._taken_over: set[int] = set()
 
     def configure(self, tenants: Mapping[str, TenantLimit], fleet_size: int) -> None:
-        """Limits in force from now on, and how many proxies there may be; 0 while unknown."""
+        """Sets the tenants' limits, and the largest possible number of proxies; 0 while unknown."""
         self._advance_all(self._now)
         self._fleet_size = fleet_size
         limited = {name: limit for name, limit in tenants.items() if limit.rate > 0}
@@ -138,11 +145,11 @@
                 pool.begin_with(self._initial_tokens.pop(name, 0))
 
     def next_epoch(self, epoch: int) -> None:
-        """The view has changed, but this machine has been the only head all the time."""
+        """Accepts a new epoch, too: the view changed, but this machine was the only head throughout."""
         self._epochs = range(self._epochs.start, epoch + 1)
 
     def hand_over(self, now: float, ip: str, epoch: int) -> Send:
-        """The last thing that it does: tell the new head what is left."""
+        """Tells the new head what is left in the pools. The allocator must not be used after that."""
         self._now = now
         self._mark_silent()
         self._advance_all(now)
@@ -150,7 +157,7 @@
         return Send(ip, QuotaHandover(epoch, self._epochs.start, tokens))
 
     def receive(self, now: float, ip: str, message: object) -> list[Send]:
-        """A datagram of a proxy; the answer to it, if any."""
+        """Handles a datagram of a proxy or of an earlier head; returns the answer, if any."""
         self._now = now
         self._mark_silent()
         if isinstance(message, QuotaHandover) and message.epoch in self._epochs:
@@ -164,7 +171,7 @@
         return []
 
     def note_due(self, now: float) -> KeepNote | None:
-        """A note to be written, if one is due. Ask after each call."""
+        """Returns the note to write now, if one is due. Call it after each other call."""
         if self._reserves is None or now < self._lends_from or not self._reserves.is_check_due(now):
             return None
         self._now = now
@@ -173,7 +180,10 @@
         return self._reserves.due_note(now, self._epochs[-1], self._pools)
 
     def noted(self, now: float, note: QuotaNote, answers: bool = True) -> list[Send]:
-        """A note is on the disk: what has waited for it is answered, if it still may be."""
+        """Handles that a note is on the disk: answers the asks that waited for it and have not expired.
+
+        `answers`: whether this machine may still answer.
+        """
         self._now = now
         if self._reserves is None or not self._reserves.noted(note) or not answers:
             return []
@@ -185,7 +195,7 @@
         return found
 
     def tick(self, now: float) -> list[Send]:
-        """Call each 50 ms or so."""
+        """Drops expired asks and proxies. Call it about every 50 ms."""
         self._now = now
         self._waiting_asks = [entry for entry in self._waiting_asks if now - entry[0] < MAX_ASK_WAIT_S]
         self._mark_silent()
@@ -197,7 +207,7 @@
         return []
 
     def figures(self, now: float) -> dict[str, PoolFigures]:
-        """For operators, by tenant."""
+        """Returns the state of the pools by tenant, for operators."""
         self._now = now
         self._mark_silent()
         self._advance_all(now)
@@ -205,7 +215,7 @@
         return {name: PoolFigures(pool.level, pool.plan.capacity, part) for name, pool in self._pools.items()}
 
     def _in_contact_part(self) -> float:
-        """Of the proxies, as far as they are known."""
+        """Returns the part of the fleet that is certainly not in standby, 0 to 1."""
         return min(self._in_contact_count / self._fleet_size, 1.0) if self._fleet_size else 0.0
 
     def _advance_all(self, now: float) -> None:
@@ -214,7 +224,7 @@
             pool.advance(now, in_contact_part)
 
     def _handle_ask(self, ip: str, ask: QuotaAsk, since: float | None = None) -> list[Send]:
-        """The answer to an ask; none yet if it wants what a note on the disk promises not to lend."""
+        """Answers a request for credit; defers the answer if it needs tokens that a stored note reserves."""
         blocked = list(self._blocked_tenants(ask))
         if not blocked or self._reserves is None:
             return [Send(ip, self._make_credit(ask))]
@@ -224,7 +234,7 @@
         return []
 
     def _blocked_tenants(self, ask: QuotaAsk) -> Iterator[str]:
-        """The tenants that have as many tokens as are wanted, were some of them not promised."""
+        """Yields the tenants with reserved tokens whose other tokens are fewer than the ask wants."""
         in_contact_part = self._in_contact_part()
         for name, wanted in ask.tokens.items():
             pool, reserved = self._pools.get(name), self._reserved(name)
@@ -259,7 +269,7 @@
         return QuotaCredit(ask.epoch, ask.incarnation, ask.number, ask.sent_at, CREDIT_S, tokens, dry)
 
     def _take_over(self, message: QuotaHandover) -> None:
-        """What another allocator has left, each once."""
+        """Adds the tokens left by another allocator, once for each."""
         if message.from_epoch in self._taken_over:
             return
         self._taken_over.add(message.from_epoch)
@@ -287,7 +297,7 @@
         return [QuotaContact(report.epoch, report.incarnation, report.number, contact_for_s)]
 
     def _mark_silent(self) -> None:
-        """Count proxies as standing by since the moment from which they may have been, up to now."""
+        """Counts proxies as being in standby from the moment since which that is possible, up to now."""
         if self._now < self._next_silent_at:
             return
         in_contact = sorted((p.idle_until, ip) for ip, p in self._peers.items() if not p.silent)
--- a/cloverrouter/control/quota_duty.py
+++ b/cloverrouter/control/quota_duty.py
@@ -1,4 +1,4 @@
-"""Whether this machine hands out quotas, and with what it begins in a new view."""
+"""Runs the quota allocator while this machine is head, and decides how it starts in a new view."""
 
 from __future__ import annotations
 
@@ -14,10 +14,10 @@
 
 
 class QuotaDuty:
-    """Holds the allocator while this machine is head, and lets it speak only while no other can be."""
+    """Owns the allocator while this machine is head. It answers only while no other machine can be head."""
 
     def __init__(self, own_ip: str, rules: QuotaRules, started: float = float("inf")) -> None:
-        """`started`: when this process began, if known."""
+        """`started`: start time of this process; infinity if unknown."""
         self._started = started
         self._has_allocated = False
         self._own_ip = own_ip
@@ -29,7 +29,7 @@
         self._latest_lead_until = float("-inf")
 
     def configure(self, limits: Mapping[str, TenantLimit], fleet_size: int) -> None:
-        """Limits in force from now on, and how many proxies there may be."""
+        """Sets the tenants' limits, and the largest possible number of proxies."""
         self._limits, self._fleet_size = limits, fleet_size
         if self._allocator is not None:
             self._allocator.configure(limits, fleet_size)
@@ -42,9 +42,12 @@
         read_note: Callable[[], Mapping[str, int] | None] = lambda: None,
         disk: str | None = None,
     ) -> list[Send]:
-        """`head`: of the view, once it is active. For this machine as head: `read_note` gives what pools
-        begin with (`NoteRead.left`); `disk` is the identity under which notes are kept, None where they can't
-        be."""
+        """Handles a new view, once it is active; returns the handover if another machine is now head.
+
+        `head`: IP of the view's head, None before the view is active. If this machine is head, `read_note`
+        gives the initial tokens of the pools (`NoteRead.left`), and `disk` is the identity under which notes
+        are stored, None if they cannot be.
+        """
         if head is None or epoch == self._epoch:
             return []
         self._epoch = epoch
@@ -63,17 +66,20 @@
     def _begun_anew(
         self, now: float, epoch: int, initial_tokens: Mapping[str, int] | None, disk: str | None
     ) -> QuotaAllocator:
-        """An allocator. Where a note counts and this process never lent anything, it was an earlier process
-        at this disk that lent last."""
+        """Creates an allocator.
+
+        If a note is valid and this process has not run an allocator before, an earlier process at this disk
+        was the last to lend, so that nothing was lent since the start of this process.
+        """
         lent_until = self._started if initial_tokens is not None and not self._has_allocated else None
         self._has_allocated = True
         reserves = Reserves(disk) if disk is not None else None
         return QuotaAllocator(epoch, now, self._rules, initial_tokens, reserves, lent_until)
 
     def receive(self, now: float, lead_until: float | None, ip: str, message: object) -> list[Effect]:
-        """A datagram of a proxy, or of an earlier head.
+        """Handles a datagram of a proxy or of an earlier head.
 
-        `lead_until`: no other can become head before; None if that isn't sure.
+        `lead_until`: no other machine can become head before this time; None without such a guarantee.
         """
         leads = self._leads(now, lead_until)
         if self._allocator is None or not (leads or isinstance(message, QuotaHandover)):
@@ -82,13 +88,13 @@
         return self._with_note(now, answers) if leads else [*answers]
 
     def tick(self, now: float, lead_until: float | None) -> list[Effect]:
-        """Call each 50 ms or so."""
+        """Handles what is due by time. Call it about every 50 ms."""
         if self._allocator is None or not self._leads(now, lead_until):
             return []
         return self._with_note(now, self._allocator.tick(now))
 
     def noted(self, now: float, lead_until: float | None, note: QuotaNote) -> list[Effect]:
-        """A note of `KeepNote` is on the disk."""
+        """Handles that the note of a `KeepNote` effect is on the disk."""
         if self._allocator is None:
             return []
         leads = self._leads(now, lead_until)
--- a/cloverrouter/control/quota_note.py
+++ b/cloverrouter/control/quota_note.py
@@ -1,11 +1,12 @@
-"""What a head notes on its disk of the tenants' pools, so that they need not begin empty after a restart.
+"""Notes of the tenants' pools on the head's disk, so that the pools need not start empty after a restart.
 
-A note promises that of each pool at least so many tokens are not lent until a later note is on the disk. The
-next head at the same disk may begin with these, if no other head was in force in between. No clock is read:
-the time that has passed since the note was written counts for nothing.
+A note reserves tokens: it promises that of each pool at least so many are not lent until a later note is on
+the disk. The next head at the same disk may start with these, if no other head was active in between. No
+clock is involved: the time since the note was written does not matter.
 
-Danger: what is promised must be kept from the moment at which the note may be on the disk, and a promise that
-is taken back holds until the note that takes it back is there for certain. `Reserves` keeps both.
+The tokens of a note must stay reserved from the moment at which the note may be on the disk, and a
+reservation that a later note lowers must hold until that note is certainly on the disk. `Reserves` ensures
+both.
 """
 
 from __future__ import annotations
@@ -18,15 +19,15 @@
 from cloverrouter.control.updates import decoded
 from cloverrouter.messages import MessageError, message
 
-LENDABLE_MARGIN_S = 0.5  # of a pool's rate: what may be lent beyond the promise before another note is due
-CHECK_PERIOD_S = 0.2  # between looks at all pools; half of `LENDABLE_MARGIN_S` lasts for longer
-RAISE_PERIOD_S = 1.0  # between notes that only promise more
-MAX_ASK_WAIT_S = 0.12  # an ask that waits longer for a note is worth nothing
+LENDABLE_MARGIN_S = 0.5  # of a pool's rate: left unreserved, to be lent without another note
+CHECK_PERIOD_S = 0.2  # between checks of all pools; half of `LENDABLE_MARGIN_S` lasts longer
+RAISE_PERIOD_S = 1.0  # between notes that only raise reservations
+MAX_ASK_WAIT_S = 0.12  # an ask that waits longer for a note gets no answer: its credit would have expired
 
 
 @message(356)
 class QuotaNote:
-    """Stored, never sent. `left`: tokens by tenant, counted as in `QuotaHandover`."""
+    """Stored on disk, never sent. `left`: reserved tokens by tenant, counted as in `QuotaHandover`."""
 
     identity: str  # of the disk
     epoch: int  # of the head that wrote it
@@ -35,23 +36,24 @@
 
 @attrs.frozen(slots=True)
 class KeepNote:
-    """Effect: write this note; `QuotaDuty.noted` hears once it is on the disk."""
+    """Effect: write this note, and call `QuotaDuty.noted` once it is on the disk."""
 
     note: QuotaNote
 
 
 @attrs.frozen(slots=True)
 class NoteRead:
-    """What a note on the own disk is worth: the tokens to begin with, or why it counts for nothing.
+    """The result of reading a note from the disk.
 
-    None where there is no note that counts."""
+    `left`: the initial tokens by tenant, None without a valid note. `refused`: why a note is invalid.
+    """
 
     left: Mapping[str, int] | None
     refused: str = ""
 
 
 def read_note(data: bytes, identity: str, follows: int | None) -> NoteRead:
-    """The note on the disk with that identity, for a head whose state is of the epoch `follows`."""
+    """Reads the note of the disk with that identity, for a head whose state is of the epoch `follows`."""
     if not data:
         return NoteRead(None)
     try:
@@ -68,7 +70,7 @@
 
 
 class Reserves:
-    """What an allocator has promised not to lend, and when it should promise something else."""
+    """The tokens that an allocator has reserved in notes; decides when to write a new note."""
 
     def __init__(self, identity: str) -> None:
         self._identity = identity
@@ -80,20 +82,20 @@
         self._release_requests: set[str] = set()
 
     def of(self, tenant: str) -> int:
-        """Tokens of a tenant that may not be lent now."""
+        """Returns the tokens of a tenant that may not be lent now."""
         return max(self._durable.get(tenant, 0), self._written.get(tenant, 0))
 
     def request_release(self, tenant: str) -> None:
-        """A request waits for tokens that are promised: the next note takes the promise back."""
+        """Handles a request that waits for reserved tokens: the next note releases those of the tenant."""
         self._release_requests.add(tenant)
 
     def is_check_due(self, now: float) -> bool:
-        """Whether to ask now if a note is `due_note`: one is under way at a time."""
+        """Returns whether to call `due_note` now. Only one note is written at a time."""
         is_time = bool(self._release_requests) or now - self._last_check_at >= CHECK_PERIOD_S
         return self._pending_note is None and is_time
 
     def due_note(self, now: float, epoch: int, pools: Mapping[str, TenantPool]) -> KeepNote | None:
-        """The note to write now, if any. The pools are filled up to now."""
+        """Returns the note to write now, if any. The pools must be advanced to `now`."""
         self._last_check_at = now
         wanted = {name: self._target_reserve(name, pool) for name, pool in pools.items()}
         is_urgent = any(wanted[name] < self._written.get(name, 0) for name in wanted)
@@ -111,14 +113,14 @@
         return KeepNote(self._pending_note)
 
     def noted(self, note: QuotaNote) -> bool:
-        """A note is on the disk; whether it is the one that was under way."""
+        """Handles that a note is on the disk; returns whether it is the pending one."""
         if note != self._pending_note:
             return False
         self._durable, self._pending_note = self._written, None
         return True
 
     def _target_reserve(self, name: str, pool: TenantPool) -> int:
-        """What to promise of a pool: the same as before while that is about right."""
+        """Returns the tokens to reserve of a pool; unchanged while the last value is close enough."""
         before, left = self._written.get(name, 0), pool.left()
         margin = min(pool.plan.rate * LENDABLE_MARGIN_S, pool.max_initial_tokens() / 2)
         if name in self._release_requests:
--- a/cloverrouter/control/quota_pool.py
+++ b/cloverrouter/control/quota_pool.py
@@ -1,4 +1,4 @@
-"""One tenant's pool at the allocator."""
+"""A tenant's token pool at the allocator."""
 
 from __future__ import annotations
 
@@ -8,22 +8,22 @@
 
 from cloverrouter.placement.quota_plan import STANDBY_CAPACITY_PART, STANDBY_PART, TenantPlan
 
-RESERVED_FOR_WAITING_PART = 0.5  # of the room: for requests that wait, not for holding in advance
+RESERVED_FOR_WAITING_PART = 0.5  # of the capacity: kept for waiting requests, not lent as spare tokens
 MIN_DRY_S = 0.03
 STARTUP_LENDING_S = 2.0
 
 
 def idle_part(in_contact_part: float) -> float:
-    """The part of a rate that no proxy may be using by itself."""
+    """Returns the part of a rate that flows into the pool: no proxy may be using it in standby."""
     return 1 - STANDBY_PART * (1 - in_contact_part)
 
 
 @attrs.define(slots=True)
 class TenantPool:
-    """Fills at the tenant's rate, less what proxies may be running by themselves.
+    """A token bucket that fills at the tenant's rate, less what proxies in standby may be admitting.
 
-    It begins with what the pool of an earlier allocator may have owed. Credit that was given and may not have
-    been run yet is counted in its room.
+    It starts with the largest debt that the pool of an earlier allocator may have had. Credit that was lent
+    and may not have been used yet counts against the capacity.
     """
 
     plan: TenantPlan
@@ -37,7 +37,9 @@
     _credit_out: float = 0.0
 
     def advance(self, now: float, in_contact_part: float) -> None:
-        """Fill up to `now`. `in_contact_part` of the proxies surely did not stand by since the last call."""
+        """Fills the pool up to `now`. Since the last call, `in_contact_part` of the proxies certainly was not
+        in standby.
+        """
         elapsed = now - self.updated_at
         if elapsed > 0:
             self.level += elapsed * self.plan.rate * idle_part(in_contact_part)
@@ -52,10 +54,11 @@
         self.level = min(self.level + admitted, room - self._credit_out)
 
     def lend(self, wanted: int, until: float, reserved: int = 0) -> int:
-        """Any size is served while there is anything: large requests wait no longer than small ones.
+        """Lends tokens until a time; returns how many.
 
-        Only at first, small ones are served before the debt that the pool begins with is paid. `reserved`:
-        tokens of `left` that are not to be lent.
+        Requests of any size are served while the level is above zero, so that large ones wait no longer than
+        small ones. In the first `STARTUP_LENDING_S` only, a request that fits is served although the initial
+        debt has not been filled yet. `reserved`: tokens of `left` that must not be lent.
         """
         most = max(int(self.level + self.plan.debt) - reserved, 0)
         is_startup_loan = self.updated_at < self.startup_until and wanted <= most
@@ -64,7 +67,7 @@
         return self._lend(min(wanted, most), until)
 
     def lend_spare(self, wanted: int, until: float) -> int:
-        """What no request waits for: only out of what the pool has beyond `RESERVED_FOR_WAITING_PART`."""
+        """Lends tokens that no request waits for: only those above `RESERVED_FOR_WAITING_PART`."""
         beyond = int(self.level - self.plan.capacity * RESERVED_FOR_WAITING_PART)
         return self._lend(min(wanted, beyond), until) if beyond > 0 else 0
 
@@ -75,28 +78,29 @@
         return tokens
 
     def left(self) -> int:
-        """What another allocator may give beyond what it begins with, if this one gives nothing any more."""
+        """Returns the tokens that another allocator may add to its initial ones if this one lends no more."""
         return max(int(self.level + self.plan.debt), 0)
 
     def max_initial_tokens(self) -> int:
-        """The most of `left` that an allocator may begin with that knows of no proxy whether it stands by.
+        """Returns the most of `left` that an allocator may start with that does not know which proxies are in
+        standby.
 
-        Proxies may have run all that they can store by themselves, since nobody knows for how long they did.
+        All proxies may have been in standby for any time, and so may have used up their standby capacity.
         """
         return int(self.plan.debt + self.plan.capacity * (1 - STANDBY_CAPACITY_PART))
 
     def begin_with(self, tokens: int) -> None:
-        """An earlier allocator at this disk has surely not lent so many. Call right after it was made."""
+        """Starts with tokens that an earlier allocator certainly has not lent. Call it on a new pool only."""
         self.level = min(max(tokens, 0), self.max_initial_tokens()) - self.plan.debt
 
     def take_over(self, tokens: float) -> None:
-        """What another allocator had left. Call before `advance`.
+        """Adds tokens that another allocator had left. Call it before `advance`.
 
-        While this one counts proxies as standing by, for which the other knew better, there is no room
-        for all. What waits for room is less by all that those proxies may have stored since.
+        While this allocator counts proxies as being in standby that the other one knew not to be, there is no
+        room for all tokens. Those that wait for room decrease by what these proxies may have stored since.
         """
         self._parked += tokens
 
     def dry_s(self) -> float:
-        """How long until the pool may hold something again; longer if proxies stand by then."""
+        """Returns the least time in seconds until the pool may lend again; more if proxies are in standby."""
         return max(-self.level / self.plan.rate, MIN_DRY_S)
--- a/cloverrouter/control/subscriber.py
+++ b/cloverrouter/control/subscriber.py
@@ -1,4 +1,4 @@
-"""Every machine's side of distribution: hears of changes from all voters, fetches them from one."""
+"""Every machine's side of distribution: gets offers from all voters and fetches changes from one of them."""
 
 from __future__ import annotations
 
@@ -30,14 +30,14 @@
 MAX_TIMEOUT_FACTOR = 4.0
 TIMEOUT_GROWTH_FACTOR = 1.5
 MAX_FIRST_STATE_WAIT_S = 1.0
-REFETCH_DELAY_S = 0.5  # before a state is fetched again that could not be put in force; doubles
+REFETCH_DELAY_S = 0.5  # before a state that could not be applied is fetched again; doubles each time
 MAX_REFETCH_DELAY_S = 8.0
 FLEET_SIZE_MEMORY_S = 15.0
 
 
 @attrs.frozen(slots=True)
 class Apply:
-    """Put these committed updates in force, in order; the last of them has the sequence number `sequence`."""
+    """Effect: apply these committed updates in order; the last one has the number `sequence`."""
 
     sequence: int
     updates: tuple[bytes, ...]
@@ -45,7 +45,7 @@
 
 @attrs.frozen(slots=True)
 class Replace:
-    """Put this committed state in force instead of all before."""
+    """Effect: replace the configuration by this committed state."""
 
     sequence: int
     snapshot: bytes
@@ -56,7 +56,7 @@
 
 @attrs.define(slots=True)
 class _Fetch:
-    """What the subscriber waits for, from whom, and until when."""
+    """A fetch in progress: its source, deadline and the parts received so far."""
 
     source: str
     deadline: float
@@ -65,11 +65,11 @@
     has_answer: bool = False
 
     def begins_with(self, part: Part) -> bool:
-        """Whether to put together what this part is of, instead of what was begun before.
+        """Returns whether to drop the current assembly and start one for the content of this part.
 
-        Danger: where two questions were answered, with states of different ages, parts of both come in turn.
-        If each put an end to the other, neither would ever be whole. So only the newer one may, or any where
-        this question has no answer yet.
+        Two pulls may be answered with states of different ages, whose parts then arrive interleaved. If each
+        restarted the assembly, neither would ever be complete. So only newer content may restart it, or any
+        content while the current pull has no answer yet.
         """
         if self.assembly is None or not self.has_answer:
             return True
@@ -77,7 +77,10 @@
 
 
 class Subscriber:
-    """The pure core on every machine. What it has put in force never goes backwards within its life."""
+    """The state machine on every machine, without I/O.
+
+    Within the life of the process, it never hands out older state after newer state.
+    """
 
     def __init__(self, own_ip: str, own_zone: str, random: Random) -> None:
         self._voters = VoterChoice(own_ip, own_zone, random)
@@ -99,15 +102,15 @@
 
     @property
     def unread(self) -> int:
-        """How many times in a row what was handed out could not be put in force."""
+        """How many times in a row the state handed out could not be applied."""
         return self._apply_failures
 
     def behind_s(self, now: float) -> float:
-        """For how long voters have offered more than is in force, without anything new; 0: it has all."""
+        """Returns for how many seconds newer state has been offered and none has arrived; 0 if up to date."""
         return 0.0 if self._behind_since is None else now - self._behind_since
 
     def applied(self) -> None:
-        """What was handed out last is in force."""
+        """Handles that the last effect was applied."""
         self._apply_failures = 0
         self._next_fetch_at = -math.inf
 
@@ -122,31 +125,38 @@
         return self._source
 
     def current(self, now: float) -> bool:
-        """True if a majority of the voters was heard of lately: what they have committed is known here."""
+        """Returns whether a majority of the voters is within the leases: their commits are known here."""
         return self._voters.majority_is_live(now)
 
     def complete_as_of(self) -> float:
-        """All that had been acknowledged by then is in force here. It grows while a majority of the voters
-        offers nothing that is not."""
+        """Returns the time up to which all acknowledged changes are applied here.
+
+        It advances while a majority of the voters offers nothing newer. Minus infinity at first.
+        """
         if self._pending_changes is None and self.newest_offered() <= self._have:
             self._complete_as_of = max(self._complete_as_of, self._voters.majority_report_at())
         return self._complete_as_of
 
     def newest_offered(self) -> int:
-        """The newest committed sequence number heard of."""
+        """Returns the newest sequence number that any voter has offered."""
         return self._voters.newest_of_all()
 
     def fleet_size(self) -> int:
-        """How many machines there are, as the voters count; 0 while unknown. It falls slowly."""
+        """Returns the number of machines as counted by the voters; 0 while unknown.
+
+        It is the largest count of the last `FLEET_SIZE_MEMORY_S`.
+        """
         return max((size for _, size in self._fleet_sizes), default=0)
 
     def start(self, now: float) -> list[Effect]:
-        """Nothing to do before the voters are known."""
+        """Starts; there is nothing to send before the voters are known."""
         return self.tick(now)
 
     def start_over(self, now: float) -> None:
-        """What was handed out could not be put in force: a whole state, no older than that, is fetched, and
-        after longer and longer if it can't be read either."""
+        """Handles that the last effect could not be applied: fetches a snapshot that is not older.
+
+        If that fails again, further fetches follow with exponential backoff.
+        """
         if self._apply_failures:
             self._next_fetch_at = now + min(
                 MAX_REFETCH_DELAY_S, REFETCH_DELAY_S * 2.0 ** (self._apply_failures - 1)
@@ -159,7 +169,7 @@
             self._behind_since = now
 
     def voters_changed(self, now: float, voters: Sequence[VoterAddress]) -> list[Effect]:
-        """The voters of the chain's view, as far as this machine knows."""
+        """Handles a new list of voters, taken from the newest view known here."""
         self._voters.set_voters(voters)
         if self._fetch is not None and self._fetch.source not in self._voters:
             self._fetch = None
@@ -167,13 +177,13 @@
         return self._subscribe_all(now)
 
     def link_up(self, now: float, ip: str) -> list[Effect]:
-        """The link to a machine is up (again): what was under way may be lost."""
+        """Handles a connection that is up (again): subscribes anew, since messages in flight may be lost."""
         if ip not in self._voters:
             return []
         return [self._subscribe(ip)]
 
     def tick(self, now: float) -> list[Effect]:
-        """Whatever is due by the clock."""
+        """Handles all timers that are due: subscriptions, timeouts, retries."""
         effects = self._change_source(now)
         if now >= self._next_subscribe:
             effects += self._subscribe_all(now)
@@ -190,7 +200,7 @@
         return effects
 
     def receive(self, now: float, ip: str, message: object) -> list[Effect]:
-        """A voter's message."""
+        """Handles a message; ignores those of machines that are not voters."""
         if ip not in self._voters:
             return []
         effects: list[Effect] = [self._subscribe(ip)] if self._voters.record_message(now, ip) else []
@@ -217,7 +227,7 @@
         return []
 
     def _pull(self, now: float) -> list[Effect]:
-        """Asks the source, or whoever offers more than it has if the source lags behind."""
+        """Pulls from the source, or from a voter that offers newer state if the source lags behind."""
         source = self._source
         if source is None or self._voters.newest(source) <= self._have:
             source = self._voters.best_source(now, above=self._have)
@@ -275,7 +285,7 @@
         ]
 
     def _went_on(self, now: float, ip: str, change: Apply | Replace) -> list[Effect]:
-        """Something new is here: puts it in force, tells the voter, and asks for what follows."""
+        """Accepts new state: hands it out, acknowledges it to the voter, and pulls what follows."""
         self._fetch = self._partial_assembly = None
         self._patience = 1.0
         is_behind = self.newest_offered() > self._have
@@ -295,12 +305,12 @@
         return effects
 
     def _release(self) -> list[Effect]:
-        """The first state is put in force with all that followed it, so that nothing old is ever served."""
+        """Hands out the first state together with all updates after it, so that no old state is served."""
         held, self._pending_changes = self._pending_changes, None
         return [*(held or ())]
 
     def _give_up(self, now: float) -> list[Effect]:
-        """The source did not answer in time: another one next."""
+        """Handles a timeout or a damaged answer of the source: retries with another voter."""
         assert self._fetch is not None
         self._voters.record_failure(now, self._fetch.source)
         self._patience = min(MAX_TIMEOUT_FACTOR, TIMEOUT_GROWTH_FACTOR * self._patience)
--- a/cloverrouter/control/transfer.py
+++ b/cloverrouter/control/transfer.py
@@ -1,4 +1,4 @@
-"""Snapshots and long updates in parts that leave room for other messages on a slow link."""
+"""Transfer of snapshots and long updates in parts, so that other messages get through on a slow link."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 @attrs.frozen(slots=True)
 class Package:
-    """Something long as it is sent: deflated if that makes it shorter."""
+    """A snapshot or update encoded for its transfer: deflated if that makes it shorter."""
 
     sequence: int
     is_snapshot: bool
@@ -26,7 +26,7 @@
     data: bytes
 
     def part(self, offset: int) -> Part:
-        """The part at that offset; without data beyond the end."""
+        """Returns the part at that byte offset; it has no data beyond the end."""
         data = self.data[offset : offset + PART_BYTES]
         return Part(
             self.sequence, self.is_snapshot, offset, len(self.data), self.checksum, self.encoding, data
@@ -34,7 +34,7 @@
 
 
 def pack(sequence: int, is_snapshot: bool, data: bytes) -> Package:
-    """The package of a snapshot or an update."""
+    """Encodes a snapshot or an update; deflates it from `MIN_DEFLATE_BYTES` on."""
     encoding, packed = PLAIN, data
     if len(data) >= MIN_DEFLATE_BYTES:
         deflated = zlib.compress(data, DEFLATE_LEVEL)
@@ -44,7 +44,7 @@
 
 
 class Assembly:
-    """The receiving end: parts put together, in whatever order they come."""
+    """The receiver's side: assembles the parts of one content, in any order of arrival."""
 
     def __init__(self, first: Part) -> None:
         self._transfer_key = _transfer_key(first)
@@ -56,24 +56,24 @@
 
     @property
     def is_complete(self) -> bool:
-        """True if all parts are here."""
+        """Whether all parts have arrived."""
         return sum(len(data) for data in self._parts.values()) >= self.total
 
     def takes(self, part: Part) -> bool:
-        """True if the part belongs to what is being put together."""
+        """Returns whether the part belongs to the content that is being assembled."""
         return _transfer_key(part) == self._transfer_key
 
     def add(self, part: Part) -> None:
-        """Takes a part in."""
+        """Adds a part that `takes` accepts; an empty one changes nothing."""
         if part.data:
             self._parts[part.offset] = part.data
 
     def missing(self) -> list[int]:
-        """The offsets of the parts that are not here yet, in order."""
+        """Returns the byte offsets of the missing parts, in ascending order."""
         return [offset for offset in range(0, self.total, PART_BYTES) if offset not in self._parts]
 
     def content(self) -> bytes | None:
-        """The whole, unpacked; None if its bytes are not what was sent."""
+        """Returns the decoded content; None if length, checksum or compressed data are wrong."""
         data = b"".join(self._parts[offset] for offset in sorted(self._parts))
         if len(data) != self.total or zlib.crc32(data) != self._transfer_key[-1]:
             return None
@@ -84,7 +84,7 @@
 
 
 def is_valid_part(part: Part) -> bool:
-    """True if the part can belong to something whole."""
+    """Returns whether the part's offset and length are consistent with its total length."""
     return (
         0 <= part.total <= MAX_TRANSFER_BYTES
         and part.offset % PART_BYTES == 0
--- a/cloverrouter/control/voter_choice.py
+++ b/cloverrouter/control/voter_choice.py
@@ -1,4 +1,4 @@
-"""The voters as a subscriber sees them: who is in touch, what each offers, and which one to fetch from."""
+"""The voters as seen by a subscriber: which are live, what each offers, and which one to fetch from."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 @attrs.frozen(slots=True)
 class VoterAddress:
-    """A voter, and the zone that it is in."""
+    """A voter's IP and its zone."""
 
     ip: str
     zone: str
@@ -31,14 +31,14 @@
     newest: int = NOTHING
     last_message_at: float = -math.inf
     last_report_at: float = -math.inf
-    """When it told last what it has committed."""
+    """Time of its last message that gave its newest committed sequence number."""
     lease: float = MIN_LEASE_S
     penalty_until: float = -math.inf
     behind_since: float = math.inf
 
 
 class VoterChoice:
-    """All voters with what was heard of them. One that failed to answer, or lags behind, is avoided."""
+    """Tracks the state of all voters. A voter that failed to answer or lags behind is avoided as a source."""
 
     def __init__(self, own_ip: str, own_zone: str, random: Random) -> None:
         self._own_ip = own_ip
@@ -53,26 +53,26 @@
         return ip in self._voters
 
     def set_voters(self, voters: Sequence[VoterAddress]) -> None:
-        """These are the voters now."""
+        """Replaces the list of voters; keeps the state of those that remain."""
         known = self._voters
         self._voters = {
             each.ip: known.get(each.ip) or _Voter(each.zone, self._random.random()) for each in voters
         }
 
     def record_message(self, now: float, ip: str) -> bool:
-        """A message of the voter came; returns whether it was the first one after a silence."""
+        """Renews the voter's lease; returns whether it had expired after earlier messages."""
         voter = self._voters[ip]
         is_back = not self._is_live(now, voter) and voter.last_message_at > -math.inf
         voter.last_message_at = now
         return is_back
 
     def record_offer(self, now: float, ip: str, offer: Offer) -> None:
-        """The voter tells what it has, and how often it tells."""
+        """Records the sequence number of an offer, and the lease that results from its period."""
         self.has(now, ip, offer.newest)
         self._voters[ip].lease = max(MIN_LEASE_S, LEASE_OFFER_PERIODS * offer.every_ms / 1000)
 
     def has(self, now: float, ip: str, newest: int) -> None:
-        """The voter has committed that much."""
+        """Records that the voter has committed up to `newest`."""
         self._voters[ip].newest = max(self._voters[ip].newest, newest)
         self._voters[ip].last_report_at = now
         newest_of_all = self.newest_of_all()
@@ -83,36 +83,39 @@
                 voter.behind_since = min(voter.behind_since, now)
 
     def record_failure(self, now: float, ip: str) -> None:
-        """The voter did not answer in time."""
+        """Avoids the voter for `FAILURE_PENALTY_S`, since it did not answer in time."""
         if ip in self._voters:
             self._voters[ip].penalty_until = now + FAILURE_PENALTY_S
 
     def newest(self, ip: str) -> int:
-        """What the voter has committed, as far as was heard."""
+        """Returns the newest sequence number that the voter is known to have committed."""
         return self._voters[ip].newest
 
     def newest_of_all(self) -> int:
-        """The newest committed sequence number heard of."""
+        """Returns the newest committed sequence number of all voters, `NOTHING` without one."""
         return max((voter.newest for voter in self._voters.values()), default=NOTHING)
 
     def silent_voters(self, now: float) -> list[str]:
-        """The voters whose leases have run out."""
+        """Returns the voters whose leases have expired."""
         return [ip for ip, voter in self._voters.items() if not self._is_live(now, voter)]
 
     def majority_is_live(self, now: float) -> bool:
-        """True if more than half of the voters were heard of within their leases."""
+        """Returns whether more than half of the voters are within their leases."""
         return 2 * sum(self._is_live(now, voter) for voter in self._voters.values()) > len(self._voters)
 
     def majority_report_at(self) -> float:
-        """Since when more than half of the voters have told what they have; minus infinity without."""
+        """Returns the latest time since which more than half of the voters have reported what they have
+        committed; minus infinity if fewer have.
+        """
         latest_first = sorted([voter.last_report_at for voter in self._voters.values()], reverse=True)
         return latest_first[len(latest_first) // 2] if latest_first else -math.inf
 
     def best_source(self, now: float, above: int | None = None) -> str | None:
-        """The voter to fetch from: one in touch first, then this machine itself, its zone, and the rank it
-        drew.
+        """Returns the preferred voter to fetch from, None without a candidate.
 
-        With `above`, only of those that have committed more than that.
+        Voters that failed or lag behind come last. Then live voters are preferred, then this machine itself,
+        then voters in its zone; a rank that was drawn at random decides the rest. `above`: considers only
+        voters that have committed more than that sequence number.
         """
         candidates = [ip for ip, voter in self._voters.items() if above is None or voter.newest > above]
         return min(candidates, key=lambda ip: self._preference(now, ip), default=None)
--- a/tests/system/distribution_fleet.py
+++ b/tests/system/distribution_fleet.py
@@ -1,4 +1,4 @@
-"""Publishers and subscribers in the small lossy world, for tests and scenarios."""
+"""Publishers and subscribers in a simulated network that loses messages, for tests and scenarios."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class Machine:
-    """A subscriber, with a publisher where the machine is a voter, and the state that both have."""
+    """A subscriber and, on a voter, a publisher, with the state that the subscriber has applied."""
 
     def __init__(self, fleet: DistributionFleet, ip: str) -> None:
         self.fleet = fleet
@@ -56,7 +56,7 @@
         return self._serve(now, self.publisher.committed(now, sequence, update))
 
     def _serve(self, now: float, effects: Iterable[object]) -> list[object]:
-        """The replica hands out its state when it is asked."""
+        """Provides the replica's state when the publisher requests a snapshot."""
         assert self.publisher is not None
         served: list[object] = []
         for effect in effects:
@@ -78,8 +78,8 @@
 
 
 class DistributionFleet:
-    """`size` machines in three zones, the first of them voters. The state is the updates one after the
-    other.
+    """`size` machines in three zones, the first of which are voters. The state is the concatenation of the
+    updates.
     """
 
     def __init__(self, world: World, size: int, voters: int = 3, state: bytes = b"0;") -> None:
@@ -100,7 +100,7 @@
         return machine
 
     def commit(self, update: bytes) -> None:
-        """A change is committed: the voters that are up learn of it within a few milliseconds."""
+        """Commits a change: the voters that are up learn of it within a few milliseconds."""
         self.sequence += 1
         self.state += update
         sequence = self.sequence
@@ -115,21 +115,21 @@
             self.world.take(ip, self.machine(ip).commit(self.world.now, sequence, update))
 
     def all_have(self, ips: Iterable[str] | None = None) -> bool:
-        """True if all machines (or those named) that are up have the newest state in force."""
+        """Returns whether all machines that are up, or those of `ips`, have applied the newest state."""
         chosen = [ip for ip in (self.ips if ips is None else ips) if ip in self.world.cores]
         return all(self.machine(ip).in_force == self.state for ip in chosen)
 
     def restart(self, ip: str) -> None:
-        """The machine's process is new; a voter reads its state back from its disk."""
+        """Restarts the machine's process; a voter reads its state from its disk."""
         self.world.stop(ip)
         self.world.add(ip, Machine(self, ip), after=0.1)
 
     def link_up(self, ip: str) -> None:
-        """The machine's links to all voters come up again."""
+        """Reconnects the machine to all voters."""
         for voter in self.voters:
             self.world.take(ip, self.machine(ip).subscriber.link_up(self.world.now, voter))
 
 
 def sends(effects: Iterable[object], kind: type) -> list[Send]:
-    """Those of the effects that send a message of that kind."""
+    """Returns the effects that send a message of that class."""
     return [each for each in effects if isinstance(each, Send) and isinstance(each.message, kind)]
--- a/tests/system/test_distribution.py
+++ b/tests/system/test_distribution.py
@@ -1,4 +1,4 @@
-"""Committed configurations reach every machine, soon, whole, and never backwards."""
+"""Committed configurations reach every machine quickly and completely, and never go back to older state."""
 
 from __future__ import annotations
 
@@ -82,7 +82,7 @@
         assert fleet.machine(ip).versions == sorted(set(fleet.machine(ip).versions))
 
 
-def test_a_machine_too_far_behind_gets_the_whole() -> None:
+def test_a_machine_too_far_behind_gets_a_snapshot() -> None:
     fleet = make_fleet()
     cut = fleet.ips[8]
     fleet.world.cut([cut], [ip for ip in fleet.ips if ip != cut])
@@ -213,7 +213,7 @@
     assert set(fleet.world.bytes_by_kind) == {"Offer", "Subscribe"}
 
 
-# One core at a time
+# Tests of a single subscriber or publisher
 
 
 def make_subscriber(have: bytes | None = b"base", sequence: int = 5) -> Subscriber:
@@ -249,7 +249,7 @@
     assert send.ip == "v2"
 
 
-def test_news_of_others_are_pulled_from_them_when_the_source_lags() -> None:
+def test_changes_are_pulled_from_another_voter_when_the_source_lags() -> None:
     core = make_subscriber()
     assert core.receive(1.0, "v2", Offer(6, 0, 500)) == []
     assert sends(core.tick(1.1), Pull) == []
@@ -268,8 +268,8 @@
     assert core.have == 5
 
 
-def test_a_stranger_is_not_heard() -> None:
-    """A machine that is no voter any more, or never was one."""
+def test_messages_of_other_machines_than_voters_are_ignored() -> None:
+    """A sender that is no longer a voter, or never was one."""
     core = make_subscriber()
     for message in (Offer(9, 0, 500), Delta(6, (b"6",), 6), pack(9, True, b"state").part(0)):
         assert core.receive(1.0, "stranger", message) == []
@@ -277,8 +277,8 @@
     assert core.newest_offered() == 5
 
 
-def test_parts_count_from_whom_they_were_asked_of() -> None:
-    """One that comes late, of a voter that was given up meanwhile."""
+def test_parts_are_accepted_only_from_the_source_of_the_fetch() -> None:
+    """Guards against late parts of a voter whose fetch was given up meanwhile."""
     core = make_subscriber()
     core.receive(1.0, "v1", Offer(9, 0, 500))
     package = pack(9, True, b"state")
@@ -287,8 +287,8 @@
     assert any(isinstance(effect, Replace) for effect in core.receive(1.0, "v1", package.part(0)))
 
 
-def test_parts_of_two_wholes_are_not_put_together() -> None:
-    """Two voters' states of the same number may differ in their bytes, though not in what they say."""
+def test_parts_of_two_contents_are_not_put_together() -> None:
+    """Two voters may encode the same state in different bytes under the same sequence number."""
     one, other = (pack(9, True, Random(seed).randbytes(2 * PART_BYTES)) for seed in (1, 2))
     core = make_subscriber()
     core.receive(1.0, "v1", Offer(9, 0, 500))
@@ -322,8 +322,10 @@
     assert zlib.crc32(done.snapshot) == zlib.crc32(Random(1).randbytes(4 * PART_BYTES))
 
 
-def test_answers_to_two_questions_with_states_of_different_ages_end() -> None:
-    """Found by the explorer: each put an end to the other, as fast as the link is."""
+def test_interleaved_answers_to_two_pulls_end() -> None:
+    """Guards against an endless loop: each part restarted the assembly of the other snapshot, and the
+    subscriber pulled again at once.
+    """
     publisher, subscriber = Publisher(), Subscriber("m", "", Random(1))
     older, newer = (Random(seed).randbytes(3 * PART_BYTES) for seed in (1, 2))
     publisher.receive(0.0, "m", Subscribe(NOTHING, True))
@@ -334,15 +336,17 @@
     subscriber.voters_changed(0.0, [VoterAddress("v", "")])
     assert sends(subscriber.receive(0.0, "v", Offer(2, 1, 500)), Pull)
     put_in_force: list[Apply | Replace] = []
-    letters = [*sends(first, Part), *sends(second, Part)]
+    messages = [*sends(first, Part), *sends(second, Part)]
     for _ in range(50):
-        if not letters:
+        if not messages:
             break
-        effects = subscriber.receive(0.0, "v", letters.pop(0).message)
+        effects = subscriber.receive(0.0, "v", messages.pop(0).message)
         put_in_force += [each for each in effects if isinstance(each, Apply | Replace)]
-        asked = sends(effects, PullPart)
-        letters += [sent for ask in asked for sent in sends(publisher.receive(0.0, "m", ask.message), Part)]
-    assert not letters
+        pulls = sends(effects, PullPart)
+        messages += [
+            sent for pull in pulls for sent in sends(publisher.receive(0.0, "m", pull.message), Part)
+        ]
+    assert not messages
     assert put_in_force == [Replace(2, newer)]
 
 
@@ -356,14 +360,14 @@
 
 
 def part_of(effects: Iterable[object]) -> Part:
-    """The one part that is sent."""
+    """Returns the single part that is sent."""
     (send,) = sends(effects, Part)
     assert isinstance(send.message, Part)
     return send.message
 
 
 def test_a_slow_link_gets_through_in_a_storm_of_long_changes() -> None:
-    """One machine takes part after part, while each change is fetched whole by another one."""
+    """A slow machine fetches a snapshot part by part while another one fetches each new change completely."""
     publisher, random = Publisher(), Random(1)
     publisher.restored(0.0, 0, random.randbytes(1_000_000))
     publisher.receive(0.0, "slow", Subscribe(NOTHING, True))
@@ -390,7 +394,7 @@
 
 
 @given(st.binary(max_size=3 * PART_BYTES), st.randoms())
-def test_parts_make_the_whole_in_any_order(data: bytes, random: Random) -> None:
+def test_parts_are_assembled_in_any_order(data: bytes, random: Random) -> None:
     package = pack(3, True, data)
     parts = [package.part(offset) for offset in range(0, max(1, len(package.data)), PART_BYTES)]
     random.shuffle(parts)
@@ -403,5 +407,5 @@
 
 
 @pytest.mark.parametrize("offset", [0, 1, PART_BYTES])
-def test_senseless_parts_are_told(offset: int) -> None:
+def test_inconsistent_parts_are_rejected(offset: int) -> None:
     assert not is_valid_part(Part(1, True, offset, 10, 0, 0, b"short"))
--- a/tests/system/test_distribution_chaos.py
+++ b/tests/system/test_distribution_chaos.py
@@ -1,4 +1,5 @@
-"""Committed configurations under seeded trouble: in force in touch within the bound, and never backwards."""
+"""Committed configurations under seeded faults: connected machines apply them within the bound, and no
+machine goes back to older state."""
 
 from __future__ import annotations
 
@@ -18,8 +19,8 @@
 
 
 class Chaos:
-    """Changes are committed by the voters that reach a majority, while there is trouble; the others learn
-    later.
+    """Commits changes on the voters that reach a majority while faults are injected; other voters learn of
+    them later.
     """
 
     def __init__(self, seed: int, loss: float) -> None:
@@ -57,7 +58,7 @@
         self.committed_at.append(self.world.now)
 
     def update_voters(self) -> None:
-        """What the chain does: a voter in the majority has all that is committed."""
+        """Stands in for the chain: gives all committed updates to the voters in the majority."""
         for ip in self.trouble.majority():
             machine = self.fleet.machine(ip)
             publisher = machine.publisher
--- a/tests/system/test_quota.py
+++ b/tests/system/test_quota.py
@@ -1,4 +1,4 @@
-"""Quotas over a fleet: the rule's window is never exceeded, and little below the limit is refused."""
+"""Quotas over a fleet: no window exceeds the limit, and few requests below the limit are refused."""
 
 from __future__ import annotations
 
@@ -66,7 +66,7 @@
 
 
 def trouble(world: World, kind: str) -> None:
-    """One fault now, drawn from the world's own source."""
+    """Injects a fault of that kind, with random numbers of the world's generator."""
     random = world.random
     some = random.sample(world.proxies, max(1, len(world.proxies) // 3))
     victim = some[0]
--- a/tests/system/test_quota_duty.py
+++ b/tests/system/test_quota_duty.py
@@ -1,4 +1,4 @@
-"""Who hands out quotas when the view changes."""
+"""Which machine runs the quota allocator when the view changes."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
     assert duty.receive(20.4, None, OTHER, ask(3)) == []
 
 
-def test_another_head_ends_it() -> None:
+def test_a_machine_stops_answering_once_another_is_head() -> None:
     duty = make_duty()
     duty.view_changed(5.0, 4, OTHER)
     assert duty.receive(20.0, 20.3, OTHER, ask(3)) == []
@@ -74,7 +74,7 @@
     assert duty.receive(20.2, 20.6, OTHER, ask(4))
 
 
-def test_a_head_that_was_not_begins_anew() -> None:
+def test_a_head_without_continuous_leadership_begins_anew() -> None:
     duty = make_duty()
     duty.tick(20.0, 20.4)
     duty.view_changed(20.5, 4, ME)
--- a/tests/system/test_quota_note.py
+++ b/tests/system/test_quota_note.py
@@ -1,4 +1,4 @@
-"""What a head notes on its disk of the pools, and what the next head at that disk makes of it."""
+"""The notes of the pools that a head stores on its disk, and their use by the next head at that disk."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
 
 
 def full_allocator() -> tuple[QuotaAllocator, QuotaNote]:
-    """An allocator whose pool is full, with the note that says so on the disk."""
+    """Returns an allocator with a full pool, and its newest note, which is on the disk."""
     allocator = make_allocator()
     for step in range(200):
         allocator.tick(11.0 + step * 0.05)
@@ -69,7 +69,7 @@
         (encode(QuotaNote(DISK, 7, {"a": -1})), "tokens below zero"),
     ],
 )
-def test_a_note_that_is_none_counts_for_nothing_and_says_why(data: bytes, reason: str) -> None:
+def test_an_invalid_note_is_ignored_with_a_reason(data: bytes, reason: str) -> None:
     result = read_note(data, DISK, 7)
     assert result.left is None
     assert result.refused.startswith(reason)
@@ -88,10 +88,10 @@
     allocator, note = full_allocator()
     promised = note.left["a"]
     at_first = lent(allocator.receive(21.0, PROXY, ask(10**9)))
-    assert at_first == 0, "the ask waits for the disk"
+    assert at_first == 0, "the ask must wait for the disk"
     due = allocator.note_due(21.0)
     assert isinstance(due, KeepNote) and due.note.left["a"] == 0
-    assert allocator.note_due(21.001) is None, "one is under way at a time"
+    assert allocator.note_due(21.001) is None, "only one note is written at a time"
     assert lent(allocator.noted(21.004, due.note)) > promised
 
 
@@ -134,7 +134,7 @@
     duty.view_changed(11.0, 9, PROXY)
     duty.view_changed(12.0, 10, ME, lambda: NOTE.left, DISK)
     later = QuotaAsk(10, 4242, 1, 0.0, {"a": 9_000}, {})
-    assert not duty.receive(12.0, LEAD_UNTIL, PROXY, later), "credit of this life may still be out"
+    assert not duty.receive(12.0, LEAD_UNTIL, PROXY, later), "credit lent by this process may still be valid"
 
 
 def test_the_duty_asks_for_notes_and_goes_on_when_they_are_kept() -> None:
@@ -143,7 +143,7 @@
     duty.view_changed(10.0, 7, ME, lambda: None, DISK)
     kept = [each for step in range(100) for each in duty.tick(11 + step * 0.05, LEAD_UNTIL)]
     assert len(kept) == 1 and isinstance(kept[0], KeepNote)
-    assert duty.noted(16.1, None, kept[0].note) == [], "no word of a machine that does not lead"
+    assert duty.noted(16.1, None, kept[0].note) == [], "a machine that does not lead must not answer"
     assert kept[0].note.left["a"] > 0
     assert [each for step in range(100) for each in duty.tick(17 + step * 0.05, LEAD_UNTIL)] == []
     duty.view_changed(22.0, 8, ME)
--- a/tests/system/test_restart_state.py
+++ b/tests/system/test_restart_state.py
@@ -1,4 +1,4 @@
-"""After a restart no machine is handed an older configuration than what was confirmed before."""
+"""After a restart, no machine is sent a configuration older than one that was confirmed before."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 
 
 def restarted_publisher() -> Publisher:
-    """A publisher that knows up to 4 from its disk, and has a subscriber."""
+    """Returns an unconfirmed publisher with the state as of sequence number 4 and one subscriber."""
     publisher = Publisher(is_confirmed=False)
     publisher.start(0.0)
     publisher.restored(0.0, 4, b"state 4")
@@ -49,7 +49,7 @@
     assert offers(effects) == {NOTHING} and len(effects) == 1
 
 
-def test_nor_is_what_gets_committed_meanwhile_or_told_by_the_clock() -> None:
+def test_updates_committed_before_the_confirmation_are_not_handed_out_or_offered() -> None:
     publisher = restarted_publisher()
     assert offers(publisher.committed(0.1, 5, b"update 5")) == {NOTHING}
     assert offers(publisher.tick(1.0)) == {NOTHING}
@@ -67,8 +67,8 @@
 
 
 @pytest.mark.parametrize("seed", range(1, 9))
-def test_a_head_that_tells_it_is_in_force_tells_all_that_was_confirmed(seed: int) -> None:
-    """Followers take its first word as the sign that their state is whole."""
+def test_the_first_heartbeat_of_an_active_head_covers_all_that_was_confirmed(seed: int) -> None:
+    """Followers rely on the first heartbeat of an active head to know all confirmed changes."""
     world = World(seed, 3, 1)
     answers: list[Answer] = []
     assert world.run_while(lambda: world.head() is None, 5.0)
@@ -99,7 +99,9 @@
 
 
 def disk_with_updates(directory: Path) -> str:
-    """One of three voters; it knows of the first of two updates that it is committed. Gives its identity."""
+    """Writes the disk of one of three voters: two updates, the first known to be committed. Returns the
+    disk's identity.
+    """
     store = ReplicaStore.open(directory, DISK_BYTES)
     identity = store.load(bootstrap=True).identity
     others = [Member(f"{number:016x}", f"10.0.0.{number}", f"m{number}", "a") for number in (2, 3)]
--- a/tests/system/test_revocation.py
+++ b/tests/system/test_revocation.py
@@ -1,4 +1,4 @@
-"""Keys that were taken away, where that is enforced: no machine takes one that it can't be sure of."""
+"""Enforced revocation of keys: no machine accepts keys without a recent confirmation of its state."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 def make_subscriber(have: int, now: float) -> Subscriber:
-    """One that has put that much in force."""
+    """Returns a subscriber that has applied the state as of that sequence number."""
     subscriber = Subscriber("10.0.0.9", "east", Random(1))
     subscriber.start(now)
     subscriber.voters_changed(now, [VoterAddress(ip, "east") for ip in VOTERS])
@@ -46,7 +46,7 @@
     assert subscriber.complete_as_of() == 10.4
 
 
-def test_what_is_offered_and_not_here_yet_stands_still() -> None:
+def test_the_time_stands_still_while_something_offered_is_missing() -> None:
     subscriber = make_subscriber(7, 10.0)
     for ip in VOTERS:
         offer(subscriber, 10.0, ip, 7)
@@ -76,7 +76,7 @@
 
 
 def key_deadline(enforced: bool, complete_as_of: float) -> float:
-    """Until when keys are taken."""
+    """Returns the time until which keys are accepted."""
     router = SimpleNamespace(keys_hold_until=math.inf)
     plane: Any = SimpleNamespace(
         _settings=SimpleNamespace(bounds=SimpleNamespace(enforces_revocation=enforced, revocation_s=5.0)),
@@ -125,6 +125,6 @@
     assert bounds.revocation_s == 2.5
 
 
-def test_a_word_in_its_place_is_told() -> None:
+def test_a_word_instead_of_the_boolean_is_rejected() -> None:
     with pytest.raises(SettingsError, match="revocation-enforced"):
         settings_with(**{"revocation-enforced": "perhaps"})
--- a/tests/system/test_start_over.py
+++ b/tests/system/test_start_over.py
@@ -1,4 +1,4 @@
-"""A proxy that can't put an update in force gets a whole state, and a process that can't start yet waits."""
+"""A proxy that cannot apply an update fetches a snapshot; a process that cannot start yet waits."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 
 def subscriber_at(sequence: int) -> Subscriber:
-    """A subscriber that has put that state in force."""
+    """Returns a subscriber that has applied the state as of that sequence number."""
     subscriber = Subscriber("10.0.0.9", "east", Random(1))
     subscriber.voters_changed(0.0, [VoterAddress(VOTER, "east")])
     subscriber.receive(0.1, VOTER, Offer(sequence, 3, 500))
@@ -48,7 +48,7 @@
     assert Replace(6, b"newer") in effects and subscriber.have == 6
 
 
-def test_it_is_not_replaced_by_an_older_state() -> None:
+def test_a_state_that_could_not_be_applied_is_not_replaced_by_an_older_one() -> None:
     subscriber = subscriber_at(5)
     subscriber.start_over(1.0)
     subscriber.tick(1.2)
@@ -56,7 +56,7 @@
     assert subscriber.have == NOTHING
 
 
-def test_the_feed_tells_what_it_can_not_put_in_force() -> None:
+def test_the_feed_reports_what_it_can_not_put_in_force() -> None:
     configured: list[ConfigurationState] = []
     errors: list[str] = []
     feed = ConfigurationFeed(configured.append, lambda kind, **fields: errors.append(kind))
@@ -69,7 +69,7 @@
 
 
 class Clock:
-    """Waits pass at once, and are counted."""
+    """Sleeps without delay, and sums up the time."""
 
     def __init__(self) -> None:
         self.waited_s = 0.0
@@ -91,7 +91,7 @@
 
 
 @pytest.mark.parametrize(("number", "waits_s"), [(errno.EADDRINUSE, PATIENCE_S), (errno.EACCES, 0.0)])
-def test_an_address_that_does_not_get_free_is_told(number: int, waits_s: float) -> None:
+def test_an_address_that_does_not_get_free_is_an_error(number: int, waits_s: float) -> None:
     clock = Clock()
 
     async def listen() -> str:
@@ -114,7 +114,7 @@
     assert read_patiently(str(path), go_on_writing).name == spec.name
 
 
-def test_a_settings_file_that_stays_wrong_is_told(tmp_path: Path) -> None:
+def test_a_settings_file_that_stays_wrong_is_an_error(tmp_path: Path) -> None:
     waits: list[float] = []
     with pytest.raises(SettingsError):
         read_patiently(str(tmp_path / "none.toml"), waits.append)
@@ -122,7 +122,7 @@
 
 
 def pulls(subscriber: Subscriber, since: float, until: float) -> list[float]:
-    """When a whole state is asked for, where each that comes can't be read."""
+    """Returns the times at which a snapshot is pulled if none of them can be applied."""
     asked: list[float] = []
     now = since
     while now < until:
@@ -136,7 +136,7 @@
     return asked
 
 
-def test_a_state_that_can_not_be_read_is_fetched_more_and_more_seldom_and_told() -> None:
+def test_a_state_that_can_not_be_read_is_fetched_with_backoff_and_counted() -> None:
     subscriber = subscriber_at(5)
     subscriber.start_over(1.0)
     asked = pulls(subscriber, 1.0, 61.0)
@@ -147,7 +147,7 @@
     assert subscriber.behind_s(61.0) == 60.0
 
 
-def test_once_a_state_is_in_force_all_is_as_before() -> None:
+def test_a_state_that_is_applied_ends_the_backoff() -> None:
     subscriber = subscriber_at(5)
     subscriber.start_over(1.0)
     subscriber.start_over(1.1)
