--- a/cloverrouter/control/publisher.py
+++ b/cloverrouter/control/publisher.py
@@ -32,8 +32,8 @@
 
 @attrs.frozen(slots=True)
 class SnapshotWanted:
-    """Effect: the replica must call `restored` with the newest committed state, since the window of updates
-    does not reach back to the last snapshot.
+    """Effect: the replica must call `restored` with the newest committed state, since the window of
+    updates does not reach back to the last snapshot.
     """
 
 
