--- a/cloverrouter/control/quota_allocator.py
+++ b/cloverrouter/control/quota_allocator.py
@@ -55,7 +55,7 @@
     idle_until: float = 0.0  # it is certainly not in standby before this time
     silent: bool = True  # it may be in standby
     newest: int = 0  # highest report number of this incarnation
-    idle_by: dict[int, float] = attrs.field(factory=dict)  # by report number: `idle_until` once it is acknowledged
+    idle_by: dict[int, float] = attrs.field(factory=dict)  # report to `idle_until` once acknowledged
     past_incarnations: deque[int] = attrs.field(factory=lambda: deque(maxlen=MAX_PAST_INCARNATIONS))
 
     def accepts(self, report: QuotaReport) -> bool:
