--- a/cloverrouter/control/quota_pool.py
+++ b/cloverrouter/control/quota_pool.py
@@ -82,8 +82,8 @@
         return max(int(self.level + self.plan.debt), 0)
 
     def max_initial_tokens(self) -> int:
-        """Returns the most of `left` that an allocator may start with that does not know which proxies are in
-        standby.
+        """Returns the most tokens, counted as in `left`, that an allocator may start with as long as it does
+        not know which proxies are in standby.
 
         All proxies may have been in standby for any time, and so may have used up their standby capacity.
         """
--- a/cloverrouter/control/transfer.py
+++ b/cloverrouter/control/transfer.py
@@ -64,7 +64,7 @@
         return _transfer_key(part) == self._transfer_key
 
     def add(self, part: Part) -> None:
-        """Adds a part that `takes` accepts; an empty one changes nothing."""
+        """Adds a part of the same content, as checked by `takes`; an empty one changes nothing."""
         if part.data:
             self._parts[part.offset] = part.data
 
