--- a/cloverrouter/control/distribution_messages.py
+++ b/cloverrouter/control/distribution_messages.py
@@ -4,8 +4,8 @@
 
 from cloverrouter.messages.codec import message
 
-NOTHING = -1
-PLAIN, DEFLATED = 0, 1
+NOTHING = -1  # the sequence number of a machine without any state
+PLAIN, DEFLATED = 0, 1  # values of `Part.encoding`
 
 
 @message(250)
--- a/cloverrouter/control/subscriber.py
+++ b/cloverrouter/control/subscriber.py
@@ -24,12 +24,12 @@
 
 SUBSCRIBE_PERIOD_S = 2.0
 SILENT_RETRY_PERIOD_S = 0.5
-PUSH_WAIT_S = 0.15
+PUSH_WAIT_S = 0.15  # for a push, before the state is pulled
 ANSWER_TIMEOUT_S = 0.3
 MIN_LINK_BYTES_PER_S = 250_000
 MAX_TIMEOUT_FACTOR = 4.0
 TIMEOUT_GROWTH_FACTOR = 1.5
-MAX_FIRST_STATE_WAIT_S = 1.0
+MAX_FIRST_STATE_WAIT_S = 1.0  # for updates that follow the first state, before it is handed out
 REFETCH_DELAY_S = 0.5  # before a state that could not be applied is fetched again; doubles each time
 MAX_REFETCH_DELAY_S = 8.0
 FLEET_SIZE_MEMORY_S = 15.0
--- a/cloverrouter/control/voter_choice.py
+++ b/cloverrouter/control/voter_choice.py
@@ -13,7 +13,7 @@
 MIN_LEASE_S = 1.5
 LEASE_OFFER_PERIODS = 2.5
 FAILURE_PENALTY_S = 5.0
-MAX_LAG_S = 1.0
+MAX_LAG_S = 1.0  # a voter that lags behind for longer is avoided
 
 
 @attrs.frozen(slots=True)
--- a/tests/system/test_distribution_chaos.py
+++ b/tests/system/test_distribution_chaos.py
@@ -14,7 +14,7 @@
 BOUND_S, BOUND_WITH_LOSS_S = (
     1.0,
     2.0,
-)  # the contract allows two seconds, and links do not lose single messages
+)  # the specification allows 2 s; real links do not lose single messages
 LARGE_UPDATE_BYTES = 300_000
 
 
