--- a/cloverrouter/control/publisher.py
+++ b/cloverrouter/control/publisher.py
@@ -32,7 +32,7 @@
 
 @attrs.frozen(slots=True)
 class SnapshotWanted:
-    """Effect: the replica must call `restored` with the newest committed state, since the window of
+    """Effect: the replica must call `load_snapshot` with the newest committed state, since the window of
     updates does not reach back to the last snapshot.
     """
 
@@ -65,7 +65,7 @@
         self._subscriptions: dict[str, _Subscription] = {}
         self._packages: dict[tuple[int, bool], Package] = {}
         self._awaiting_snapshot: set[str] = set()
-        self._counts_from = 0.0
+        self._counting_starts_at = 0.0
         self._fleet_size = FleetSize()
         self._next_offer = 0.0
 
@@ -84,7 +84,7 @@
 
     def start(self, now: float, remembered: int = 0) -> list[Effect]:
         """Counts subscribers from `COUNTING_DELAY_S` on. `remembered`: their number before the restart."""
-        self._counts_from = now + COUNTING_DELAY_S
+        self._counting_starts_at = now + COUNTING_DELAY_S
         self._fleet_size.record_count(now, remembered)
         return []
 
@@ -96,14 +96,14 @@
         return [self._offer(now, ip) for ip in self._subscriptions]
 
     @property
-    def _offered(self) -> int:
+    def _offerable(self) -> int:
         return self._newest if self._is_confirmed else NOTHING
 
-    def resign(self) -> None:
+    def clear_subscriptions(self) -> None:
         """Drops all subscriptions: this machine is no longer a voter."""
         self._subscriptions.clear()
 
-    def committed(self, now: float, sequence: int, update: bytes) -> list[Effect]:
+    def add_committed_update(self, now: float, sequence: int, update: bytes) -> list[Effect]:
         """Handles a committed update. Requests a snapshot if updates before it are missing."""
         if sequence <= self._newest:
             return []
@@ -115,7 +115,7 @@
         effects = self._trim()
         return effects + [self._push_or_offer(now, ip, each) for ip, each in self._subscriptions.items()]
 
-    def restored(self, now: float, sequence: int, snapshot: bytes) -> list[Effect]:
+    def load_snapshot(self, now: float, sequence: int, snapshot: bytes) -> list[Effect]:
         """Takes the committed state as of `sequence`: at the start, after a transfer or when requested."""
         if self._snapshot is not None and sequence <= self._snapshot[0]:
             return []
@@ -137,7 +137,7 @@
             return []
         self._next_offer = now + self._offer_period()
         self._expire(now)
-        if now >= self._counts_from:
+        if now >= self._counting_starts_at:
             self._fleet_size.record_count(now, len(self._subscriptions))
         return [self._offer(now, ip) for ip in self._subscriptions]
 
@@ -154,7 +154,7 @@
                 return self._answer_pull(now, ip, message.have)
             case PullPart():
                 self._subscription(now, ip)
-                return self._part_pulled(now, ip, message)
+                return self._answer_part_pull(now, ip, message)
         return []
 
     def _handle_subscribe(self, now: float, ip: str, message: Subscribe) -> list[Effect]:
@@ -185,7 +185,7 @@
         return Send(ip, Delta(sequence, (update,), sequence))
 
     def _answer_pull(self, now: float, ip: str, have: int) -> list[Effect]:
-        if have >= self._offered:
+        if have >= self._offerable:
             return [self._offer(now, ip)]
         following = self._updates_after(have)
         if have == NOTHING or not following or self._is_snapshot_shorter(have):
@@ -209,15 +209,15 @@
         sequence, snapshot = self._snapshot
         return [Send(ip, self._package(sequence, True, snapshot).part(0))]
 
-    def _part_pulled(self, now: float, ip: str, message: PullPart) -> list[Effect]:
+    def _answer_part_pull(self, now: float, ip: str, message: PullPart) -> list[Effect]:
         if not self._is_confirmed:
             return [self._offer(now, ip)]
-        package = self._package_again(message.sequence, message.is_snapshot)
+        package = self._find_package(message.sequence, message.is_snapshot)
         if package is None or not 0 <= message.offset < max(1, len(package.data)):
             return self._answer_pull(now, ip, self._subscriptions[ip].acknowledged)
         return [Send(ip, package.part(message.offset))]
 
-    def _package_again(self, sequence: int, is_snapshot: bool) -> Package | None:
+    def _find_package(self, sequence: int, is_snapshot: bool) -> Package | None:
         """Returns a package whose transfer has begun, None if it is no longer available.
 
         Each use moves the package to the end of the eviction order, so that a subscriber on a slow link can
@@ -277,7 +277,7 @@
 
     def _offer(self, now: float, ip: str) -> Send:
         every_ms = round(self._offer_period() * 1000)
-        return Send(ip, Offer(self._offered, self.fleet_size(now), every_ms))
+        return Send(ip, Offer(self._offerable, self.fleet_size(now), every_ms))
 
     def _offer_period(self) -> float:
         period = len(self._subscriptions) / MAX_OFFERS_PER_S
--- a/cloverrouter/control/quota_allocator.py
+++ b/cloverrouter/control/quota_allocator.py
@@ -22,8 +22,8 @@
 
 import attrs
 
-from cloverrouter.control.quota_note import MAX_ASK_WAIT_S, KeepNote, QuotaNote, Reserves
-from cloverrouter.control.quota_pool import TenantPool, idle_part
+from cloverrouter.control.quota_note import MAX_ASK_WAIT_S, QuotaNote, Reserves, WriteNote
+from cloverrouter.control.quota_pool import TenantPool, pool_rate_part
 from cloverrouter.messages.sending import Send
 from cloverrouter.placement.quota_messages import (
     QuotaAsk,
@@ -52,10 +52,10 @@
     """One proxy: the process it runs, and until when it is certainly not in standby."""
 
     incarnation: int
-    idle_until: float = 0.0  # it is certainly not in standby before this time
+    contact_until: float = 0.0  # it is certainly not in standby before this time
     silent: bool = True  # it may be in standby
     newest: int = 0  # highest report number of this incarnation
-    idle_by: dict[int, float] = attrs.field(factory=dict)  # report to `idle_until` once acknowledged
+    contacts: dict[int, float] = attrs.field(factory=dict)  # report to `contact_until` once acknowledged
     past_incarnations: deque[int] = attrs.field(factory=lambda: deque(maxlen=MAX_PAST_INCARNATIONS))
 
     def accepts(self, report: QuotaReport) -> bool:
@@ -65,24 +65,24 @@
         return report.incarnation != self.incarnation or report.number > self.newest - MAX_TRACKED_ANSWERS
 
     def start_incarnation(self, incarnation: int) -> None:
-        """Handles a restart of the proxy. `idle_until` stays: the new process honours it as well."""
+        """Handles a restart of the proxy. `contact_until` stays: the new process honours it as well."""
         self.past_incarnations.append(self.incarnation)
         self.incarnation, self.newest = incarnation, 0
-        self.idle_by.clear()
+        self.contacts.clear()
 
-    def answered(self, report: int, idle_until: float) -> None:
+    def record_answer(self, report: int, contact_until: float) -> None:
         """Records an answer that keeps the proxy out of standby until then, once acknowledged.
 
         Of several answers to a report, the first counts: the proxy may have received that one only.
         """
-        self.idle_by.setdefault(report, idle_until)
+        self.contacts.setdefault(report, contact_until)
         self.newest = max(self.newest, report)
-        for old in [number for number in self.idle_by if number <= self.newest - MAX_TRACKED_ANSWERS]:
-            del self.idle_by[old]
+        for old in [number for number in self.contacts if number <= self.newest - MAX_TRACKED_ANSWERS]:
+            del self.contacts[old]
 
-    def confirmed(self, report: int) -> None:
+    def record_acknowledgement(self, report: int) -> None:
         """Handles the acknowledgement of the answer to that report."""
-        self.idle_until = max(self.idle_until, self.idle_by.get(report, 0.0))
+        self.contact_until = max(self.contact_until, self.contacts.get(report, 0.0))
 
 
 @attrs.frozen(slots=True)
@@ -91,7 +91,7 @@
 
     tokens: float
     capacity: float
-    idle_part: float
+    pool_rate_part: float
 
 
 class QuotaAllocator:
@@ -126,8 +126,8 @@
         self._pools: dict[str, TenantPool] = {}
         self._peers: dict[str, _Peer] = {}
         self._in_contact_count = 0  # peers that are certainly not in standby
-        self._next_silent_at = float("inf")
-        self._taken_over: set[int] = set()
+        self._next_contact_end = float("inf")
+        self._accepted_handovers: set[int] = set()
 
     def configure(self, tenants: Mapping[str, TenantLimit], fleet_size: int) -> None:
         """Sets the tenants' limits, and the largest possible number of proxies; 0 while unknown."""
@@ -142,7 +142,7 @@
                 self._pools[name].plan = plan
             else:
                 pool = self._pools[name] = TenantPool(plan, max(self._now, self._lends_from))
-                pool.begin_with(self._initial_tokens.pop(name, 0))
+                pool.set_initial_tokens(self._initial_tokens.pop(name, 0))
 
     def next_epoch(self, epoch: int) -> None:
         """Accepts a new epoch, too: the view changed, but this machine was the only head throughout."""
@@ -151,7 +151,7 @@
     def hand_over(self, now: float, ip: str, epoch: int) -> Send:
         """Tells the new head what is left in the pools. The allocator must not be used after that."""
         self._now = now
-        self._mark_silent()
+        self._update_contacts()
         self._advance_all(now)
         tokens = {name: pool.left() for name, pool in self._pools.items()}
         return Send(ip, QuotaHandover(epoch, self._epochs.start, tokens))
@@ -159,9 +159,9 @@
     def receive(self, now: float, ip: str, message: object) -> list[Send]:
         """Handles a datagram of a proxy or of an earlier head; returns the answer, if any."""
         self._now = now
-        self._mark_silent()
+        self._update_contacts()
         if isinstance(message, QuotaHandover) and message.epoch in self._epochs:
-            self._take_over(message)
+            self._accept_handover(message)
         if now < self._lends_from:
             return []
         if isinstance(message, QuotaAsk) and message.epoch in self._epochs:
@@ -170,22 +170,22 @@
             return [Send(ip, answer) for answer in self._handle_report(ip, message)]
         return []
 
-    def note_due(self, now: float) -> KeepNote | None:
+    def note_due(self, now: float) -> WriteNote | None:
         """Returns the note to write now, if one is due. Call it after each other call."""
         if self._reserves is None or now < self._lends_from or not self._reserves.is_check_due(now):
             return None
         self._now = now
-        self._mark_silent()
+        self._update_contacts()
         self._advance_all(now)
         return self._reserves.due_note(now, self._epochs[-1], self._pools)
 
-    def noted(self, now: float, note: QuotaNote, answers: bool = True) -> list[Send]:
+    def note_written(self, now: float, note: QuotaNote, answers: bool = True) -> list[Send]:
         """Handles that a note is on the disk: answers the asks that waited for it and have not expired.
 
         `answers`: whether this machine may still answer.
         """
         self._now = now
-        if self._reserves is None or not self._reserves.noted(note) or not answers:
+        if self._reserves is None or not self._reserves.note_written(note) or not answers:
             return []
         waiting, self._waiting_asks = self._waiting_asks, []
         found: list[Send] = []
@@ -198,9 +198,9 @@
         """Drops expired asks and proxies. Call it about every 50 ms."""
         self._now = now
         self._waiting_asks = [entry for entry in self._waiting_asks if now - entry[0] < MAX_ASK_WAIT_S]
-        self._mark_silent()
+        self._update_contacts()
         forgotten = [
-            ip for ip, peer in self._peers.items() if peer.silent and now > peer.idle_until + PEER_EXPIRY_S
+            ip for ip, peer in self._peers.items() if peer.silent and now > peer.contact_until + PEER_EXPIRY_S
         ]
         for ip in forgotten:
             del self._peers[ip]
@@ -209,9 +209,9 @@
     def figures(self, now: float) -> dict[str, PoolFigures]:
         """Returns the state of the pools by tenant, for operators."""
         self._now = now
-        self._mark_silent()
+        self._update_contacts()
         self._advance_all(now)
-        part = idle_part(self._in_contact_part()) if now >= self._lends_from else 0.0
+        part = pool_rate_part(self._in_contact_part()) if now >= self._lends_from else 0.0
         return {name: PoolFigures(pool.level, pool.plan.capacity, part) for name, pool in self._pools.items()}
 
     def _in_contact_part(self) -> float:
@@ -245,7 +245,7 @@
                 yield name
 
     def _reserved(self, name: str) -> int:
-        return self._reserves.of(name) if self._reserves is not None else 0
+        return self._reserves.reserved_tokens(name) if self._reserves is not None else 0
 
     def _make_credit(self, ask: QuotaAsk) -> QuotaCredit:
         tokens: dict[str, int] = {}
@@ -268,15 +268,15 @@
                     dry[name] = pool.dry_s()
         return QuotaCredit(ask.epoch, ask.incarnation, ask.number, ask.sent_at, CREDIT_S, tokens, dry)
 
-    def _take_over(self, message: QuotaHandover) -> None:
+    def _accept_handover(self, message: QuotaHandover) -> None:
         """Adds the tokens left by another allocator, once for each."""
-        if message.from_epoch in self._taken_over:
+        if message.from_epoch in self._accepted_handovers:
             return
-        self._taken_over.add(message.from_epoch)
+        self._accepted_handovers.add(message.from_epoch)
         self._advance_all(self._now)
         for name, tokens in message.tokens.items():
             if name in self._pools:
-                self._pools[name].take_over(tokens)
+                self._pools[name].add_handover(tokens)
         self._advance_all(self._now)
 
     def _handle_report(self, ip: str, report: QuotaReport) -> list[QuotaContact]:
@@ -287,26 +287,26 @@
             return []
         if peer.incarnation != report.incarnation:
             peer.start_incarnation(report.incarnation)
-        peer.confirmed(report.acknowledged)
-        if peer.silent and peer.idle_until > self._now:
+        peer.record_acknowledgement(report.acknowledged)
+        if peer.silent and peer.contact_until > self._now:
             self._set_in_contact(peer, in_contact=True, since=self._now)
         if not peer.silent:
-            self._next_silent_at = min(self._next_silent_at, peer.idle_until)
+            self._next_contact_end = min(self._next_contact_end, peer.contact_until)
         contact_for_s = contact_s(self._fleet_size)
-        peer.answered(report.number, self._now + contact_for_s * (1 - CLOCK_MARGIN))
+        peer.record_answer(report.number, self._now + contact_for_s * (1 - CLOCK_MARGIN))
         return [QuotaContact(report.epoch, report.incarnation, report.number, contact_for_s)]
 
-    def _mark_silent(self) -> None:
+    def _update_contacts(self) -> None:
         """Counts proxies as being in standby from the moment since which that is possible, up to now."""
-        if self._now < self._next_silent_at:
+        if self._now < self._next_contact_end:
             return
-        in_contact = sorted((p.idle_until, ip) for ip, p in self._peers.items() if not p.silent)
-        self._next_silent_at = float("inf")
-        for idle_until, ip in in_contact:
-            if idle_until > self._now:
-                self._next_silent_at = idle_until
+        in_contact = sorted((p.contact_until, ip) for ip, p in self._peers.items() if not p.silent)
+        self._next_contact_end = float("inf")
+        for contact_until, ip in in_contact:
+            if contact_until > self._now:
+                self._next_contact_end = contact_until
                 return
-            self._set_in_contact(self._peers[ip], in_contact=False, since=idle_until)
+            self._set_in_contact(self._peers[ip], in_contact=False, since=contact_until)
 
     def _set_in_contact(self, peer: _Peer, in_contact: bool, since: float) -> None:
         self._advance_all(since)
--- a/cloverrouter/control/quota_duty.py
+++ b/cloverrouter/control/quota_duty.py
@@ -5,12 +5,12 @@
 from collections.abc import Callable, Mapping
 
 from cloverrouter.control.quota_allocator import QuotaAllocator
-from cloverrouter.control.quota_note import KeepNote, QuotaNote, Reserves
+from cloverrouter.control.quota_note import QuotaNote, Reserves, WriteNote
 from cloverrouter.messages.sending import Send
 from cloverrouter.placement.quota_messages import QuotaHandover
 from cloverrouter.placement.quota_plan import QuotaRules, TenantLimit
 
-Effect = Send | KeepNote
+Effect = Send | WriteNote
 
 
 class QuotaDuty:
@@ -59,11 +59,11 @@
         if self._allocator is not None and now < self._latest_lead_until:
             self._allocator.next_epoch(epoch)
         else:
-            self._allocator = self._begun_anew(now, epoch, read_note(), disk)
+            self._allocator = self._make_allocator(now, epoch, read_note(), disk)
             self._allocator.configure(self._limits, self._fleet_size)
         return []
 
-    def _begun_anew(
+    def _make_allocator(
         self, now: float, epoch: int, initial_tokens: Mapping[str, int] | None, disk: str | None
     ) -> QuotaAllocator:
         """Creates an allocator.
@@ -93,12 +93,12 @@
             return []
         return self._with_note(now, self._allocator.tick(now))
 
-    def noted(self, now: float, lead_until: float | None, note: QuotaNote) -> list[Effect]:
-        """Handles that the note of a `KeepNote` effect is on the disk."""
+    def note_written(self, now: float, lead_until: float | None, note: QuotaNote) -> list[Effect]:
+        """Handles that the note of a `WriteNote` effect is on the disk."""
         if self._allocator is None:
             return []
         leads = self._leads(now, lead_until)
-        answers = self._allocator.noted(now, note, leads)
+        answers = self._allocator.note_written(now, note, leads)
         return self._with_note(now, answers) if leads else []
 
     def _with_note(self, now: float, answers: list[Send]) -> list[Effect]:
--- a/cloverrouter/control/quota_note.py
+++ b/cloverrouter/control/quota_note.py
@@ -35,8 +35,8 @@
 
 
 @attrs.frozen(slots=True)
-class KeepNote:
-    """Effect: write this note, and call `QuotaDuty.noted` once it is on the disk."""
+class WriteNote:
+    """Effect: write this note, and call `QuotaDuty.note_written` once it is on the disk."""
 
     note: QuotaNote
 
@@ -81,7 +81,7 @@
         self._last_raise_at = self._last_check_at = float("-inf")
         self._release_requests: set[str] = set()
 
-    def of(self, tenant: str) -> int:
+    def reserved_tokens(self, tenant: str) -> int:
         """Returns the tokens of a tenant that may not be lent now."""
         return max(self._durable.get(tenant, 0), self._written.get(tenant, 0))
 
@@ -94,7 +94,7 @@
         is_time = bool(self._release_requests) or now - self._last_check_at >= CHECK_PERIOD_S
         return self._pending_note is None and is_time
 
-    def due_note(self, now: float, epoch: int, pools: Mapping[str, TenantPool]) -> KeepNote | None:
+    def due_note(self, now: float, epoch: int, pools: Mapping[str, TenantPool]) -> WriteNote | None:
         """Returns the note to write now, if any. The pools must be advanced to `now`."""
         self._last_check_at = now
         wanted = {name: self._target_reserve(name, pool) for name, pool in pools.items()}
@@ -110,9 +110,9 @@
         self._written = wanted
         self._release_requests.clear()
         self._pending_note = QuotaNote(self._identity, epoch, dict(wanted))
-        return KeepNote(self._pending_note)
+        return WriteNote(self._pending_note)
 
-    def noted(self, note: QuotaNote) -> bool:
+    def note_written(self, note: QuotaNote) -> bool:
         """Handles that a note is on the disk; returns whether it is the pending one."""
         if note != self._pending_note:
             return False
--- a/cloverrouter/control/quota_pool.py
+++ b/cloverrouter/control/quota_pool.py
@@ -13,7 +13,7 @@
 STARTUP_LENDING_S = 2.0
 
 
-def idle_part(in_contact_part: float) -> float:
+def pool_rate_part(in_contact_part: float) -> float:
     """Returns the part of a rate that flows into the pool: no proxy may be using it in standby."""
     return 1 - STANDBY_PART * (1 - in_contact_part)
 
@@ -32,9 +32,9 @@
     startup_until: float = attrs.field(
         default=attrs.Factory(lambda self: self.updated_at + STARTUP_LENDING_S, takes_self=True)
     )
-    _parked: float = 0.0
+    _deferred_tokens: float = 0.0
     _credits: deque[tuple[float, float]] = attrs.field(factory=deque)  # (until, tokens)
-    _credit_out: float = 0.0
+    _outstanding_credit: float = 0.0
 
     def advance(self, now: float, in_contact_part: float) -> None:
         """Fills the pool up to `now`. Since the last call, `in_contact_part` of the proxies certainly was not
@@ -42,16 +42,16 @@
         """
         elapsed = now - self.updated_at
         if elapsed > 0:
-            self.level += elapsed * self.plan.rate * idle_part(in_contact_part)
+            self.level += elapsed * self.plan.rate * pool_rate_part(in_contact_part)
             self.updated_at = now
             standby_storage = elapsed * self.plan.rate * STANDBY_PART * (1 - in_contact_part)
-            self._parked = max(self._parked - standby_storage, 0.0)
+            self._deferred_tokens = max(self._deferred_tokens - standby_storage, 0.0)
         while self._credits and self._credits[0][0] <= now:
-            self._credit_out -= self._credits.popleft()[1]
+            self._outstanding_credit -= self._credits.popleft()[1]
         room = self.plan.capacity * (1 - STANDBY_CAPACITY_PART * (1 - in_contact_part))
-        admitted = max(min(self._parked, room - self._credit_out - self.level), 0.0)
-        self._parked -= admitted
-        self.level = min(self.level + admitted, room - self._credit_out)
+        admitted = max(min(self._deferred_tokens, room - self._outstanding_credit - self.level), 0.0)
+        self._deferred_tokens -= admitted
+        self.level = min(self.level + admitted, room - self._outstanding_credit)
 
     def lend(self, wanted: int, until: float, reserved: int = 0) -> int:
         """Lends tokens until a time; returns how many.
@@ -74,7 +74,7 @@
     def _lend(self, tokens: int, until: float) -> int:
         self.level -= tokens
         self._credits.append((until, tokens))
-        self._credit_out += tokens
+        self._outstanding_credit += tokens
         return tokens
 
     def left(self) -> int:
@@ -89,17 +89,17 @@
         """
         return int(self.plan.debt + self.plan.capacity * (1 - STANDBY_CAPACITY_PART))
 
-    def begin_with(self, tokens: int) -> None:
+    def set_initial_tokens(self, tokens: int) -> None:
         """Starts with tokens that an earlier allocator certainly has not lent. Call it on a new pool only."""
         self.level = min(max(tokens, 0), self.max_initial_tokens()) - self.plan.debt
 
-    def take_over(self, tokens: float) -> None:
+    def add_handover(self, tokens: float) -> None:
         """Adds tokens that another allocator had left. Call it before `advance`.
 
         While this allocator counts proxies as being in standby that the other one knew not to be, there is no
         room for all tokens. Those that wait for room decrease by what these proxies may have stored since.
         """
-        self._parked += tokens
+        self._deferred_tokens += tokens
 
     def dry_s(self) -> float:
         """Returns the least time in seconds until the pool may lend again; more if proxies are in standby."""
--- a/cloverrouter/control/subscriber.py
+++ b/cloverrouter/control/subscriber.py
@@ -64,7 +64,7 @@
     in_flight: set[int] = attrs.field(factory=set)
     has_answer: bool = False
 
-    def begins_with(self, part: Part) -> bool:
+    def should_start_assembly(self, part: Part) -> bool:
         """Returns whether to drop the current assembly and start one for the content of this part.
 
         Two pulls may be answered with states of different ages, whose parts then arrive interleaved. If each
@@ -89,7 +89,7 @@
         self._min_sequence = NOTHING
         self._fetch: _Fetch | None = None
         self._partial_assembly: Assembly | None = None
-        self._patience = 1.0
+        self._timeout_factor = 1.0
         self._behind_since: float | None = None
         self._pending_changes: list[Apply | Replace] | None = []
         self._pending_until = math.inf
@@ -101,7 +101,7 @@
         self._next_fetch_at = -math.inf
 
     @property
-    def unread(self) -> int:
+    def apply_failures(self) -> int:
         """How many times in a row the state handed out could not be applied."""
         return self._apply_failures
 
@@ -124,7 +124,7 @@
         """The voter that updates are fetched from."""
         return self._source
 
-    def current(self, now: float) -> bool:
+    def is_current(self, now: float) -> bool:
         """Returns whether a majority of the voters is within the leases: their commits are known here."""
         return self._voters.majority_is_live(now)
 
@@ -152,7 +152,7 @@
         """Starts; there is nothing to send before the voters are known."""
         return self.tick(now)
 
-    def start_over(self, now: float) -> None:
+    def refetch_snapshot(self, now: float) -> None:
         """Handles that the last effect could not be applied: fetches a snapshot that is not older.
 
         If that fails again, further fetches follow with exponential backoff.
@@ -191,9 +191,9 @@
             self._next_silent_retry = now + SILENT_RETRY_PERIOD_S
             effects += [self._subscribe(ip) for ip in self._voters.silent_voters(now)]
         if self._pending_changes and now >= self._pending_until:
-            effects += self._release()
+            effects += self._release_pending()
         if self._fetch is not None and now >= self._fetch.deadline:
-            effects += self._give_up(now)
+            effects += self._fail_over(now)
         is_late = self._behind_since is not None and now - self._behind_since >= PUSH_WAIT_S
         if self._fetch is None and is_late and now >= self._next_fetch_at:
             effects += self._pull(now)
@@ -208,9 +208,9 @@
             case Offer():
                 effects += self._handle_offer(now, ip, message)
             case Delta():
-                effects += self._take_delta(now, ip, message)
+                effects += self._handle_delta(now, ip, message)
             case Part():
-                effects += self._take_part(now, ip, message)
+                effects += self._handle_part(now, ip, message)
         return effects
 
     def _handle_offer(self, now: float, ip: str, offer: Offer) -> list[Effect]:
@@ -234,33 +234,33 @@
         if source is None:
             self._behind_since = None
             return []
-        self._fetch = _Fetch(source, now + ANSWER_TIMEOUT_S * self._patience, self._partial_assembly)
+        self._fetch = _Fetch(source, now + ANSWER_TIMEOUT_S * self._timeout_factor, self._partial_assembly)
         return [Send(source, Pull(self._have))]
 
-    def _take_delta(self, now: float, ip: str, delta: Delta) -> list[Effect]:
-        self._voters.has(now, ip, delta.newest)
+    def _handle_delta(self, now: float, ip: str, delta: Delta) -> list[Effect]:
+        self._voters.record_newest(now, ip, delta.newest)
         if delta.first > self._have + 1 or self._have == NOTHING:
             return self._pull(now) if self._fetch is None else []
         updates = delta.updates[self._have + 1 - delta.first :]
         if not updates:
             return []
         self._have += len(updates)
-        return self._went_on(now, ip, Apply(self._have, updates))
+        return self._accept_change(now, ip, Apply(self._have, updates))
 
-    def _take_part(self, now: float, ip: str, part: Part) -> list[Effect]:
+    def _handle_part(self, now: float, ip: str, part: Part) -> list[Effect]:
         fetch = self._fetch
         if fetch is None or fetch.source != ip or not is_valid_part(part):
             return []
         if part.sequence <= self._have or part.sequence < self._min_sequence:
             return []
-        if fetch.assembly is None or not fetch.assembly.takes(part):
-            if not fetch.begins_with(part):
+        if fetch.assembly is None or not fetch.assembly.accepts(part):
+            if not fetch.should_start_assembly(part):
                 return []
             fetch.assembly = Assembly(part)
             fetch.in_flight = set()
         fetch.has_answer = True
         fetch.assembly.add(part)
-        self._patience = 1.0
+        self._timeout_factor = 1.0
         fetch.in_flight.discard(part.offset)
         if not fetch.assembly.is_complete:
             return self._pull_parts(now, fetch, fetch.assembly)
@@ -268,26 +268,26 @@
         is_next = fetch.assembly.is_snapshot or part.sequence == self._have + 1
         if content is None or not is_next:
             fetch.assembly = None
-            return self._give_up(now)
+            return self._fail_over(now)
         self._have = part.sequence
         effect = Replace(part.sequence, content) if part.is_snapshot else Apply(part.sequence, (content,))
-        return self._went_on(now, ip, effect)
+        return self._accept_change(now, ip, effect)
 
     def _pull_parts(self, now: float, fetch: _Fetch, assembly: Assembly) -> list[Effect]:
         wanted = [offset for offset in assembly.missing() if offset not in fetch.in_flight]
         free = PARTS_IN_FLIGHT - len(fetch.in_flight)
         fetch.in_flight.update(wanted[:free])
         transfer_time = len(fetch.in_flight) * PART_BYTES / MIN_LINK_BYTES_PER_S
-        fetch.deadline = now + (ANSWER_TIMEOUT_S + transfer_time) * self._patience
+        fetch.deadline = now + (ANSWER_TIMEOUT_S + transfer_time) * self._timeout_factor
         return [
             Send(fetch.source, PullPart(assembly.sequence, assembly.is_snapshot, offset))
             for offset in wanted[:free]
         ]
 
-    def _went_on(self, now: float, ip: str, change: Apply | Replace) -> list[Effect]:
+    def _accept_change(self, now: float, ip: str, change: Apply | Replace) -> list[Effect]:
         """Accepts new state: hands it out, acknowledges it to the voter, and pulls what follows."""
         self._fetch = self._partial_assembly = None
-        self._patience = 1.0
+        self._timeout_factor = 1.0
         is_behind = self.newest_offered() > self._have
         if not self._apply_failures:
             self._behind_since = now if is_behind else None
@@ -298,22 +298,22 @@
             self._pending_changes.append(change)
             self._pending_until = min(self._pending_until, now + MAX_FIRST_STATE_WAIT_S)
             if not is_behind:
-                effects += self._release()
+                effects += self._release_pending()
         effects.append(Send(ip, Acknowledge(self._have)))
         if is_behind and self._voters.newest(ip) > self._have:
             effects += self._pull(now)
         return effects
 
-    def _release(self) -> list[Effect]:
+    def _release_pending(self) -> list[Effect]:
         """Hands out the first state together with all updates after it, so that no old state is served."""
         held, self._pending_changes = self._pending_changes, None
         return [*(held or ())]
 
-    def _give_up(self, now: float) -> list[Effect]:
+    def _fail_over(self, now: float) -> list[Effect]:
         """Handles a timeout or a damaged answer of the source: retries with another voter."""
         assert self._fetch is not None
         self._voters.record_failure(now, self._fetch.source)
-        self._patience = min(MAX_TIMEOUT_FACTOR, TIMEOUT_GROWTH_FACTOR * self._patience)
+        self._timeout_factor = min(MAX_TIMEOUT_FACTOR, TIMEOUT_GROWTH_FACTOR * self._timeout_factor)
         self._partial_assembly = self._fetch.assembly
         self._fetch = None
         return self._change_source(now) + self._pull(now)
--- a/cloverrouter/control/transfer.py
+++ b/cloverrouter/control/transfer.py
@@ -59,12 +59,12 @@
         """Whether all parts have arrived."""
         return sum(len(data) for data in self._parts.values()) >= self.total
 
-    def takes(self, part: Part) -> bool:
+    def accepts(self, part: Part) -> bool:
         """Returns whether the part belongs to the content that is being assembled."""
         return _transfer_key(part) == self._transfer_key
 
     def add(self, part: Part) -> None:
-        """Adds a part of the same content, as checked by `takes`; an empty one changes nothing."""
+        """Adds a part of the same content, as checked by `accepts`; an empty one changes nothing."""
         if part.data:
             self._parts[part.offset] = part.data
 
--- a/cloverrouter/control/voter_choice.py
+++ b/cloverrouter/control/voter_choice.py
@@ -32,7 +32,7 @@
     last_message_at: float = -math.inf
     last_report_at: float = -math.inf
     """Time of its last message that gave its newest committed sequence number."""
-    lease: float = MIN_LEASE_S
+    lease_s: float = MIN_LEASE_S
     penalty_until: float = -math.inf
     behind_since: float = math.inf
 
@@ -68,10 +68,10 @@
 
     def record_offer(self, now: float, ip: str, offer: Offer) -> None:
         """Records the sequence number of an offer, and the lease that results from its period."""
-        self.has(now, ip, offer.newest)
-        self._voters[ip].lease = max(MIN_LEASE_S, LEASE_OFFER_PERIODS * offer.every_ms / 1000)
+        self.record_newest(now, ip, offer.newest)
+        self._voters[ip].lease_s = max(MIN_LEASE_S, LEASE_OFFER_PERIODS * offer.every_ms / 1000)
 
-    def has(self, now: float, ip: str, newest: int) -> None:
+    def record_newest(self, now: float, ip: str, newest: int) -> None:
         """Records that the voter has committed up to `newest`."""
         self._voters[ip].newest = max(self._voters[ip].newest, newest)
         self._voters[ip].last_report_at = now
@@ -128,4 +128,4 @@
 
     @staticmethod
     def _is_live(now: float, voter: _Voter) -> bool:
-        return now - voter.last_message_at <= voter.lease
+        return now - voter.last_message_at <= voter.lease_s
--- a/cloverrouter/daemon/control_plane.py
+++ b/cloverrouter/daemon/control_plane.py
@@ -254,7 +254,7 @@
                 self._genesis = None
         lead_until = self._lead_until()
         self.registry.set_sole_head(lead_until is not None and now < lead_until)
-        is_in_touch = self.subscriber.current(now)
+        is_in_touch = self.subscriber.is_current(now)
         self.registry.set_in_touch(is_in_touch)
         self._forwarder.in_touch(is_in_touch)
         is_behind = self.subscriber.behind_s(now) > self._settings.bounds.propagation_s
@@ -433,7 +433,7 @@
             elif self.feed.take(effect):
                 self.subscriber.applied()
             else:
-                self.subscriber.start_over(self._loop.time())
+                self.subscriber.refetch_snapshot(self._loop.time())
 
     def _forwarded(self, effects: Iterable[SendCall | Finished]) -> None:
         for effect in effects:
--- a/cloverrouter/daemon/quota_service.py
+++ b/cloverrouter/daemon/quota_service.py
@@ -56,7 +56,7 @@
     def noted(self, note: bytes) -> None:
         """A note is on the disk."""
         kept = decoded(note, QuotaNote)
-        self._carry_out(self._duty.noted(self._clock(), self._lead_until(), kept))
+        self._carry_out(self._duty.note_written(self._clock(), self._lead_until(), kept))
 
     def _lead_until(self) -> float | None:
         role = self._role()
--- a/cloverrouter/daemon/replica_role.py
+++ b/cloverrouter/daemon/replica_role.py
@@ -171,10 +171,10 @@
         self._driver.close()
 
     def _committed(self, event: Committed) -> None:
-        self._publish(self.publisher.committed(self._loop.time(), event.seq, event.update))
+        self._publish(self.publisher.add_committed_update(self._loop.time(), event.seq, event.update))
 
     def _restored(self, event: Restored) -> None:
-        self._publish(self.publisher.restored(self._loop.time(), event.seq, event.snapshot))
+        self._publish(self.publisher.load_snapshot(self._loop.time(), event.seq, event.snapshot))
 
     def _publish(self, effects: Iterable[Send | SnapshotWanted]) -> None:
         for effect in effects:
@@ -187,7 +187,7 @@
         seq, snapshot = self.replica.committed
         if snapshot is not None:
             self._snapshot_wanted = False
-            self._publish(self.publisher.restored(now, seq, snapshot))
+            self._publish(self.publisher.load_snapshot(now, seq, snapshot))
 
     def _view_changed(self, event: ViewChanged) -> None:
         summary = self._summary = summary_of(event.view, self.replica.committed[0])
@@ -201,7 +201,7 @@
         for ip in self.publisher.acknowledged():
             self._ports.send(ip, ViewNotice(summary))
         if not self._votes_in(summary):
-            self.publisher.resign()
+            self.publisher.clear_subscriptions()
 
     def _votes_in(self, summary: ViewSummary) -> bool:
         return any(place.identity == self.identity for place in summary.voters)
--- a/cloverrouter/explore/coordination/credit_model.py
+++ b/cloverrouter/explore/coordination/credit_model.py
@@ -13,7 +13,7 @@
 
 from cloverrouter.control.quota_allocator import CREDIT_S, QuotaAllocator
 from cloverrouter.control.quota_duty import Effect, QuotaDuty
-from cloverrouter.control.quota_note import KeepNote, QuotaNote, read_note
+from cloverrouter.control.quota_note import QuotaNote, WriteNote, read_note
 from cloverrouter.explore.coordination.copies import Form, digest
 from cloverrouter.explore.coordination.search import Action
 from cloverrouter.explore.coordination.worlds import World, move
@@ -156,7 +156,7 @@
         assert note is not None
         machine.note = encode(note)
         sure = self._sure() if ip == self.head else None
-        self._do(ip, machine.duty.noted(self.now, sure, note))
+        self._do(ip, machine.duty.note_written(self.now, sure, note))
 
     def written_and_lost(self, ip: str) -> None:
         """The note under way is on the disk, and the process hears nothing any more."""
@@ -260,7 +260,7 @@
 
     def _do(self, ip: str, effects: Iterable[Effect]) -> None:
         for effect in effects:
-            if isinstance(effect, KeepNote):
+            if isinstance(effect, WriteNote):
                 self.tell(f"-> {ip} notes in epoch {effect.note.epoch} that {effect.note.left} are not lent")
                 self.machines[ip].writing = effect.note
             elif isinstance(effect.message, QuotaHandover):
@@ -292,7 +292,7 @@
             return 0.0
         allocator.figures(self.now)  # fills the pool up to now
         pool = allocator._pools[TENANT]
-        return pool.level + pool.plan.debt + pool._parked
+        return pool.level + pool.plan.debt + pool._deferred_tokens
 
     def _look(self) -> None:
         """What the head has not lent: it rises by the clock, and falls by what it lends."""
@@ -316,6 +316,6 @@
 
 _FORM = Form(
     skipped=frozenset({"_limits", "_rules", "plan"}),
-    plain=frozenset({"level", "_parked", "_credit_out"}),
+    plain=frozenset({"level", "_deferred_tokens", "_outstanding_credit"}),
     oldest_s=2.0,
 )
--- a/cloverrouter/explore/coordination/credit_scopes.py
+++ b/cloverrouter/explore/coordination/credit_scopes.py
@@ -53,18 +53,18 @@
     return NoteRead(decoded(data, QuotaNote).left if data else None)
 
 
-_begun_anew = QuotaDuty._begun_anew
+_make_allocator = QuotaDuty._make_allocator
 
 
 def _always_as_at_a_start(self: QuotaDuty, *args: Any) -> QuotaAllocator:
     self._has_allocated = False
-    return _begun_anew(self, *args)
+    return _make_allocator(self, *args)
 
 
 def _takes_over_again(self: QuotaAllocator, message: QuotaHandover) -> None:
     for name, tokens in message.tokens.items():
         if name in self._pools:
-            self._pools[name].take_over(tokens)
+            self._pools[name].add_handover(tokens)
 
 
 def _seeded(target: Any, name: str, fault: Any) -> Callable[[], AbstractContextManager[Any]]:
@@ -74,15 +74,15 @@
 FAULTS = {
     "lends-what-it-promised": ModelFault(
         "an allocator lends what a note on its disk promises not to lend",
-        ("more",), SCOPE, _seeded(Reserves, "of", _nothing_reserved),
+        ("more",), SCOPE, _seeded(Reserves, "reserved_tokens", _nothing_reserved),
     ),
     "promise-ends-before-the-disk": ModelFault(
         "a promise ends as the note that takes it back is written, not once it is there",
-        ("more",), SCOPE, _seeded(Reserves, "of", _only_what_was_written),
+        ("more",), SCOPE, _seeded(Reserves, "reserved_tokens", _only_what_was_written),
     ),
     "promise-begins-with-the-disk": ModelFault(
         "a promise is kept only once the process hears that it is on the disk",
-        ("more",), SCOPE, _seeded(Reserves, "of", _only_what_is_durable),
+        ("more",), SCOPE, _seeded(Reserves, "reserved_tokens", _only_what_is_durable),
     ),
     "note-of-any-epoch": ModelFault(
         "a note counts whoever was head since it was written",
@@ -90,11 +90,11 @@
     ),
     "lends-at-once-in-the-same-life": ModelFault(
         "an allocator lends at once though this process has lent before",
-        ("early",), SCOPE, _seeded(QuotaDuty, "_begun_anew", _always_as_at_a_start),
+        ("early",), SCOPE, _seeded(QuotaDuty, "_make_allocator", _always_as_at_a_start),
     ),
     "hand-over-taken-twice": ModelFault(
         "what another allocator has left is taken as often as it is told",
-        ("twice", "more"), SCOPE, _seeded(QuotaAllocator, "_take_over", _takes_over_again),
+        ("twice", "more"), SCOPE, _seeded(QuotaAllocator, "_accept_handover", _takes_over_again),
     ),
 }  # fmt: skip
 
--- a/cloverrouter/explore/coordination/distribution_model.py
+++ b/cloverrouter/explore/coordination/distribution_model.py
@@ -225,7 +225,7 @@
         voter = self.voters[name]
         voter.knows += 1
         update = _history(self.scope.changes)[0][voter.knows - 1]
-        self._published(name, voter.publisher.committed(self.now, voter.knows, update))
+        self._published(name, voter.publisher.add_committed_update(self.now, voter.knows, update))
 
     def hand(self, name: str) -> None:
         """A voter is handed the whole committed state."""
@@ -240,7 +240,7 @@
         voter = self.voters[name]
         voter.is_asked = False
         snapshot = _history(self.scope.changes)[1][voter.knows]
-        self._published(name, voter.publisher.restored(self.now, voter.knows, snapshot))
+        self._published(name, voter.publisher.load_snapshot(self.now, voter.knows, snapshot))
 
     def restart_voter(self, name: str, kept: int) -> None:
         """Its disk may know of less than its process did."""
@@ -407,13 +407,13 @@
             "_random",
             "_fleet_size",
             "_fleet_sizes",
-            "_counts_from",
+            "_counting_starts_at",
             "_packages",
             "_own_ip",
             "_own_zone",
             "zone",
         }
     ),
-    plain=frozenset({"rank", "lease", "_patience"}),
+    plain=frozenset({"rank", "lease_s", "_timeout_factor"}),
     oldest_s=8.0,
 )
--- a/cloverrouter/explore/coordination/distribution_scopes.py
+++ b/cloverrouter/explore/coordination/distribution_scopes.py
@@ -71,18 +71,18 @@
 
 
 def _take_any_delta(self: Subscriber, now: float, ip: str, delta: Delta) -> list[Any]:
-    self._voters.has(now, ip, delta.newest)
+    self._voters.record_newest(now, ip, delta.newest)
     self._have = max(self._have, 0) + len(delta.updates)
-    return self._went_on(now, ip, Apply(self._have, delta.updates))
+    return self._accept_change(now, ip, Apply(self._have, delta.updates))
 
 
-_take_part = Subscriber._take_part
+_handle_part = Subscriber._handle_part
 
 
 def _take_old_part(self: Subscriber, now: float, ip: str, part: Part) -> list[Any]:
     if part.sequence <= self._have:
         self._have = part.sequence - 1
-    return _take_part(self, now, ip, part)
+    return _handle_part(self, now, ip, part)
 
 
 def _gives_up_for_good(self: Subscriber, now: float) -> list[Any]:
@@ -101,12 +101,12 @@
     return self._newest
 
 
-_part_pulled = Publisher._part_pulled
+_answer_part_pull = Publisher._answer_part_pull
 
 
 def _parts_at_once(self: Publisher, now: float, ip: str, message: PullPart) -> list[Any]:
     is_confirmed, self._is_confirmed = self._is_confirmed, True
-    effects = _part_pulled(self, now, ip, message)
+    effects = _answer_part_pull(self, now, ip, message)
     self._is_confirmed = is_confirmed
     return effects
 
@@ -126,19 +126,19 @@
 FAULTS = {
     "snapshots-end-each-other": ModelFault(
         "a part of another snapshot always ends the one that is being put together",
-        ("storm",), LATE, _seeded(subscriber_module._Fetch, "begins_with", _always_begins),
+        ("storm",), LATE, _seeded(subscriber_module._Fetch, "should_start_assembly", _always_begins),
     ),
     "takes-any-updates": ModelFault(
         "updates are taken without a look at what they follow",
-        ("back", "uncommitted", "crash"), SCOPE, _seeded(Subscriber, "_take_delta", _take_any_delta),
+        ("back", "uncommitted", "crash"), SCOPE, _seeded(Subscriber, "_handle_delta", _take_any_delta),
     ),
     "takes-older-snapshots": ModelFault(
         "a snapshot that is older than what is in force replaces it",
-        ("back",), SCOPE, _seeded(Subscriber, "_take_part", _take_old_part),
+        ("back",), SCOPE, _seeded(Subscriber, "_handle_part", _take_old_part),
     ),
     "waits-for-ever": ModelFault(
         "who gets no answer doesn't ask again",
-        ("behind",), SCOPE, _seeded(Subscriber, "_give_up", _gives_up_for_good),
+        ("behind",), SCOPE, _seeded(Subscriber, "_fail_over", _gives_up_for_good),
     ),
     "window-with-a-gap": ModelFault(
         "a voter sends the updates that it has, though some before them are missing",
@@ -146,18 +146,18 @@
     ),
     "parts-of-any-whole": ModelFault(
         "parts of two snapshots are put together",
-        ("uncommitted", "behind", "crash", "storm"), LATE, _seeded(Assembly, "takes", _takes_anything),
+        ("uncommitted", "behind", "crash", "storm"), LATE, _seeded(Assembly, "accepts", _takes_anything),
     ),
 }  # fmt: skip
 
 RESTART_FAULTS = {
     "offers-before-it-is-confirmed": ModelFault(
         "a voter that started again offers what its disk knows to be committed",
-        ("unsure",), RESTART, _seeded(Publisher, "_offered", property(_offers_what_it_knows)),
+        ("unsure",), RESTART, _seeded(Publisher, "_offerable", property(_offers_what_it_knows)),
     ),
     "parts-before-it-is-confirmed": ModelFault(
         "a voter that started again goes on handing out the parts that it is asked for",
-        ("unsure",), RESTART, _seeded(Publisher, "_part_pulled", _parts_at_once),
+        ("unsure",), RESTART, _seeded(Publisher, "_answer_part_pull", _parts_at_once),
     ),
     "confirmed-by-its-start": ModelFault(
         "a voter takes itself for confirmed once it has read its disk",
--- a/features/steps/distribution_steps.py
+++ b/features/steps/distribution_steps.py
@@ -107,8 +107,8 @@
 
 @then("the machine that is cut off knows that it may not be current")
 def step_not_current(context: Any) -> None:
-    assert not context.fleet.machine(context.away).subscriber.current(context.world.now)
-    assert all(context.fleet.machine(ip).subscriber.current(context.world.now) for ip in context.others)
+    assert not context.fleet.machine(context.away).subscriber.is_current(context.world.now)
+    assert all(context.fleet.machine(ip).subscriber.is_current(context.world.now) for ip in context.others)
 
 
 @then("it has the newest within {seconds:g} s, by differences")
--- a/tests/system/distribution_fleet.py
+++ b/tests/system/distribution_fleet.py
@@ -34,7 +34,7 @@
         effects: list[object] = []
         if self.publisher is not None:
             effects += self.publisher.start(now)
-            effects += self.publisher.restored(now, self.fleet.sequence, self.fleet.state)
+            effects += self.publisher.load_snapshot(now, self.fleet.sequence, self.fleet.state)
         voters = [VoterAddress(ip, self.fleet.zone(ip)) for ip in self.fleet.voters]
         return effects + self._put_in_force(self.subscriber.voters_changed(now, voters))
 
@@ -53,7 +53,7 @@
 
     def commit(self, now: float, sequence: int, update: bytes) -> list[object]:
         assert self.publisher is not None
-        return self._serve(now, self.publisher.committed(now, sequence, update))
+        return self._serve(now, self.publisher.add_committed_update(now, sequence, update))
 
     def _serve(self, now: float, effects: Iterable[object]) -> list[object]:
         """Provides the replica's state when the publisher requests a snapshot."""
@@ -61,7 +61,7 @@
         served: list[object] = []
         for effect in effects:
             if isinstance(effect, SnapshotWanted):
-                served += self.publisher.restored(now, self.fleet.sequence, self.fleet.state)
+                served += self.publisher.load_snapshot(now, self.fleet.sequence, self.fleet.state)
             else:
                 served.append(effect)
         return served
--- a/tests/system/quota_world.py
+++ b/tests/system/quota_world.py
@@ -13,7 +13,7 @@
 import attrs
 
 from cloverrouter.control.quota_allocator import QuotaAllocator
-from cloverrouter.control.quota_note import KeepNote, QuotaNote, Reserves, read_note
+from cloverrouter.control.quota_note import QuotaNote, Reserves, WriteNote, read_note
 from cloverrouter.messages import Decoder, encode
 from cloverrouter.messages.sending import Send
 from cloverrouter.placement.quota import ASK_WAIT_S, QuotaHolder
@@ -293,7 +293,7 @@
             self.at(self.now + takes_s, lambda: self._note_written(proxy, allocator, incarnation, due))
 
     def _note_written(
-        self, proxy: Proxy, allocator: QuotaAllocator | None, incarnation: int, kept: KeepNote
+        self, proxy: Proxy, allocator: QuotaAllocator | None, incarnation: int, kept: WriteNote
     ) -> None:
         if proxy.incarnation != incarnation:
             return
@@ -301,7 +301,7 @@
         if allocator is not None and allocator is proxy.allocator:
             leads = self.now < proxy.confirmed_until
             note: QuotaNote = kept.note
-            self._send(proxy, list(allocator.noted(proxy.clock(self.now), note, leads)))
+            self._send(proxy, list(allocator.note_written(proxy.clock(self.now), note, leads)))
             if leads:
                 self._note(proxy)
 
@@ -315,7 +315,7 @@
             used += proxy.holder.stands_by(clock) * STANDBY_PART / self.fleet_size
             if proxy.allocator is not None and self.now < proxy.confirmed_until:
                 looked_at = proxy.allocator if self.awake(proxy) else copy.deepcopy(proxy.allocator)
-                used += max((pool.idle_part for pool in looked_at.figures(clock).values()), default=0.0)
+                used += max((pool.pool_rate_part for pool in looked_at.figures(clock).values()), default=0.0)
         assert used <= 1 + 1e-9, f"{used} of the rate is in use"
 
     # load
--- a/tests/system/test_distribution.py
+++ b/tests/system/test_distribution.py
@@ -71,12 +71,12 @@
         fleet.commit(b"%d;" % number)
         fleet.world.run(fleet.world.now + 0.2)
     assert fleet.all_have([ip for ip in fleet.ips if ip != cut])
-    assert not fleet.machine(cut).subscriber.current(fleet.world.now)
+    assert not fleet.machine(cut).subscriber.is_current(fleet.world.now)
     fleet.world.join()
     fleet.link_up(cut)
     assert fleet.world.run_until(fleet.all_have, limit=3) < 0.5
     fleet.world.run(fleet.world.now + 0.1)
-    assert fleet.machine(cut).subscriber.current(fleet.world.now)
+    assert fleet.machine(cut).subscriber.is_current(fleet.world.now)
     assert len(fleet.world.seen(cut, Replace)) == 1
     for ip in fleet.ips:
         assert fleet.machine(ip).versions == sorted(set(fleet.machine(ip).versions))
@@ -135,19 +135,19 @@
 def test_being_current_is_a_lease_from_a_majority_of_the_voters() -> None:
     fleet = make_fleet()
     subscriber = fleet.machine(fleet.ips[9]).subscriber
-    assert subscriber.current(fleet.world.now)
+    assert subscriber.is_current(fleet.world.now)
     fleet.world.stop(fleet.voters[0])
     fleet.world.run(fleet.world.now + 3)
-    assert subscriber.current(fleet.world.now)
+    assert subscriber.is_current(fleet.world.now)
     fleet.world.stop(fleet.voters[1])
     fleet.world.run(fleet.world.now + 1)
-    assert subscriber.current(fleet.world.now)
+    assert subscriber.is_current(fleet.world.now)
     fleet.world.run(fleet.world.now + 1.1)
-    assert not subscriber.current(fleet.world.now)
+    assert not subscriber.is_current(fleet.world.now)
 
 
 def test_a_machine_without_voters_is_not_current() -> None:
-    assert not Subscriber("10.0.0.1", "a", Random(1)).current(0.0)
+    assert not Subscriber("10.0.0.1", "a", Random(1)).is_current(0.0)
 
 
 def test_a_voter_that_lags_behind_does_not_turn_anyone_back() -> None:
@@ -156,7 +156,7 @@
     fleet.world.run(fleet.world.now + 1)
     machine = fleet.machine(fleet.ips[4])
     publisher = Publisher()
-    publisher.restored(fleet.world.now, 0, b"0;")
+    publisher.load_snapshot(fleet.world.now, 0, b"0;")
     lagging = fleet.world.cores[fleet.voters[1]]
     assert isinstance(lagging, Machine)
     lagging.publisher = publisher
@@ -329,9 +329,9 @@
     publisher, subscriber = Publisher(), Subscriber("m", "", Random(1))
     older, newer = (Random(seed).randbytes(3 * PART_BYTES) for seed in (1, 2))
     publisher.receive(0.0, "m", Subscribe(NOTHING, True))
-    publisher.restored(0.0, 1, older)
+    publisher.load_snapshot(0.0, 1, older)
     first = publisher.receive(0.0, "m", Pull(NOTHING))
-    publisher.restored(0.0, 2, newer)
+    publisher.load_snapshot(0.0, 2, newer)
     second = publisher.receive(0.0, "m", Pull(NOTHING))
     subscriber.voters_changed(0.0, [VoterAddress("v", "")])
     assert sends(subscriber.receive(0.0, "v", Offer(2, 1, 500)), Pull)
@@ -353,9 +353,9 @@
 def test_a_pull_before_there_is_a_snapshot_is_answered_when_there_is() -> None:
     publisher = Publisher()
     publisher.receive(0.0, "s", Subscribe(NOTHING, True))
-    publisher.committed(0.0, 0, b"x")
+    publisher.add_committed_update(0.0, 0, b"x")
     publisher.receive(0.0, "s", Pull(NOTHING))
-    (send,) = sends(publisher.restored(0.1, 0, b"state"), Part)
+    (send,) = sends(publisher.load_snapshot(0.1, 0, b"state"), Part)
     assert send.ip == "s"
 
 
@@ -369,13 +369,13 @@
 def test_a_slow_link_gets_through_in_a_storm_of_long_changes() -> None:
     """A slow machine fetches a snapshot part by part while another one fetches each new change completely."""
     publisher, random = Publisher(), Random(1)
-    publisher.restored(0.0, 0, random.randbytes(1_000_000))
+    publisher.load_snapshot(0.0, 0, random.randbytes(1_000_000))
     publisher.receive(0.0, "slow", Subscribe(NOTHING, True))
     parts = [part_of(publisher.receive(0.0, "slow", Pull(NOTHING)))]
     offsets = range(0, parts[0].total, PART_BYTES)
     for sequence, offset in enumerate(offsets[1:], 1):
-        if SnapshotWanted() in publisher.committed(0.1, sequence, random.randbytes(500_000)):
-            publisher.restored(0.1, sequence, random.randbytes(1_000_000))
+        if SnapshotWanted() in publisher.add_committed_update(0.1, sequence, random.randbytes(500_000)):
+            publisher.load_snapshot(0.1, sequence, random.randbytes(1_000_000))
         publisher.receive(0.1, "fast", Pull(sequence - 1))
         parts.append(part_of(publisher.receive(0.1, "slow", PullPart(0, True, offset))))
     assert [(part.sequence, part.offset) for part in parts] == [(0, offset) for offset in offsets]
@@ -383,14 +383,14 @@
 
 def test_pushing_stops_for_one_that_does_not_acknowledge() -> None:
     publisher = Publisher()
-    publisher.restored(0.0, 0, b"")
+    publisher.load_snapshot(0.0, 0, b"")
     publisher.receive(0.0, "s", Subscribe(0, True))
     pushed = 0
     for sequence in range(1, 100):
-        pushed += len(sends(publisher.committed(0.0, sequence, b"x" * 20_000), Delta))
+        pushed += len(sends(publisher.add_committed_update(0.0, sequence, b"x" * 20_000), Delta))
     assert 5 < pushed < 20
     publisher.receive(0.0, "s", Acknowledge(99))
-    assert len(sends(publisher.committed(0.0, 100, b"x"), Delta)) == 1
+    assert len(sends(publisher.add_committed_update(0.0, 100, b"x"), Delta)) == 1
 
 
 @given(st.binary(max_size=3 * PART_BYTES), st.randoms())
--- a/tests/system/test_distribution_chaos.py
+++ b/tests/system/test_distribution_chaos.py
@@ -64,7 +64,7 @@
             publisher = machine.publisher
             assert publisher is not None
             if publisher.newest < self.fleet.sequence - 1 and self.random.random() < 0.5:
-                restored = publisher.restored(self.world.now, self.fleet.sequence, self.fleet.state)
+                restored = publisher.load_snapshot(self.world.now, self.fleet.sequence, self.fleet.state)
                 self.world.take(ip, restored)
             for sequence in range(publisher.newest + 1, self.fleet.sequence + 1):
                 self.world.take(ip, machine.commit(self.world.now, sequence, self.updates[sequence - 1]))
@@ -78,7 +78,7 @@
             machine = self.fleet.machine(ip)
             assert machine.versions and machine.versions[-1] >= due, (self.world.now, ip, due)
             assert self.fleet.state.startswith(machine.in_force), (self.world.now, ip)
-            assert machine.subscriber.current(self.world.now) or self.world.loss, (self.world.now, ip)
+            assert machine.subscriber.is_current(self.world.now) or self.world.loss, (self.world.now, ip)
 
 
 @pytest.mark.parametrize("seed", range(6))
--- a/tests/system/test_mechanisms.py
+++ b/tests/system/test_mechanisms.py
@@ -209,7 +209,7 @@
 
 @mechanism(test_distribution.test_a_slow_link_gets_through_in_a_storm_of_long_changes)
 def what_is_being_fetched_is_kept() -> Iterator[None]:
-    original = Publisher._package_again
+    original = Publisher._find_package
 
     def forgetful(self: Publisher, sequence: int, is_snapshot: bool) -> Any:
         kept = list(self._packages)
@@ -217,7 +217,7 @@
         self._packages = {key: self._packages[key] for key in kept if key in self._packages}
         return found
 
-    with patch.object(Publisher, "_package_again", forgetful):
+    with patch.object(Publisher, "_find_package", forgetful):
         yield
 
 
@@ -246,24 +246,24 @@
 
 @mechanism(test_distribution.test_updates_already_in_force_are_skipped_and_a_gap_is_pulled)
 def what_is_in_force_already_is_skipped() -> Iterator[None]:
-    original = Subscriber._take_delta
+    original = Subscriber._handle_delta
 
     def forgetful(self: Subscriber, now: float, ip: str, delta: Any) -> Any:
         self._have = min(self._have, delta.first - 1)
         return original(self, now, ip, delta)
 
-    with patch.object(Subscriber, "_take_delta", forgetful):
+    with patch.object(Subscriber, "_handle_delta", forgetful):
         yield
 
 
 @mechanism(scenario("distribution", "A process starts while changes come"))
 def the_first_state_waits_for_what_followed_it() -> Iterator[None]:
-    original = Subscriber._went_on
+    original = Subscriber._accept_change
 
     def hasty(self: Subscriber, now: float, ip: str, change: Any) -> Any:
-        return [*self._release(), *original(self, now, ip, change)]
+        return [*self._release_pending(), *original(self, now, ip, change)]
 
-    with patch.object(Subscriber, "_went_on", hasty):
+    with patch.object(Subscriber, "_accept_change", hasty):
         yield
 
 
@@ -348,13 +348,13 @@
 
 @mechanism(test_quota_epochs.test_a_handover_is_applied_once)
 def what_is_left_of_a_pool_is_taken_over_once() -> Iterator[None]:
-    original = QuotaAllocator._take_over
+    original = QuotaAllocator._accept_handover
 
     def again(self: QuotaAllocator, message: Any) -> None:
-        self._taken_over.clear()
+        self._accepted_handovers.clear()
         original(self, message)
 
-    with patch.object(QuotaAllocator, "_take_over", again):
+    with patch.object(QuotaAllocator, "_accept_handover", again):
         yield
 
 
--- a/tests/system/test_quota.py
+++ b/tests/system/test_quota.py
@@ -6,7 +6,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from cloverrouter.control.quota_pool import idle_part
+from cloverrouter.control.quota_pool import pool_rate_part
 from cloverrouter.placement.quota_plan import (
     STANDBY_CAPACITY_PART,
     QuotaRules,
@@ -19,7 +19,7 @@
 WARM_S = 4.0
 
 
-def loaded(world: World, factor: float, mean_tokens: int = 9_000) -> list[Load]:
+def start_load(world: World, factor: float, mean_tokens: int = 9_000) -> list[Load]:
     world.run(WARM_S)
     return [Load(world, tenant, limit.rate * factor, mean_tokens) for tenant, limit in world.limits.items()]
 
@@ -39,7 +39,7 @@
     limit = TenantLimit(rate, burst)
     plan = plan_tenant(limit, rules, fleet)
     for standing_by in (0.0, 0.3, 1.0):
-        rates = plan.rate * idle_part(1 - standing_by) + standing_by * fleet * plan.own_rate
+        rates = plan.rate * pool_rate_part(1 - standing_by) + standing_by * fleet * plan.own_rate
         pooled = plan.capacity * (1 - standing_by * STANDBY_CAPACITY_PART)
         rooms = pooled + standing_by * fleet * plan.own_capacity + fleet * plan.base_capacity
         assert rates * window_s + rooms + plan.debt <= allowed_tokens(limit, rules) * 0.991 + 1e-6
@@ -49,7 +49,7 @@
 @pytest.mark.parametrize(("proxies", "rate"), [(11, 60_000), (11, 280_000), (83, 280_000), (83, 2_000_000)])
 def test_usual_load_is_not_refused(proxies: int, rate: int) -> None:
     world = World(1, proxies, {"a": TenantLimit(rate, rate)})
-    loaded(world, 0.77)
+    start_load(world, 0.77)
     world.run(30)
     assert world.tallies["a"].refused_share() < 0.02
     assert world.worst_window("a") <= 1
@@ -58,7 +58,7 @@
 @pytest.mark.parametrize(("proxies", "rate"), [(11, 60_000), (11, 280_000), (83, 280_000)])
 def test_a_tenant_at_many_times_its_usual_gets_its_rate(proxies: int, rate: int) -> None:
     world = World(2, proxies, {"a": TenantLimit(rate, rate)})
-    loaded(world, 7.5)
+    start_load(world, 7.5)
     world.run(30)
     used = world.tallies["a"].run / rate / 30
     assert 0.99 < used < 1.12
@@ -123,7 +123,7 @@
         drift=0.003,
         notes=notes,
     )
-    loaded(world, factor)
+    start_load(world, factor)
     world.run(2)
     for kind, pause in troubles:
         trouble(world, kind)
--- a/tests/system/test_quota_cores.py
+++ b/tests/system/test_quota_cores.py
@@ -270,7 +270,7 @@
 
 
 def idle(one: QuotaAllocator, now: float) -> float:
-    return one.figures(now)["a"].idle_part
+    return one.figures(now)["a"].pool_rate_part
 
 
 def exchange_reports(one: QuotaAllocator, now: float, proxies: int = FLEET) -> None:
--- a/tests/system/test_quota_faults.py
+++ b/tests/system/test_quota_faults.py
@@ -15,7 +15,7 @@
 from cloverrouter.placement.quota_messages import QuotaContact
 from cloverrouter.placement.quota_plan import TenantLimit, TenantPlan
 from tests.system.quota_world import Load, World
-from tests.system.test_quota import loaded, trouble
+from tests.system.test_quota import start_load, trouble
 
 KINDS = ["freeze", "cut", "restart", "herd", "head", "lost head", "view"]
 Patch = Callable[[pytest.MonkeyPatch], None]
@@ -25,7 +25,7 @@
     world = World(
         seed, 5, {"a": TenantLimit(100_000, 100_000)}, loss=0.05, doubled=0.2, stalls=0.05, drift=0.003
     )
-    loaded(world, 5.0)
+    start_load(world, 5.0)
     for _ in range(6):
         trouble(world, world.random.choice(KINDS))
         world.run(world.random.uniform(0.3, 4))
@@ -44,23 +44,23 @@
 
 
 def silence_unseen(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(QuotaAllocator, "_mark_silent", lambda self: None)
+    patch.setattr(QuotaAllocator, "_update_contacts", lambda self: None)
 
 
 def contact_from_any_report(patch: pytest.MonkeyPatch) -> None:
-    def confirmed(self: Any, report: int) -> None:
+    def record_acknowledgement(self: Any, report: int) -> None:
         if report:
-            self.idle_until = max(self.idle_until, *self.idle_by.values(), 0.0)
+            self.contact_until = max(self.contact_until, *self.contacts.values(), 0.0)
 
-    patch.setattr(quota_allocator._Peer, "confirmed", confirmed)
+    patch.setattr(quota_allocator._Peer, "record_acknowledgement", record_acknowledgement)
 
 
 def contact_from_the_latest_answer(patch: pytest.MonkeyPatch) -> None:
-    def answered(self: Any, report: int, idle_until: float) -> None:
+    def record_answer(self: Any, report: int, contact_until: float) -> None:
         self.newest = max(self.newest, report)
-        self.idle_by[report] = idle_until
+        self.contacts[report] = contact_until
 
-    patch.setattr(quota_allocator._Peer, "answered", answered)
+    patch.setattr(quota_allocator._Peer, "record_answer", record_answer)
 
 
 def a_late_answer_binds_less(patch: pytest.MonkeyPatch) -> None:
@@ -147,11 +147,11 @@
 
 
 def pools_begin_with_all_that_was_noted(patch: pytest.MonkeyPatch) -> None:
-    def begin_with(self: TenantPool, tokens: int) -> None:
+    def set_initial_tokens(self: TenantPool, tokens: int) -> None:
         self.level = tokens - self.plan.debt
-        self._parked = self.plan.capacity
+        self._deferred_tokens = self.plan.capacity
 
-    patch.setattr(TenantPool, "begin_with", begin_with)
+    patch.setattr(TenantPool, "set_initial_tokens", set_initial_tokens)
 
 
 FAULTS: list[Patch] = [
--- a/tests/system/test_quota_note.py
+++ b/tests/system/test_quota_note.py
@@ -11,9 +11,9 @@
 from cloverrouter.control.quota_allocator import QuotaAllocator
 from cloverrouter.control.quota_duty import QuotaDuty
 from cloverrouter.control.quota_note import (
-    KeepNote,
     QuotaNote,
     Reserves,
+    WriteNote,
     read_note,
 )
 from cloverrouter.messages import encode
@@ -43,7 +43,7 @@
         allocator.tick(11.0 + step * 0.05)
         due = allocator.note_due(11.0 + step * 0.05)
         if due is not None:
-            allocator.noted(11.0 + step * 0.05, due.note)
+            allocator.note_written(11.0 + step * 0.05, due.note)
             newest = due.note
     assert newest.left["a"] > 0
     return allocator, newest
@@ -90,9 +90,9 @@
     at_first = lent(allocator.receive(21.0, PROXY, ask(10**9)))
     assert at_first == 0, "the ask must wait for the disk"
     due = allocator.note_due(21.0)
-    assert isinstance(due, KeepNote) and due.note.left["a"] == 0
+    assert isinstance(due, WriteNote) and due.note.left["a"] == 0
     assert allocator.note_due(21.001) is None, "only one note is written at a time"
-    assert lent(allocator.noted(21.004, due.note)) > promised
+    assert lent(allocator.note_written(21.004, due.note)) > promised
 
 
 def test_small_asks_beside_the_promise_do_not_wait() -> None:
@@ -106,14 +106,14 @@
     assert allocator.receive(21.0, PROXY, ask(10**9)) == []
     due = allocator.note_due(21.0)
     assert due is not None
-    assert allocator.noted(21.5, due.note) == []
+    assert allocator.note_written(21.5, due.note) == []
 
 
 def test_a_note_that_was_not_under_way_frees_nothing() -> None:
     allocator, _ = full_allocator()
     allocator.receive(21.0, PROXY, ask(10**9))
     allocator.note_due(21.0)
-    assert allocator.noted(21.01, QuotaNote(DISK, 7, {})) == []
+    assert allocator.note_written(21.01, QuotaNote(DISK, 7, {})) == []
 
 
 def test_a_pool_begins_with_what_was_noted_up_to_what_proxies_may_not_have_run_themselves() -> None:
@@ -142,13 +142,13 @@
     duty.configure(LIMITS, 10)
     duty.view_changed(10.0, 7, ME, lambda: None, DISK)
     kept = [each for step in range(100) for each in duty.tick(11 + step * 0.05, LEAD_UNTIL)]
-    assert len(kept) == 1 and isinstance(kept[0], KeepNote)
-    assert duty.noted(16.1, None, kept[0].note) == [], "a machine that does not lead must not answer"
+    assert len(kept) == 1 and isinstance(kept[0], WriteNote)
+    assert duty.note_written(16.1, None, kept[0].note) == [], "a machine that does not lead must not answer"
     assert kept[0].note.left["a"] > 0
     assert [each for step in range(100) for each in duty.tick(17 + step * 0.05, LEAD_UNTIL)] == []
     duty.view_changed(22.0, 8, ME)
     (later,) = [each for step in range(100) for each in duty.tick(22 + step * 0.05, LEAD_UNTIL)]
-    assert isinstance(later, KeepNote) and later.note.epoch == 8
+    assert isinstance(later, WriteNote) and later.note.epoch == 8
 
 
 def test_the_store_keeps_the_note_with_the_record_and_over_records_that_repeat_it(tmp_path: Path) -> None:
--- a/tests/system/test_restart_state.py
+++ b/tests/system/test_restart_state.py
@@ -34,7 +34,7 @@
     """Returns an unconfirmed publisher with the state as of sequence number 4 and one subscriber."""
     publisher = Publisher(is_confirmed=False)
     publisher.start(0.0)
-    publisher.restored(0.0, 4, b"state 4")
+    publisher.load_snapshot(0.0, 4, b"state 4")
     publisher.receive(0.0, PROXY, Subscribe(NOTHING, True))
     return publisher
 
@@ -51,13 +51,13 @@
 
 def test_updates_committed_before_the_confirmation_are_not_handed_out_or_offered() -> None:
     publisher = restarted_publisher()
-    assert offers(publisher.committed(0.1, 5, b"update 5")) == {NOTHING}
+    assert offers(publisher.add_committed_update(0.1, 5, b"update 5")) == {NOTHING}
     assert offers(publisher.tick(1.0)) == {NOTHING}
 
 
 def test_what_is_confirmed_is_offered_at_once_and_handed_out() -> None:
     publisher = restarted_publisher()
-    publisher.committed(0.1, 5, b"update 5")
+    publisher.add_committed_update(0.1, 5, b"update 5")
     assert offers(publisher.confirm(0.2)) == {5}
     assert not publisher.confirm(0.3)
     (send,) = publisher.receive(0.3, PROXY, Pull(4))
--- a/tests/system/test_start_over.py
+++ b/tests/system/test_start_over.py
@@ -41,7 +41,7 @@
 
 def test_what_could_not_be_put_in_force_is_fetched_whole() -> None:
     subscriber = subscriber_at(5)
-    subscriber.start_over(1.0)
+    subscriber.refetch_snapshot(1.0)
     effects = subscriber.tick(1.2)
     assert Send(VOTER, Pull(NOTHING)) in effects
     effects = subscriber.receive(1.3, VOTER, pack(6, True, b"newer").part(0))
@@ -50,7 +50,7 @@
 
 def test_a_state_that_could_not_be_applied_is_not_replaced_by_an_older_one() -> None:
     subscriber = subscriber_at(5)
-    subscriber.start_over(1.0)
+    subscriber.refetch_snapshot(1.0)
     subscriber.tick(1.2)
     assert not subscriber.receive(1.3, VOTER, pack(4, True, b"older").part(0))
     assert subscriber.have == NOTHING
@@ -130,7 +130,7 @@
             if effect == Send(VOTER, Pull(NOTHING)):
                 asked.append(now)
                 subscriber.receive(now, VOTER, pack(9, True, b"newer").part(0))
-                subscriber.start_over(now)
+                subscriber.refetch_snapshot(now)
         subscriber.receive(now, VOTER, Offer(9, 3, 500))
         now += 0.05
     return asked
@@ -138,21 +138,21 @@
 
 def test_a_state_that_can_not_be_read_is_fetched_with_backoff_and_counted() -> None:
     subscriber = subscriber_at(5)
-    subscriber.start_over(1.0)
+    subscriber.refetch_snapshot(1.0)
     asked = pulls(subscriber, 1.0, 61.0)
     pauses = [later - earlier for earlier, later in itertools.pairwise(asked)]
     assert len(asked) < 15
     assert pauses[-1] >= MAX_REFETCH_DELAY_S > pauses[0]
-    assert subscriber.unread == len(asked) + 1
+    assert subscriber.apply_failures == len(asked) + 1
     assert subscriber.behind_s(61.0) == 60.0
 
 
 def test_a_state_that_is_applied_ends_the_backoff() -> None:
     subscriber = subscriber_at(5)
-    subscriber.start_over(1.0)
-    subscriber.start_over(1.1)
+    subscriber.refetch_snapshot(1.0)
+    subscriber.refetch_snapshot(1.1)
     subscriber.applied()
-    assert subscriber.unread == 0
+    assert subscriber.apply_failures == 0
     subscriber.tick(1.3)
     subscriber.receive(1.4, VOTER, pack(6, True, b"newer").part(0))
     assert subscriber.behind_s(2.0) == 0.0
