--- a/tests/system/test_distribution_chaos.py
+++ b/tests/system/test_distribution_chaos.py
@@ -1,4 +1,5 @@
-"""Committed configurations under seeded trouble: in force in touch within the bound, and never backwards."""
+"""Committed configurations under seeded faults: connected machines apply them within the bound, and no
+machine goes back to older state."""
 
 from __future__ import annotations
 
@@ -9,19 +10,22 @@
 from tests.system.lossy_world import World
 from tests.system.trouble import Trouble
 
-STEP = 0.05
-BOUND, BOUND_WITH_LOSS = 1.0, 2.0  # the contract allows two seconds, and links do not lose single messages
-LARGE = 300_000
+STEP_S = 0.05
+BOUND_S, BOUND_WITH_LOSS_S = (
+    1.0,
+    2.0,
+)  # the specification allows 2 s; real links do not lose single messages
+LARGE_UPDATE_BYTES = 300_000
 
 
 class Chaos:
-    """Changes are committed by the voters that reach a majority, while there is trouble; the others learn
-    later.
+    """Commits changes on the voters that reach a majority while faults are injected; other voters learn of
+    them later.
     """
 
     def __init__(self, seed: int, loss: float) -> None:
         self.world = World(seed, loss=loss)
-        self.bound = BOUND_WITH_LOSS if loss else BOUND
+        self.bound = BOUND_WITH_LOSS_S if loss else BOUND_S
         self.random = self.world.random
         self.fleet = DistributionFleet(self.world, 9)
         self.trouble = Trouble(self.world, self.fleet.ips, self.fleet.voters, self.fleet.restart)
@@ -34,33 +38,33 @@
         end = self.world.now + seconds
         next_trouble, next_change = 4.0, 5.0
         while self.world.now < end:
-            self.world.run(self.world.now + STEP)
+            self.world.run(self.world.now + STEP_S)
             if self.world.now >= next_trouble:
                 next_trouble = self.world.now + self.random.uniform(1, 7)
                 self.trouble.make()
             if self.world.now >= next_change and self.trouble.majority():
                 next_change = self.world.now + self.random.choice([0.1, 0.2, 2.0])
                 self.commit()
-            self.teach_voters()
+            self.update_voters()
             self.trouble.note()
             self.check()
 
     def commit(self) -> None:
-        length = LARGE if self.random.random() < 0.05 and not self.world.loss else 20
+        length = LARGE_UPDATE_BYTES if self.random.random() < 0.05 and not self.world.loss else 20
         update = self.random.randbytes(length)
         self.updates.append(update)
         self.fleet.sequence += 1
         self.fleet.state += update
         self.committed_at.append(self.world.now)
 
-    def teach_voters(self) -> None:
-        """What the chain does: a voter in the majority has all that is committed."""
+    def update_voters(self) -> None:
+        """Stands in for the chain: gives all committed updates to the voters in the majority."""
         for ip in self.trouble.majority():
             machine = self.fleet.machine(ip)
             publisher = machine.publisher
             assert publisher is not None
             if publisher.newest < self.fleet.sequence - 1 and self.random.random() < 0.5:
-                restored = publisher.restored(self.world.now, self.fleet.sequence, self.fleet.state)
+                restored = publisher.load_snapshot(self.world.now, self.fleet.sequence, self.fleet.state)
                 self.world.take(ip, restored)
             for sequence in range(publisher.newest + 1, self.fleet.sequence + 1):
                 self.world.take(ip, machine.commit(self.world.now, sequence, self.updates[sequence - 1]))
@@ -74,7 +78,7 @@
             machine = self.fleet.machine(ip)
             assert machine.versions and machine.versions[-1] >= due, (self.world.now, ip, due)
             assert self.fleet.state.startswith(machine.in_force), (self.world.now, ip)
-            assert machine.subscriber.current(self.world.now) or self.world.loss, (self.world.now, ip)
+            assert machine.subscriber.is_current(self.world.now) or self.world.loss, (self.world.now, ip)
 
 
 @pytest.mark.parametrize("seed", range(6))
--- a/tests/system/test_quota_note.py
+++ b/tests/system/test_quota_note.py
@@ -1,4 +1,4 @@
-"""What a head notes on its disk of the pools, and what the next head at that disk makes of it."""
+"""The notes of the pools that a head stores on its disk, and their use by the next head at that disk."""
 
 from __future__ import annotations
 
@@ -11,9 +11,9 @@
 from cloverrouter.control.quota_allocator import QuotaAllocator
 from cloverrouter.control.quota_duty import QuotaDuty
 from cloverrouter.control.quota_note import (
-    KeepNote,
     QuotaNote,
     Reserves,
+    WriteNote,
     read_note,
 )
 from cloverrouter.messages import encode
@@ -30,23 +30,23 @@
 NOTE = QuotaNote(DISK, 7, {"a": 50_000})
 
 
-def allocator(begins_with: dict[str, int] | None = None) -> QuotaAllocator:
-    found = QuotaAllocator(7, 10.0, None, begins_with, Reserves(DISK))
-    found.configure(LIMITS, 10)
-    return found
+def make_allocator(initial_tokens: dict[str, int] | None = None) -> QuotaAllocator:
+    allocator = QuotaAllocator(7, 10.0, None, initial_tokens, Reserves(DISK))
+    allocator.configure(LIMITS, 10)
+    return allocator
 
 
-def filled() -> tuple[QuotaAllocator, QuotaNote]:
-    """An allocator whose pool is full, with the note that says so on the disk."""
-    found = allocator()
+def full_allocator() -> tuple[QuotaAllocator, QuotaNote]:
+    """Returns an allocator with a full pool, and its newest note, which is on the disk."""
+    allocator = make_allocator()
     for step in range(200):
-        found.tick(11.0 + step * 0.05)
-        due = found.note_due(11.0 + step * 0.05)
+        allocator.tick(11.0 + step * 0.05)
+        due = allocator.note_due(11.0 + step * 0.05)
         if due is not None:
-            found.noted(11.0 + step * 0.05, due.note)
+            allocator.note_written(11.0 + step * 0.05, due.note)
             newest = due.note
     assert newest.left["a"] > 0
-    return found, newest
+    return allocator, newest
 
 
 def ask(tokens: int, number: int = 1) -> QuotaAsk:
@@ -69,10 +69,10 @@
         (encode(QuotaNote(DISK, 7, {"a": -1})), "tokens below zero"),
     ],
 )
-def test_a_note_that_is_none_counts_for_nothing_and_says_why(data: bytes, reason: str) -> None:
-    found = read_note(data, DISK, 7)
-    assert found.left is None
-    assert found.refused.startswith(reason)
+def test_an_invalid_note_is_ignored_with_a_reason(data: bytes, reason: str) -> None:
+    result = read_note(data, DISK, 7)
+    assert result.left is None
+    assert result.refused.startswith(reason)
 
 
 def test_a_disk_without_a_note_has_nothing_to_refuse() -> None:
@@ -85,43 +85,43 @@
 
 
 def test_what_is_promised_is_not_lent_before_the_promise_is_taken_back_on_the_disk() -> None:
-    found, note = filled()
+    allocator, note = full_allocator()
     promised = note.left["a"]
-    at_first = lent(found.receive(21.0, PROXY, ask(10**9)))
-    assert at_first == 0, "the ask waits for the disk"
-    due = found.note_due(21.0)
-    assert isinstance(due, KeepNote) and due.note.left["a"] == 0
-    assert found.note_due(21.001) is None, "one is under way at a time"
-    assert lent(found.noted(21.004, due.note)) > promised
+    at_first = lent(allocator.receive(21.0, PROXY, ask(10**9)))
+    assert at_first == 0, "the ask must wait for the disk"
+    due = allocator.note_due(21.0)
+    assert isinstance(due, WriteNote) and due.note.left["a"] == 0
+    assert allocator.note_due(21.001) is None, "only one note is written at a time"
+    assert lent(allocator.note_written(21.004, due.note)) > promised
 
 
 def test_small_asks_beside_the_promise_do_not_wait() -> None:
-    found, note = filled()
-    assert lent(found.receive(21.0, PROXY, ask(9_000))) == 9_000
+    allocator, note = full_allocator()
+    assert lent(allocator.receive(21.0, PROXY, ask(9_000))) == 9_000
     assert note.left["a"] > 0
 
 
 def test_an_ask_that_has_waited_too_long_for_the_disk_is_not_answered() -> None:
-    found, _ = filled()
-    assert found.receive(21.0, PROXY, ask(10**9)) == []
-    due = found.note_due(21.0)
+    allocator, _ = full_allocator()
+    assert allocator.receive(21.0, PROXY, ask(10**9)) == []
+    due = allocator.note_due(21.0)
     assert due is not None
-    assert found.noted(21.5, due.note) == []
+    assert allocator.note_written(21.5, due.note) == []
 
 
 def test_a_note_that_was_not_under_way_frees_nothing() -> None:
-    found, _ = filled()
-    found.receive(21.0, PROXY, ask(10**9))
-    found.note_due(21.0)
-    assert found.noted(21.01, QuotaNote(DISK, 7, {})) == []
+    allocator, _ = full_allocator()
+    allocator.receive(21.0, PROXY, ask(10**9))
+    allocator.note_due(21.0)
+    assert allocator.note_written(21.01, QuotaNote(DISK, 7, {})) == []
 
 
 def test_a_pool_begins_with_what_was_noted_up_to_what_proxies_may_not_have_run_themselves() -> None:
-    empty, noted, much = allocator(), allocator({"a": 50_000}), allocator({"a": 10**9})
+    empty, noted, much = make_allocator(), make_allocator({"a": 50_000}), make_allocator({"a": 10**9})
     levels = [each.figures(10.0)["a"].tokens for each in (empty, noted, much)]
     assert levels[0] < levels[1] < levels[2]
     assert levels[0] + 50_000 == levels[1]
-    assert levels[2] <= 0.2 * much.figures(10.0)["a"].room + 1
+    assert levels[2] <= 0.2 * much.figures(10.0)["a"].capacity + 1
 
 
 def test_a_process_that_finds_a_note_at_its_start_lends_at_once_one_that_goes_on_does_not() -> None:
@@ -134,7 +134,7 @@
     duty.view_changed(11.0, 9, PROXY)
     duty.view_changed(12.0, 10, ME, lambda: NOTE.left, DISK)
     later = QuotaAsk(10, 4242, 1, 0.0, {"a": 9_000}, {})
-    assert not duty.receive(12.0, LEAD_UNTIL, PROXY, later), "credit of this life may still be out"
+    assert not duty.receive(12.0, LEAD_UNTIL, PROXY, later), "credit lent by this process may still be valid"
 
 
 def test_the_duty_asks_for_notes_and_goes_on_when_they_are_kept() -> None:
@@ -142,13 +142,13 @@
     duty.configure(LIMITS, 10)
     duty.view_changed(10.0, 7, ME, lambda: None, DISK)
     kept = [each for step in range(100) for each in duty.tick(11 + step * 0.05, LEAD_UNTIL)]
-    assert len(kept) == 1 and isinstance(kept[0], KeepNote)
-    assert duty.noted(16.1, None, kept[0].note) == [], "no word of a machine that does not lead"
+    assert len(kept) == 1 and isinstance(kept[0], WriteNote)
+    assert duty.note_written(16.1, None, kept[0].note) == [], "a machine that does not lead must not answer"
     assert kept[0].note.left["a"] > 0
     assert [each for step in range(100) for each in duty.tick(17 + step * 0.05, LEAD_UNTIL)] == []
     duty.view_changed(22.0, 8, ME)
     (later,) = [each for step in range(100) for each in duty.tick(22 + step * 0.05, LEAD_UNTIL)]
-    assert isinstance(later, KeepNote) and later.note.epoch == 8
+    assert isinstance(later, WriteNote) and later.note.epoch == 8
 
 
 def test_the_store_keeps_the_note_with_the_record_and_over_records_that_repeat_it(tmp_path: Path) -> None:
