--- a/cloverrouter/daemon/__init__.py
+++ b/cloverrouter/daemon/__init__.py
@@ -1,1 +1,1 @@
-"""One process of the system put together: settings, roles, readiness, signals."""
+"""One process of the system: settings, control plane, data plane, readiness and signals."""
--- a/cloverrouter/daemon/__main__.py
+++ b/cloverrouter/daemon/__main__.py
@@ -1,14 +1,13 @@
-"""Start one process of the system: `python -m cloverrouter.daemon`.
+"""Starts one process of the system: `python -m cloverrouter.daemon`.
 
-The settings file is named by `CYPRESSWINCH_BOOT`. Exit codes: 0 told to end, 1 failed, 2 settings that can't
-be used.
+`CYPRESSWINCH_BOOT` names the settings file. Exit codes: 0 stopped by a signal, 1 failure, 2 invalid settings.
 """
 
 from __future__ import annotations
 
 from cloverrouter.daemon.signals import Signals
 
-SIGNALS = Signals()  # before anything else is loaded: until then a signal ends the process
+SIGNALS = Signals()  # first, because a signal without a handler kills the process
 
 import gc  # noqa: E402
 import os  # noqa: E402
@@ -25,8 +24,9 @@
 
 
 def _leave_tls_out() -> None:
-    """Nothing here speaks TLS, but asyncio and hashlib load OpenSSL where they can: 4 MB. hashlib has its own
-    implementations of what is used.
+    """Prevents asyncio and hashlib from loading OpenSSL, which takes 4 MB.
+
+    The process does not use TLS, and hashlib has its own implementations of the hash functions used here.
     """
     sys.modules["ssl"] = sys.modules["_hashlib"] = None  # type: ignore[assignment]
 
@@ -35,13 +35,13 @@
     from cloverrouter.daemon.node import Node
 
     node = Node(settings, path, SIGNALS)
-    gc.freeze()  # what was loaded stays: it isn't looked through again
+    gc.freeze()  # excludes the loaded modules from later collections
     gc.enable()
     return await node.run()
 
 
 def main() -> int:
-    """The exit code."""
+    """Runs the process and returns its exit code."""
     path = os.environ.get(SETTINGS_VARIABLE, DEFAULT_PATH)
     try:
         settings = read_patiently(path, time.sleep)
@@ -49,7 +49,7 @@
         for finding in error.findings:
             print(f"{error.path}: {finding}", file=sys.stderr)
         return 2
-    gc.disable()  # loading makes little garbage
+    gc.disable()  # loading modules creates little garbage
     _leave_tls_out()
     import asyncio
 
--- a/cloverrouter/daemon/configuration_feed.py
+++ b/cloverrouter/daemon/configuration_feed.py
@@ -1,4 +1,4 @@
-"""The configuration in force in this process, folded from what the subscriber is handed."""
+"""The configuration in force in this process, built from the subscriber's snapshots and updates."""
 
 from __future__ import annotations
 
@@ -14,11 +14,14 @@
 from cloverrouter.control.updates import apply_frame
 from cloverrouter.messages import MessageError
 
-HISTORY = 64
+MAX_HISTORY = 64
 
 
 class ConfigurationFeed:
-    """`configure` hears of each configuration that comes into force."""
+    """Applies snapshots and updates, and calls `configure` with each new configuration.
+
+    `on_error` logs an event with its fields. `history` holds the latest versions, oldest first.
+    """
 
     def __init__(
         self, configure: Callable[[ConfigurationState], None], on_error: Callable[..., None]
@@ -27,12 +30,12 @@
         self._on_error = on_error
         self.state = ConfigurationState()
         self.not_applied = 0
-        self.history: deque[dict[str, Any]] = deque(maxlen=HISTORY)
+        self.history: deque[dict[str, Any]] = deque(maxlen=MAX_HISTORY)
 
     def take(self, effect: Apply | Replace) -> bool:
-        """Put it in force. False if that can't be done: all updates after it would fail as well."""
+        """Applies a snapshot or updates. Returns False on failure: all later updates would fail too."""
         try:
-            state = self._after(effect)
+            state = self._state_after(effect)
         except (ControlError, MessageError, AttributeError, LookupError, TypeError, ValueError) as error:
             self.not_applied += 1
             text = f"{type(error).__name__}: {error}"
@@ -45,15 +48,15 @@
         self._configure(state)
         return True
 
-    def _after(self, effect: Apply | Replace) -> ConfigurationState:
+    def _state_after(self, effect: Apply | Replace) -> ConfigurationState:
         if isinstance(effect, Replace):
             machine = ConfigurationMachine()
             machine.restore(effect.snapshot)
             return machine.state
-        return _folded(self.state, effect.updates)
+        return _apply_updates(self.state, effect.updates)
 
 
-def _folded(state: ConfigurationState, updates: Iterable[bytes]) -> ConfigurationState:
+def _apply_updates(state: ConfigurationState, updates: Iterable[bytes]) -> ConfigurationState:
     for update in updates:
         state = apply_frame(state, update)
     return state
--- a/cloverrouter/daemon/control_calls.py
+++ b/cloverrouter/daemon/control_calls.py
@@ -1,4 +1,4 @@
-"""What the calls of operators and servers do in this process: the backend of the control API."""
+"""The backend of the control API: carries out the calls of operators and servers in this process."""
 
 from __future__ import annotations
 
@@ -26,53 +26,53 @@
     """Implements `control.api.ControlBackend` on a process's control plane."""
 
     def __init__(self, plane: PlanePort, loop: asyncio.AbstractEventLoop, first_ticket: int) -> None:
-        """`first_ticket`: of `control.forwarding.first_ticket`."""
+        """`first_ticket` is a result of `control.forwarding.first_ticket`."""
         self._plane = plane
         self._loop = loop
         self._tickets = itertools.count(first_ticket)
-        self._calls: dict[int, asyncio.Future[Finished]] = {}
-        self._changes: dict[int, asyncio.Future[bool]] = {}
+        self._pending_calls: dict[int, asyncio.Future[Finished]] = {}
+        self._pending_changes: dict[int, asyncio.Future[bool]] = {}
 
     @property
-    def under_way(self) -> int:
-        """Calls that wait for their answer."""
-        return len(self._calls) + len(self._changes)
+    def pending_count(self) -> int:
+        """The number of calls that wait for an answer."""
+        return len(self._pending_calls) + len(self._pending_changes)
 
-    # What the cores tell
+    # Results from the cores
 
-    def call_ended(self, finished: Finished) -> None:
-        """The head has answered, or the call was given up."""
-        future = self._calls.pop(finished.ticket, None)
+    def complete_call(self, finished: Finished) -> None:
+        """Completes a call to the head: it was answered, or failed."""
+        future = self._pending_calls.pop(finished.ticket, None)
         if future is not None and not future.done():
             future.set_result(finished)
 
-    def change_ended(self, change: int, acknowledged: bool) -> None:
-        """News of a server is with the voters, or found no majority."""
-        future = self._changes.pop(change, None)
+    def complete_change(self, change: int, acknowledged: bool) -> None:
+        """Completes a change of a server's registration: a majority of the voters acknowledged it, or not."""
+        future = self._pending_changes.pop(change, None)
         if future is not None and not future.done():
             future.set_result(acknowledged)
 
     # ControlBackend
 
     async def order(self, method: str, if_match: str | None, body: bytes) -> OrderReply:
-        reply = await self._ask(CallKind.ORDER, encode(Order(method, if_match, body)))
+        reply = await self._call_head(CallKind.ORDER, encode(Order(method, if_match, body)))
         return decode_message(reply, OrderReply)
 
     async def read(self) -> bytes | None:
-        snapshot = await self._ask(CallKind.READ, b"")
+        snapshot = await self._call_head(CallKind.READ, b"")
         if not snapshot:
             return None
         return decode_message(snapshot, MachineSnapshot).document or None
 
-    async def _ask(self, kind: CallKind, command: bytes) -> bytes:
+    async def _call_head(self, kind: CallKind, command: bytes) -> bytes:
         ticket = next(self._tickets)
         future: asyncio.Future[Finished] = self._loop.create_future()
-        self._calls[ticket] = future
+        self._pending_calls[ticket] = future
         try:
             self._plane.ask_head(ticket, kind, command)
             finished = await future
         finally:
-            self._calls.pop(ticket, None)
+            self._pending_calls.pop(ticket, None)
         if finished.reply is not None:
             return finished.reply
         if not finished.was_sent:
@@ -82,35 +82,36 @@
     async def register(self, instance_id: str, body: dict[str, Any]) -> RegisterReply:
         instance = instance_from(self._loop.time(), instance_id, body)
         change, effects = self._plane.registry.register(self._loop.time(), instance)
-        await self._change(change, effects)
+        await self._await_change(change, effects)
         from cloverrouter.control.api import RegisterReply
 
         return RegisterReply()
 
     async def withdraw(self, instance_id: str) -> bool:
-        known = self._plane.registry.find(instance_id) is not None
+        was_registered = self._plane.registry.find(instance_id) is not None
         change, effects = self._plane.registry.deregister(self._loop.time(), instance_id)
-        await self._change(change, effects)
-        return known
+        await self._await_change(change, effects)
+        return was_registered
 
-    async def _change(self, change: int, effects: Iterable[Any]) -> None:
+    async def _await_change(self, change: int, effects: Iterable[Any]) -> None:
         future: asyncio.Future[bool] = self._loop.create_future()
-        self._changes[change] = future
+        self._pending_changes[change] = future
         try:
-            self._plane.note(effects)
+            self._plane.apply_registry_effects(effects)
             acknowledged = await future
         finally:
-            self._changes.pop(change, None)
+            self._pending_changes.pop(change, None)
         if not acknowledged:
             raise Unavailable("no majority of the replicas has taken it")
 
-    # For people
+    # Answers for operators
 
     def instances(self) -> dict[str, Any]:
         registry = self._plane.registry
         return {
             service: [
-                _shown(instance, registry.is_silent(instance.id)) for instance in registry.instances(service)
+                _instance_json(instance, registry.is_silent(instance.id))
+                for instance in registry.instances(service)
             ]
             for service in registry.services()
         }
@@ -124,7 +125,7 @@
             "current": plane.subscriber.current(now),
             "behind-s": round(plane.subscriber.behind_s(now), 3),
             "not-applied": plane.subscriber.unread,
-            "handing-over": plane.handing_over(),
+            "handing-over": plane.catch_up_progress(),
             "fleet-size": plane.subscriber.fleet_size(),
             "ready": plane.traffic.router.ready(),
             "in-flight": plane.traffic.router.in_flight,
@@ -184,7 +185,7 @@
             "Messages from peers of kinds that are not known here.",
             transport.messages_skipped,
         )
-        kinds = sorted(transport.sent.items(), key=lambda item: item[0].__name__)
+        kinds = sorted(transport.sent.items(), key=lambda item: metric_labels(item[0])[1])
         yield Metric(
             "cypresswinch_peer_sent_messages_total",
             "counter",
@@ -200,12 +201,12 @@
 
 
 def _labels(kind: type) -> dict[str, str]:
-    """Of a kind of message; several parts may have one of the same name."""
+    """Returns the labels of a message class; classes of several modules may share a name."""
     part, name = metric_labels(kind)
     return {"part": part, "kind": name}
 
 
-def _shown(instance: Instance, silent: bool) -> dict[str, Any]:
+def _instance_json(instance: Instance, silent: bool) -> dict[str, Any]:
     return {
         "id": instance.id,
         "address": instance.address,
--- a/cloverrouter/daemon/control_plane.py
+++ b/cloverrouter/daemon/control_plane.py
@@ -1,6 +1,7 @@
-"""The control plane of one process: its cores, their clock, and the messages to and from other machines.
+"""The control plane of one process: drives its cores with ticks and with messages from other machines.
 
-What only replicas need is loaded by replicas only: most machines have no disk, and a start is paid for.
+Modules that only replicas need are imported by replicas only, to keep the start of the others cheap: most
+machines have no disk.
 """
 
 from __future__ import annotations
@@ -57,9 +58,9 @@
     from cloverrouter.daemon.replica_role import ReplicaRole
     from cloverrouter.daemon.servers_copy import ServersCopy
 
-FRESH_MEMBER_S = 2.5  # a disk member heard of within this is offered to the chain as alive
-REVOCATION_MARGIN_S = 0.5  # for what was under way when a voter told what it has
-LOOK_S = 0.2  # between looks at what peer sampling has found
+FRESH_MEMBER_S = 2.5  # disk members heard of within this time count as alive
+REVOCATION_MARGIN_S = 0.5  # covers updates in flight when a voter reported its state
+DISCOVERY_INTERVAL_S = 0.2  # between passing on what peer sampling has discovered
 
 Handler = Callable[[float, str, object], None]
 
@@ -74,34 +75,34 @@
         self.traffic = traffic
         self._log = log
         self.transport = Transport(
-            settings.ip, settings.internal_ports[0], self._receive, self._link, self._peer_error
+            settings.ip, settings.internal_ports[0], self._receive, self._on_link, self._on_peer_error
         )
-        traffic.send_with(self.transport.send)
+        traffic.set_sender(self.transport.send)
         incarnation = int(time.time() * 1000)
         self._record = PeerRecord(settings.ip, settings.name, settings.zone, incarnation=incarnation)
         self.sampler = PeerSampler(self._record, settings.seeds, random)
         self.registry = Registry(settings.ip, settings.heartbeat_s)
         self.subscriber = Subscriber(settings.ip, settings.zone, random)
-        self.feed = ConfigurationFeed(self._configured, log.error)
+        self.feed = ConfigurationFeed(self._on_configuration, log.error)
         self._forwarder = Forwarder(self.transport.unsent_bytes)
         self.role: ReplicaRole | None = None
         self._opening: asyncio.Task[None] | None = None
-        self._servers_copy: ServersCopy | None = None
+        self._server_list_file: ServersCopy | None = None
         self._genesis: GenesisProposer | None = None
         self._ballot = Ballot()
         self._quotas: QuotaService | None = None
-        self._trouble = self._trouble_news()
+        self._trouble_relay = self._make_trouble_relay()
         self.summary: ViewSummary | None = None
         self._calls = ControlCalls(self, self._loop, first_ticket(random))
         self._api: ControlApi | None = None
         self._handlers = self._handler_table()
-        self._next_look = 0.0
+        self._next_discovery = 0.0
         if settings.is_replica:
-            self._quotas = self._quota_service()
+            self._quotas = self._make_quota_service()
         if settings.bootstrap and settings.ip in settings.seeds:
-            self._genesis = self._genesis_proposer()
+            self._genesis = self._make_genesis_proposer()
 
-    def _quota_service(self) -> QuotaService:
+    def _make_quota_service(self) -> QuotaService:
         from cloverrouter.control.quota_duty import QuotaDuty
         from cloverrouter.daemon.quota_service import QuotaService
 
@@ -111,26 +112,28 @@
 
     @property
     def quota_notes_refused(self) -> int:
-        """Notes of quotas on the own disk that did not count."""
+        """The number of quota notes on this machine's disk that were rejected."""
         return self._quotas.notes_refused if self._quotas is not None else 0
 
-    def _genesis_proposer(self) -> GenesisProposer:
+    def _make_genesis_proposer(self) -> GenesisProposer:
         from cloverrouter.coordination.genesis import GenesisConfig, GenesisProposer
 
-        self._take_chain_messages()
+        self._add_coordination_handlers()
         settings = self._settings
         return GenesisProposer(settings.ip, settings.seeds, GenesisConfig(settings.tolerated_machines))
 
-    def _take_chain_messages(self) -> None:
-        from cloverrouter.coordination import messages as chain_messages
+    def _add_coordination_handlers(self) -> None:
+        from cloverrouter.coordination import messages as coordination_messages
 
-        self._handlers.update(dict.fromkeys(message_classes_in(chain_messages.__name__), self._on_chain))
-        self._handlers.update(dict.fromkeys(chain_messages.GENESIS_MESSAGES, self._on_genesis))
+        self._handlers.update(
+            dict.fromkeys(message_classes_in(coordination_messages.__name__), self._on_coordination)
+        )
+        self._handlers.update(dict.fromkeys(coordination_messages.GENESIS_MESSAGES, self._on_genesis))
         if not self._settings.is_replica:
-            self._handlers.update(dict.fromkeys(chain_messages.BALLOT_MESSAGES, self._on_ballot))
+            self._handlers.update(dict.fromkeys(coordination_messages.BALLOT_MESSAGES, self._on_ballot))
 
-    def _trouble_news(self) -> TroubleNews:
-        news = TroubleNews(
+    def _make_trouble_relay(self) -> TroubleNews:
+        relay = TroubleNews(
             self._settings.ip,
             self.traffic,
             self.transport.send,
@@ -139,20 +142,20 @@
             self.registry.subscribers,
             self._log,
         )
-        self.traffic.on_trouble = lambda: news.report(self._loop.time())
-        return news
+        self.traffic.on_report_due = lambda: relay.report(self._loop.time())
+        return relay
 
-    # Coming and going
+    # Start and stop
 
     async def open(self) -> None:
-        """Begin to listen and to look for others."""
+        """Starts listening and peer discovery, and opens the replica in the background."""
         await when_free(self.transport.listen, self._address_taken, asyncio.sleep)
         now = self._loop.time()
         if self._settings.is_replica:
             self._opening = self._loop.create_task(self._open_role())
-        self._sampled(now, self.sampler.start(now))
-        self._registered(self.registry.start(now))
-        self._subscribed(self.subscriber.start(now))
+        self._apply_sampler_effects(now, self.sampler.start(now))
+        self._apply_registry_effects(self.registry.start(now))
+        self._apply_subscriber_effects(self.subscriber.start(now))
         if self._genesis is not None:
             self._send_all(self._genesis.start(now))
 
@@ -162,46 +165,46 @@
     async def _open_role(self) -> None:
         from cloverrouter.daemon.replica_role import ReplicaRole, RolePorts
 
-        self._take_chain_messages()
-        await self._find_servers_copy()
-        on_note = self._quotas.noted if self._quotas is not None else lambda _: None
-        ports = RolePorts(self.transport.send, self._own_view, self._log.error, self._log.change, on_note)
+        self._add_coordination_handlers()
+        await self._load_server_list()
+        on_note = self._quotas.note_stored if self._quotas is not None else lambda _: None
+        ports = RolePorts(self.transport.send, self._on_own_view, self._log.error, self._log.change, on_note)
         role = await ReplicaRole.open(self._settings, ports, self._random)
         now = self._loop.time()
         self.sampler.set_own_disk(now, identity=role.identity, counts_for_quorum=True)
         self.role = role
         role.start(now)
         if role.replica.adoptable and self._genesis is None and self._settings.ip in self._settings.seeds:
-            # Killed in the midst of the first start: the disk knows, the settings do not.
-            self._genesis = self._genesis_proposer()
+            # The process was killed during the first bootstrap: only the disk records that it is unfinished.
+            self._genesis = self._make_genesis_proposer()
             self._send_all(self._genesis.start(now))
 
-    async def _find_servers_copy(self) -> None:
+    async def _load_server_list(self) -> None:
         from cloverrouter.daemon.servers_copy import ServersCopy
 
         directory = self._settings.data_directory
         assert directory is not None
         servers_copy = ServersCopy(directory, self.registry, self._log.error)
         await servers_copy.find()
-        self._servers_copy = servers_copy
+        self._server_list_file = servers_copy
 
     def seeds_changed(self, seeds: tuple[str, ...]) -> None:
-        """The settings file names other seeds."""
+        """Applies the seeds of a reloaded settings file."""
         now = self._loop.time()
-        self._sampled(now, self.sampler.seeds_changed(now, seeds))
+        self._apply_sampler_effects(now, self.sampler.seeds_changed(now, seeds))
 
     def resign(self) -> None:
-        """The process is about to end."""
+        """Gives up this machine's roles before the process stops."""
         if self.role is not None:
             self.role.resign(self._loop.time())
 
     @property
     def may_end(self) -> bool:
-        """Whether this machine's vote isn't waited for: see `Replica.may_end`."""
+        """Whether no other machine depends on this one's vote: see `Replica.may_end`."""
         return self.role is None or self.role.replica.may_end
 
     def called(self, exchange: ControlExchange) -> None:
-        """A call of an operator or a server. The API and bottle are loaded for the first of them."""
+        """Handles a call of an operator or a server. The first call loads the API and bottle."""
         if self._api is None:
             from cloverrouter.control.api import ControlApi
 
@@ -210,76 +213,79 @@
 
     @property
     def disk_identity(self) -> str | None:
-        """The identity of this machine's disk, if it is a replica."""
+        """The identity of this machine's disk, or None if it is not a replica."""
         return self.role.identity if self.role is not None else None
 
-    def handing_over(self) -> dict[str, Any]:
-        """As head: the long state that a member is handed in parts; empty: none."""
+    def catch_up_progress(self) -> dict[str, Any]:
+        """Returns the progress of a state transfer that this head sends in parts; empty if none."""
         progress = self.role.replica.catch_up if self.role is not None else None
         return attrs.asdict(progress) if progress is not None else {}
 
     @property
     def calls_under_way(self) -> int:
-        """Calls of operators and servers that wait for their answer."""
-        return self._calls.under_way
+        """The number of calls of operators and servers that wait for an answer."""
+        return self._calls.pending_count
 
     async def close(self) -> None:
-        """The end."""
+        """Closes the replica, the server list file and all connections."""
         if self._opening is not None:
             self._opening.cancel()
         if self.role is not None:
             self.role.close()
-        if self._servers_copy is not None:
-            self._servers_copy.close()
+        if self._server_list_file is not None:
+            self._server_list_file.close()
         await self.transport.close()
 
     # Time
 
     def tick(self, now: float) -> None:
-        """Time has passed; called every 50 ms."""
+        """Advances all cores to `now`; called every 50 ms."""
         with self.transport.batch():
             self._tick(now)
 
     def _tick(self, now: float) -> None:
         if self.role is not None:
             self.role.tick(now)
-        self._sampled(now, self.sampler.tick(now))
-        if now >= self._next_look:
-            self._next_look = now + LOOK_S
+        self._apply_sampler_effects(now, self.sampler.tick(now))
+        if now >= self._next_discovery:
+            self._next_discovery = now + DISCOVERY_INTERVAL_S
             self.traffic.router.report_overdue()
-            self._look(now)
+            self._share_discoveries(now)
         if self._genesis is not None:
             self._send_all(self._genesis.tick(now))
             if self._genesis.is_over:
                 self._genesis = None
-        lead_until = self._lead_until()
-        self.registry.set_sole_head(lead_until is not None and now < lead_until)
-        is_in_touch = self.subscriber.current(now)
-        self.registry.set_in_touch(is_in_touch)
-        self._forwarder.set_quorum_contact(is_in_touch)
+        lease_until = self._lead_until()
+        self.registry.set_sole_head(lease_until is not None and now < lease_until)
+        has_quorum_contact = self.subscriber.current(now)
+        self.registry.set_in_touch(has_quorum_contact)
+        self._forwarder.set_quorum_contact(has_quorum_contact)
         is_behind = self.subscriber.behind_s(now) > self._settings.bounds.propagation_s
-        self.traffic.router.is_behind = is_in_touch and is_behind
+        self.traffic.router.is_behind = has_quorum_contact and is_behind
         self._limit_keys()
-        self._registered(self.registry.tick(now))
-        if self._servers_copy is not None:
-            self._registered(self._servers_copy.tick(now))
-        self._subscribed(self.subscriber.tick(now))
-        self._forwarded(self._forwarder.tick(now))
+        self._apply_registry_effects(self.registry.tick(now))
+        if self._server_list_file is not None:
+            self._apply_registry_effects(self._server_list_file.tick(now))
+        self._apply_subscriber_effects(self.subscriber.tick(now))
+        self._apply_forwarder_effects(self._forwarder.tick(now))
         self.traffic.quota.carry_out(self.traffic.quota.holder.tick(now))
         if self._quotas is not None:
             self._quotas.tick(now)
-        self._trouble.report(now)
+        self._trouble_relay.report(now)
 
     def _limit_keys(self) -> None:
-        """Keys are good for as long as none can have been taken away too long ago without this machine
-        knowing."""
+        """Limits how long API keys are accepted without contact to the voters.
+
+        A key is accepted only until a revocation that this machine has not received could be older than the
+        bound `revocation_s`.
+        """
         bounds = self._settings.bounds
         if bounds.enforces_revocation:
-            known_s = self.subscriber.complete_as_of() + bounds.revocation_s
-            self.traffic.router.keys_valid_until = known_s - REVOCATION_MARGIN_S
+            valid_until_s = self.subscriber.complete_as_of() + bounds.revocation_s
+            self.traffic.router.keys_valid_until = valid_until_s - REVOCATION_MARGIN_S
 
-    def _look(self, now: float) -> None:
-        """Pass on what was discovered, and how many proxies there are."""
+    def _share_discoveries(self, now: float) -> None:
+        """Passes on the discovered disk members and the number of proxies."""
         members = [
             Member(found.record.identity, found.record.ip, found.record.name, found.record.zone)
             for found in self.sampler.disk_members(now)
@@ -310,7 +316,7 @@
             (quota_messages, self._on_quota),
             (trouble_messages, self._on_trouble),
             (placement_messages, self._on_placement),
-            (views, self._on_chain),
+            (views, self._on_coordination),
         ):
             table.update(dict.fromkeys(message_classes_in(module.__name__), handler))
         return table
@@ -320,15 +326,15 @@
         if handler is not None:
             handler(self._loop.time(), ip, message)
 
-    def _link(self, ip: str, up: bool) -> None:
+    def _on_link(self, ip: str, up: bool) -> None:
         now = self._loop.time()
         if up:
-            self._registered(self.registry.link_up(now, ip))
-            self._subscribed(self.subscriber.link_up(now, ip))
+            self._apply_registry_effects(self.registry.link_up(now, ip))
+            self._apply_subscriber_effects(self.subscriber.link_up(now, ip))
         else:
-            self._registered(self.registry.link_down(now, ip))
+            self._apply_registry_effects(self.registry.link_down(now, ip))
 
-    def _peer_error(self, ip: str, error: Exception) -> None:
+    def _on_peer_error(self, ip: str, error: Exception) -> None:
         self._log.error("peer-malformed", peer=ip, error=str(error))
 
     def _send_all(self, effects: Iterable[Send]) -> None:
@@ -336,29 +342,29 @@
             self.transport.send(effect.ip, effect.message)
 
     def _on_sampling(self, now: float, ip: str, message: object) -> None:
-        self._sampled(now, self.sampler.receive(now, ip, message))
+        self._apply_sampler_effects(now, self.sampler.receive(now, ip, message))
         if isinstance(message, sampling_messages.Shuffle) and message.sender.zone == self._settings.zone:
-            self._tell_placement(ip)
+            self._send_placement_update(ip)
 
-    def _tell_placement(self, ip: str) -> None:
-        """Tell a proxy of the own zone what is known of servers and requests."""
-        news = self.traffic.router.outgoing_placement_update()
-        if news is not None:
-            self.transport.send(ip, news)
+    def _send_placement_update(self, ip: str) -> None:
+        """Sends a proxy of the same zone what this one knows about servers and requests."""
+        update = self.traffic.router.outgoing_placement_update()
+        if update is not None:
+            self.transport.send(ip, update)
 
     def _on_placement(self, now: float, ip: str, message: object) -> None:
         assert isinstance(message, placement_messages.PlacementNews)
         self.traffic.router.apply_placement_update(message)
 
     def _on_registry(self, now: float, ip: str, message: object) -> None:
-        self._registered(self.registry.receive(now, ip, message))
+        self._apply_registry_effects(self.registry.receive(now, ip, message))
 
     def _on_distribution(self, now: float, ip: str, message: object) -> None:
         if self.role is not None:
             self.role.subscriber_says(now, ip, message)
-        self._subscribed(self.subscriber.receive(now, ip, message))
+        self._apply_subscriber_effects(self.subscriber.receive(now, ip, message))
 
-    def _on_chain(self, now: float, ip: str, message: object) -> None:
+    def _on_coordination(self, now: float, ip: str, message: object) -> None:
         if self.role is not None:
             self.role.receive(now, ip, message)
 
@@ -367,12 +373,12 @@
             self._send_all(self._genesis.receive(now, ip, message))
 
     def _on_ballot(self, now: float, ip: str, message: object) -> None:
-        """This seed has no disk: its word is good for as long as its first process lives."""
-        from cloverrouter.coordination import messages as chain_messages
+        """Answers a ballot on a seed without a disk: a promise holds only while the first process runs."""
+        from cloverrouter.coordination import messages as coordination_messages
         from cloverrouter.coordination.seed_acceptor import handle_ballot
 
         if self._genesis is not None:
-            assert isinstance(message, chain_messages.BALLOT_MESSAGES)
+            assert isinstance(message, coordination_messages.BALLOT_MESSAGES)
             self._ballot, answer = handle_ballot(self._ballot, message)
             self.transport.send(ip, answer)
 
@@ -385,11 +391,11 @@
 
     def _on_head_answer(self, now: float, ip: str, message: object) -> None:
         assert isinstance(message, HeadAnswer)
-        self._forwarded(self._forwarder.handle_answer(now, message))
+        self._apply_forwarder_effects(self._forwarder.handle_answer(now, message))
 
     def _on_view_notice(self, now: float, ip: str, message: object) -> None:
         assert isinstance(message, ViewNotice)
-        self._sampled(now, self.sampler.view_changed(now, message.summary))
+        self._apply_sampler_effects(now, self.sampler.view_changed(now, message.summary))
         self._view_learned(now, message.summary)
 
     def _on_quota(self, now: float, ip: str, message: object) -> None:
@@ -400,25 +406,25 @@
             self.traffic.quota.carry_out(self.traffic.quota.holder.receive(now, ip, message))
 
     def _on_trouble(self, now: float, ip: str, message: object) -> None:
-        self._trouble.receive(now, ip, message)
+        self._trouble_relay.receive(now, ip, message)
 
-    # What the cores ask for
+    # Effects of the cores
 
-    def _sampled(self, now: float, effects: Iterable[SamplerEffect]) -> None:
+    def _apply_sampler_effects(self, now: float, effects: Iterable[SamplerEffect]) -> None:
         for effect in effects:
             if isinstance(effect, Send):
                 self.transport.send(effect.ip, effect.message)
             elif isinstance(effect, ViewLearned):
                 self._view_learned(now, effect.summary)
             elif isinstance(effect, DiskMemberLearned):
-                self._next_look = 0.0
+                self._next_discovery = 0.0
 
-    def _registered(self, effects: Iterable[RegistryEffect]) -> None:
+    def _apply_registry_effects(self, effects: Iterable[RegistryEffect]) -> None:
         for effect in effects:
             if isinstance(effect, Send):
                 self.transport.send(effect.ip, effect.message)
             elif isinstance(effect, Acknowledged | Failed):
-                self._calls.change_ended(effect.change, isinstance(effect, Acknowledged))
+                self._calls.complete_change(effect.change, isinstance(effect, Acknowledged))
             elif isinstance(effect, InstancesChanged):
                 self.traffic.instances_changed(effect.instances, self.registry.is_silent)
             elif isinstance(effect, InstancesSilent | InstancesRecovered):
@@ -426,7 +432,7 @@
                 known = [instance for instance in found if instance is not None]
                 self.traffic.instances_changed(known, self.registry.is_silent)
 
-    def _subscribed(self, effects: Iterable[SubscriberEffect]) -> None:
+    def _apply_subscriber_effects(self, effects: Iterable[SubscriberEffect]) -> None:
         for effect in effects:
             if isinstance(effect, Send):
                 self.transport.send(effect.ip, effect.message)
@@ -435,26 +441,26 @@
             else:
                 self.subscriber.start_over(self._loop.time())
 
-    def _forwarded(self, effects: Iterable[SendCall | Finished]) -> None:
+    def _apply_forwarder_effects(self, effects: Iterable[SendCall | Finished]) -> None:
         for effect in effects:
             if isinstance(effect, SendCall):
                 self.transport.send(effect.ip, effect.call)
             else:
-                self._calls.call_ended(effect)
+                self._calls.complete_call(effect)
 
     def ask_head(self, ticket: int, kind: CallKind, command: bytes) -> None:
-        """Have the head answer a call; `ControlCalls.call_ended` hears of it."""
-        self._forwarded(self._forwarder.submit(self._loop.time(), ticket, kind, command))
+        """Forwards a call to the head; `ControlCalls.complete_call` receives the result."""
+        self._apply_forwarder_effects(self._forwarder.submit(self._loop.time(), ticket, kind, command))
 
-    def note(self, effects: Iterable[RegistryEffect]) -> None:
-        """Carry out what a call of the registry gave."""
-        self._registered(effects)
+    def apply_registry_effects(self, effects: Iterable[RegistryEffect]) -> None:
+        """Applies effects that a call of the registry returned."""
+        self._apply_registry_effects(effects)
 
     # The view
 
-    def _own_view(self, summary: ViewSummary) -> None:
+    def _on_own_view(self, summary: ViewSummary) -> None:
         now = self._loop.time()
-        self._sampled(now, self.sampler.view_changed(now, summary))
+        self._apply_sampler_effects(now, self.sampler.view_changed(now, summary))
         self._view_learned(now, summary)
 
     def _view_learned(self, now: float, summary: ViewSummary) -> None:
@@ -467,20 +473,20 @@
             addresses = [VoterAddress(place.ip, place.zone) for place in summary.voters]
             for ip in ips:
                 self.transport.open(ip)
-            self._registered(self.registry.voters_changed(now, ips))
-            self._subscribed(self.subscriber.voters_changed(now, addresses))
+            self._apply_registry_effects(self.registry.voters_changed(now, ips))
+            self._apply_subscriber_effects(self.subscriber.voters_changed(now, addresses))
         head = summary.head if summary.active else None
-        self._forwarded(self._forwarder.head_changed(now, head))
+        self._apply_forwarder_effects(self._forwarder.head_changed(now, head))
         self.registry.set_head(now, head)
         self.traffic.quota.holder.head_changed(head, summary.epoch)
         if self._quotas is not None:
             self._quotas.view_changed(now, summary.epoch, head)
 
     def _lead_until(self) -> float | None:
-        """Until when no other machine can become head."""
+        """Returns until when no other machine can become head, or None if this one is not head."""
         return self.role.replica.lease_until if self.role is not None else None
 
-    def _configured(self, state: ConfigurationState) -> None:
+    def _on_configuration(self, state: ConfigurationState) -> None:
         self._log.change("configuration", version=state.version)
         self.traffic.configure(state.configuration())
         if self._quotas is not None:
--- a/cloverrouter/daemon/drain.py
+++ b/cloverrouter/daemon/drain.py
@@ -1,40 +1,43 @@
-"""How a process that was told to end ends what it has taken, within its grace period."""
+"""Draining: a process that is asked to stop finishes its accepted requests within its grace period."""
 
 from __future__ import annotations
 
 from collections.abc import Awaitable, Callable
 from typing import Protocol
 
-END_LOOK_S = 0.05
-QUIET_LOOKS = 6  # so many looks in a row without an open request end a process that was told to end
-LAST_WORDS_S = 0.1  # for answers given at the very end to go out
+POLL_INTERVAL_S = 0.05
+QUIET_POLLS = 6  # consecutive polls without an open request that end the drain
+FINAL_RESPONSE_FLUSH_S = 0.1  # time for the last answers to be sent
 
 
 class Requests(Protocol):
-    """The requests that are under way."""
+    """The accepted requests of a process."""
 
     @property
     def in_flight(self) -> int:
-        """Those that are not answered yet."""
+        """The number of requests that are not answered yet."""
         ...
 
     def end_requests(self) -> None:
-        """Give each the answer that is true of it now."""
+        """Answers each open request according to its present state."""
         ...
 
 
-async def end_what_is_open(
+async def drain_requests(
     requests: Requests,
     is_busy: Callable[[], bool],
-    ends_at: float,
+    deadline: float,
     clock: Callable[[], float],
     sleep: Callable[[float], Awaitable[None]],
 ) -> None:
-    """Wait until nothing has been open for a while, or until `ends_at`; nothing is open after that."""
-    quiet = 0
-    while clock() < ends_at and quiet < QUIET_LOOKS:
-        await sleep(END_LOOK_S)
-        quiet = 0 if is_busy() else quiet + 1
+    """Waits until nothing is open for several polls or `deadline` passes, then ends all open requests.
+
+    `deadline` is in seconds on `clock`.
+    """
+    quiet_polls = 0
+    while clock() < deadline and quiet_polls < QUIET_POLLS:
+        await sleep(POLL_INTERVAL_S)
+        quiet_polls = 0 if is_busy() else quiet_polls + 1
     if requests.in_flight:
         requests.end_requests()
-        await sleep(LAST_WORDS_S)
+        await sleep(FINAL_RESPONSE_FLUSH_S)
--- a/cloverrouter/daemon/errors.py
+++ b/cloverrouter/daemon/errors.py
@@ -1,4 +1,4 @@
-"""What can be wrong with a process's start."""
+"""Errors that prevent a process from starting."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class SettingsError(CypresswinchError):
-    """The settings file can't be used. `findings`: each fault with its key, what was found and wanted."""
+    """The settings file is invalid. `findings` lists each fault: key, value found and what is expected."""
 
     def __init__(self, path: str, findings: Sequence[str]) -> None:
         self.path = path
--- a/cloverrouter/daemon/head_desk.py
+++ b/cloverrouter/daemon/head_desk.py
@@ -1,4 +1,4 @@
-"""The head's side of forwarded calls: each under way once, answered to whoever asked."""
+"""The head's side of forwarded calls: runs each call once and answers its caller."""
 
 from __future__ import annotations
 
@@ -12,50 +12,51 @@
 from cloverrouter.coordination.replica import Replica
 from cloverrouter.messages import encode
 
-ANSWERS_KEPT = 64
-MAX_KEPT_BYTES = 16 * 1024
+MAX_REMEMBERED_ANSWERS = 64
+MAX_REMEMBERED_BYTES = 16 * 1024
 TOO_LARGE = OrderReply(413, b'{"error-message":"the configuration would outgrow the disks"}', 0)
 
 
 class HeadDesk:
-    """Calls that this machine's replica was asked by proxies. A call that is sent again joins the first.
+    """Passes the proxies' calls to this machine's replica, and its answers back to them.
 
-    One that comes again after its answer gets the same answer. Danger: decided a second time, an order that
-    was refused for building on a version to come could be taken, once that version is there.
+    A retransmitted call joins the pending one. A retransmitted order that has been answered gets the same
+    answer: were it decided again, an order that was rejected because it names a later version could be
+    accepted once that version exists.
     """
 
     def __init__(self, replica: Replica, send: Callable[[str, object], None]) -> None:
         self._replica = replica
         self._send = send
         self._tickets = itertools.count(1)
-        self._asked: dict[int, tuple[str, int]] = {}
-        self._under_way: set[tuple[str, int]] = set()
-        self._orders: set[tuple[str, int]] = set()  # those of them that are orders
-        self._answered: OrderedDict[tuple[str, int], HeadAnswer] = OrderedDict()  # orders, lately
+        self._callers: dict[int, tuple[str, int]] = {}
+        self._pending: set[tuple[str, int]] = set()
+        self._pending_orders: set[tuple[str, int]] = set()  # the pending calls that are orders
+        self._recent_answers: OrderedDict[tuple[str, int], HeadAnswer] = OrderedDict()  # of orders only
 
     def called(self, now: float, ip: str, call: HeadCall) -> Iterable[Effect]:
-        """A proxy's call; gives the replica's effects."""
+        """Handles a proxy's call and returns the replica's effects."""
         key = (ip, call.ticket)
-        if key in self._under_way:
+        if key in self._pending:
             return ()
-        known = self._answered.get(key)
-        if known is not None:
-            self._send(ip, known)
+        previous = self._recent_answers.get(key)
+        if previous is not None:
+            self._send(ip, previous)
             return ()
         ticket = next(self._tickets)
-        self._asked[ticket] = key
-        self._under_way.add(key)
+        self._callers[ticket] = key
+        self._pending.add(key)
         if call.kind == CallKind.READ.value:
             return self._replica.read(now, ticket)
-        self._orders.add(key)
+        self._pending_orders.add(key)
         return self._replica.submit(now, ticket, call.command)
 
     def answered(self, answer: Answer) -> None:
-        """The replica's answer goes to whoever asked."""
-        key = self._asked.pop(answer.ticket, None)
+        """Sends the replica's answer to the caller."""
+        key = self._callers.pop(answer.ticket, None)
         if key is None:
             return
-        self._under_way.discard(key)
+        self._pending.discard(key)
         ip, ticket = key
         if answer.outcome is Outcome.DONE:
             reply = HeadAnswer(ticket, True, answer.reply)
@@ -63,15 +64,15 @@
             reply = HeadAnswer(ticket, True, encode(TOO_LARGE))
         else:
             reply = HeadAnswer(ticket, False, b"")
-        if key in self._orders:
-            self._orders.discard(key)
-            self._keep(key, reply)
+        if key in self._pending_orders:
+            self._pending_orders.discard(key)
+            self._remember(key, reply)
         self._send(ip, reply)
 
-    def _keep(self, key: tuple[str, int], reply: HeadAnswer) -> None:
-        """A clear answer to an order holds for copies of it that are still on their way."""
-        if not reply.done or len(reply.reply) > MAX_KEPT_BYTES:
+    def _remember(self, key: tuple[str, int], reply: HeadAnswer) -> None:
+        """Remembers a definite answer to an order, for retransmitted copies that are still in flight."""
+        if not reply.done or len(reply.reply) > MAX_REMEMBERED_BYTES:
             return
-        self._answered[key] = reply
-        if len(self._answered) > ANSWERS_KEPT:
-            self._answered.popitem(last=False)
+        self._recent_answers[key] = reply
+        if len(self._recent_answers) > MAX_REMEMBERED_ANSWERS:
+            self._recent_answers.popitem(last=False)
--- a/cloverrouter/daemon/listening.py
+++ b/cloverrouter/daemon/listening.py
@@ -1,4 +1,4 @@
-"""Beginning to listen where the address may not be free yet: a predecessor is just about to go."""
+"""Starts to listen on an address that the previous process may not have released yet."""
 
 from __future__ import annotations
 
@@ -9,8 +9,8 @@
 T = TypeVar("T")
 
 PATIENCE_S = 10.0
-PAUSE_S = 0.1
-PASSING = frozenset({errno.EADDRINUSE, errno.EADDRNOTAVAIL})
+RETRY_INTERVAL_S = 0.1
+TRANSIENT_ERRNOS = frozenset({errno.EADDRINUSE, errno.EADDRNOTAVAIL})
 
 
 async def when_free(
@@ -18,17 +18,19 @@
     on_wait: Callable[[OSError], None],
     sleep: Callable[[float], Awaitable[None]],
 ) -> T:
-    """What `listen` gives, tried again while its address is taken or not there yet. `on_wait` hears of the
-    first time. Raises OSError: any other one, or that after `PATIENCE_S`.
+    """Returns the result of `listen`, which is retried while its address is in use or not available yet.
+
+    `on_wait` is called with the first such error. Raises OSError: any other one, or such an error after
+    `PATIENCE_S`.
     """
     waited_s = 0.0
     while True:
         try:
             return await listen()
         except OSError as error:
-            if error.errno not in PASSING or waited_s >= PATIENCE_S:
+            if error.errno not in TRANSIENT_ERRNOS or waited_s >= PATIENCE_S:
                 raise
             if not waited_s:
                 on_wait(error)
-        await sleep(PAUSE_S)
-        waited_s += PAUSE_S
+        await sleep(RETRY_INTERVAL_S)
+        waited_s += RETRY_INTERVAL_S
--- a/cloverrouter/daemon/logs.py
+++ b/cloverrouter/daemon/logs.py
@@ -1,7 +1,7 @@
-"""What a process writes to its standard output: eliot's JSON lines, as many as the settings' level asks for.
+"""The log of a process: eliot's JSON lines on standard output, at the level that the settings name.
 
-Levels: `off`; `errors`; `changes` (errors, and what happens to views, configurations, servers); `requests`
-(all of these, and an action for each request). Eliot is loaded only where something will be written.
+Levels: `off`; `errors`; `changes` (errors, and changes of views, configurations and servers); `requests`
+(all of these, and an action for each request). Eliot is loaded only when something is written.
 """
 
 from __future__ import annotations
@@ -15,20 +15,20 @@
 Write = Callable[..., None]
 
 
-def _nothing(message_type: str, **fields: Any) -> None:
+def _discard(message_type: str, **fields: Any) -> None:
     return None
 
 
 class Log:
-    """The three kinds of lines. Each attribute is a no-op below its level."""
+    """Writes events: `error`, `change` and `request` are functions that do nothing below their level."""
 
     def __init__(self, level: str, node_name: str) -> None:
         self._node_name = node_name
         rank = LOG_LEVELS.index(level)
-        self.error = self._writer(node_name) if rank >= LOG_LEVELS.index("errors") else _nothing
-        self.change = self._writer(node_name) if rank >= LOG_LEVELS.index("changes") else _nothing
+        self.error = self._writer(node_name) if rank >= LOG_LEVELS.index("errors") else _discard
+        self.change = self._writer(node_name) if rank >= LOG_LEVELS.index("changes") else _discard
         self.logs_requests = rank >= LOG_LEVELS.index("requests")
-        self.request = self._writer(node_name) if self.logs_requests else _nothing
+        self.request = self._writer(node_name) if self.logs_requests else _discard
 
     @staticmethod
     def _writer(node_name: str) -> Write:
@@ -39,7 +39,7 @@
         return write
 
     def start_action(self, action_type: str, parent: Any, **fields: Any) -> Any:
-        """An action of eliot's that the caller finishes, inside `parent` unless that is None."""
+        """Starts an eliot action that the caller finishes, nested in `parent` unless that is None."""
         eliot = _eliot()
         if parent is None:
             return eliot.start_task(action_type=action_type, node=self._node_name, **fields)
--- a/cloverrouter/daemon/node.py
+++ b/cloverrouter/daemon/node.py
@@ -1,4 +1,4 @@
-"""One process of the system: its parts put together, its clock, and how it comes and goes."""
+"""One process of the system: assembles its parts, runs their clock, and starts and stops them."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 from cloverrouter.daemon import settings as settings_file
 from cloverrouter.daemon.control_plane import ControlPlane
-from cloverrouter.daemon.drain import end_what_is_open
+from cloverrouter.daemon.drain import drain_requests
 from cloverrouter.daemon.errors import SettingsError
 from cloverrouter.daemon.listening import when_free
 from cloverrouter.daemon.logs import Log
@@ -21,7 +21,7 @@
 from cloverrouter.http.server import Server, ServerLimits
 
 TICK_S = 0.05
-END_MARGIN_S = 0.7  # before the platform would kill the process
+END_MARGIN_S = 0.7  # before the platform kills the process
 CONTROL_CONNECTIONS = 512
 READINESS_CONNECTIONS = 64
 MAX_CONTROL_BODY_BYTES = 4 * 1024 * 1024
@@ -30,7 +30,10 @@
 
 
 class Node:
-    """Runs until it is told to stop. `signals` says when."""
+    """Runs the process until `signals` reports a stop request.
+
+    `path` is the settings file, which is read again on reload.
+    """
 
     def __init__(self, settings: Settings, path: str, signals: PlatformSignals) -> None:
         self._settings = settings
@@ -38,8 +41,8 @@
         self._signals = signals
         self._loop = asyncio.get_running_loop()
         self._stopping = asyncio.Event()
-        self._ends_at = math.inf
-        self._looked_at = signals.taken_since
+        self._stop_deadline = math.inf
+        self._signals_polled_at = signals.handling_since_s
         self._log = Log(settings.log_level, settings.name)
         self._random = Random(int.from_bytes(os.urandom(8), "big"))
         self._traffic = Traffic(settings, self._random, self._log)
@@ -48,9 +51,9 @@
         self._frontend: Server | None = None
 
     async def run(self) -> int:
-        """The exit code."""
+        """Runs until stopped and drained; returns the exit code."""
         await self._control.open()
-        if not self._signals.told_to_end:
+        if not self._signals.stop_requested:
             await self._listen()
         self._tick()
         self._log.change("started", ip=self._settings.ip, replica=self._settings.is_replica)
@@ -62,19 +65,19 @@
         return 0
 
     def stop(self) -> None:
-        """SIGTERM: not ready from now on. A second one doesn't lengthen the time that is left.
+        """Begins to stop (SIGTERM): the process is not ready from now on. A second call has no effect.
 
-        The platform counts the grace period from the signal, which may have come at any time since the last
-        look for signals: long ago where the process was frozen meanwhile.
+        The platform counts the grace period from the signal, which may have arrived at any time since the
+        last poll for signals: long ago if the process was frozen in between.
         """
         if self._stopping.is_set():
             return
-        self._ends_at = self._looked_at + self._settings.bounds.grace_period_s - END_MARGIN_S
-        self._traffic.router.begin_shutdown(self._ends_at)
+        self._stop_deadline = self._signals_polled_at + self._settings.bounds.grace_period_s - END_MARGIN_S
+        self._traffic.router.begin_shutdown(self._stop_deadline)
         self._stopping.set()
 
     def reload(self) -> None:
-        """SIGHUP: the settings file has changed. Danger: a bad file must not cost what works."""
+        """Reloads the settings file (SIGHUP) and applies its seeds. An invalid file is logged and ignored."""
         try:
             found = settings_file.read(self._path)
         except SettingsError as error:
@@ -84,13 +87,15 @@
 
     async def _listen(self) -> None:
         settings = self._settings
-        most = max(64, settings.file_descriptors // 2 - CONTROL_CONNECTIONS)
+        max_client_connections = max(64, settings.file_descriptors // 2 - CONTROL_CONNECTIONS)
         if settings.readiness is not None:
             await self._serve(settings.readiness, self._readiness, READINESS_CONNECTIONS)
         if settings.control is not None:
             await self._serve(settings.control, self._control.called, CONTROL_CONNECTIONS)
         if settings.frontend is not None:
-            self._frontend = await self._serve(settings.frontend, self._traffic.router.handle, most)
+            self._frontend = await self._serve(
+                settings.frontend, self._traffic.router.handle, max_client_connections
+            )
             self._frontend.limits.provisional = True
             self._traffic.serve_clients(self._frontend)
 
@@ -112,27 +117,27 @@
     def _tick(self) -> None:
         try:
             now = self._loop.time()
-            self._take_signals()
-            self._looked_at = now  # signals that came later than that are seen at the next look
+            self._poll_signals()
+            self._signals_polled_at = now  # later signals are seen by the next poll
             self._control.tick(now)
-        finally:  # an error of one tick, which the loop logs, does not stop the clock of all cores
+        finally:  # the loop logs an error of one tick; it must not stop the clock of all cores
             self._loop.call_later(TICK_S, self._tick)
 
-    def _take_signals(self) -> None:
-        """What the platform has told since the last tick."""
-        if self._signals.settings_changed():
+    def _poll_signals(self) -> None:
+        """Handles the signals received since the last tick."""
+        if self._signals.consume_reload_request():
             self.reload()
-        if self._signals.told_to_end:
+        if self._signals.stop_requested:
             self.stop()
 
     async def _drain(self) -> None:
-        """Leave without losing what was taken, within the grace period."""
+        """Finishes the accepted requests within the grace period."""
         router, frontend = self._traffic.router, self._frontend
         self._log.change("draining", in_flight=router.in_flight)
         self._control.resign()
         if frontend is not None:
             frontend.drain()
-        await end_what_is_open(router, self._is_busy, self._ends_at, self._loop.time, asyncio.sleep)
+        await drain_requests(router, self._is_busy, self._stop_deadline, self._loop.time, asyncio.sleep)
 
     def _is_busy(self) -> bool:
         frontend = self._frontend
--- a/cloverrouter/daemon/plane_port.py
+++ b/cloverrouter/daemon/plane_port.py
@@ -1,4 +1,4 @@
-"""What the calls of operators and servers need of this process's control plane."""
+"""The interface of the control plane that the calls of operators and servers use."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class PlanePort(Protocol):
-    """The cores that calls are answered from, and the way to the head."""
+    """The cores that answer calls, and the forwarding of calls to the head."""
 
     @property
     def registry(self) -> Registry: ...
@@ -39,22 +39,22 @@
 
     @property
     def disk_identity(self) -> str | None:
-        """The identity of this machine's disk, if it is a replica."""
+        """The identity of this machine's disk, or None if it is not a replica."""
         ...
 
     @property
     def quota_notes_refused(self) -> int:
-        """Notes on the own disk that did not count."""
+        """The number of quota notes on this machine's disk that were rejected."""
         ...
 
-    def handing_over(self) -> dict[str, Any]:
-        """As head: the long state that a member is handed in parts; empty: none."""
+    def catch_up_progress(self) -> dict[str, Any]:
+        """Returns the progress of a state transfer that this head sends in parts; empty if none."""
         ...
 
     def ask_head(self, ticket: int, kind: CallKind, command: bytes) -> None:
-        """Have the head answer a call; `ControlCalls.call_ended` hears of it."""
+        """Forwards a call to the head; `ControlCalls.complete_call` receives the result."""
         ...
 
-    def note(self, effects: Iterable[Effect]) -> None:
-        """Carry out what a call of the registry gave."""
+    def apply_registry_effects(self, effects: Iterable[Effect]) -> None:
+        """Applies effects that a call of the registry returned."""
         ...
--- a/cloverrouter/daemon/quota_service.py
+++ b/cloverrouter/daemon/quota_service.py
@@ -1,4 +1,4 @@
-"""The allocator of quotas in this process: its duty, the notes that it keeps on the disk, what it sends."""
+"""The quota allocator of this process: drives its core, stores its notes and sends its messages."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class QuotaService:
-    """Drives `QuotaDuty` on a machine with a disk. `role`: the replica there, once its disk is read."""
+    """Drives `QuotaDuty` on a machine with a disk. `role` returns its replica once the disk has been read."""
 
     def __init__(
         self,
@@ -33,37 +33,37 @@
         self._log_change = log_change
         self._clock = clock
         self.notes_refused = 0
-        """Notes on the own disk that did not count."""
+        """The number of notes on this machine's disk that were rejected."""
 
     def configure(self, limits: Mapping[str, TenantLimit], fleet_size: int) -> None:
         """See `QuotaDuty.configure`."""
         self._duty.configure(limits, fleet_size)
 
     def view_changed(self, now: float, epoch: int, head: str | None) -> None:
-        """`head`: of the view, once it is active."""
+        """Handles a new view. `head` is the view's head, or None until the view is active."""
         role = self._role()
         disk = role.identity if role is not None else None
         self._carry_out(self._duty.view_changed(now, epoch, head, self._read_note, disk))
 
     def tick(self, now: float) -> None:
-        """Time has passed."""
+        """Advances the allocator to `now`."""
         self._carry_out(self._duty.tick(now, self._lead_until()))
 
     def receive(self, now: float, ip: str, message: object) -> None:
-        """A datagram of a proxy, or of an earlier head."""
+        """Handles a message of a proxy or of an earlier head."""
         self._carry_out(self._duty.receive(now, self._lead_until(), ip, message))
 
-    def noted(self, note: bytes) -> None:
-        """A note is on the disk."""
-        kept = decode_message(note, QuotaNote)
-        self._carry_out(self._duty.noted(self._clock(), self._lead_until(), kept))
+    def note_stored(self, note: bytes) -> None:
+        """Handles the completed write of a note to the disk."""
+        stored = decode_message(note, QuotaNote)
+        self._carry_out(self._duty.noted(self._clock(), self._lead_until(), stored))
 
     def _lead_until(self) -> float | None:
         role = self._role()
         return role.replica.lease_until if role is not None else None
 
     def _read_note(self) -> Mapping[str, int] | None:
-        """With what the pools of this machine begin, as it is head."""
+        """Returns the tokens left per tenant by the note on the disk, or None without a valid note."""
         role = self._role()
         if role is None:
             return None
--- a/cloverrouter/daemon/replica_driver.py
+++ b/cloverrouter/daemon/replica_driver.py
@@ -1,4 +1,4 @@
-"""Carries out what a replica asks for: messages, writes to its disk on a thread of their own, answers."""
+"""Carries out a replica's effects: messages, answers, and disk writes on a separate thread."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 @attrs.frozen(slots=True)
 class ReplicaListener:
-    """Who hears of what."""
+    """The callbacks that receive a replica's effects."""
 
     send: Callable[[str, object], None]
     on_answer: Callable[[Answer], None]
@@ -36,7 +36,7 @@
 
 
 class ReplicaDriver:
-    """One replica with its disk. Danger: lmdb waits on the disk, so writes never run on the loop's thread."""
+    """One replica and its disk. Writes run on a thread of their own because lmdb blocks on the disk."""
 
     def __init__(self, replica: Replica, store: ReplicaStore, listener: ReplicaListener) -> None:
         self.replica = replica
@@ -44,21 +44,21 @@
         self._listener = listener
         self._loop = asyncio.get_running_loop()
         self._executor = ThreadPoolExecutor(1, thread_name_prefix="disk")
-        self._writing: set[asyncio.Task[None]] = set()
+        self._writes: set[asyncio.Task[None]] = set()
 
     def carry_out(self, effects: Iterable[Effect]) -> None:
-        """What a call of the replica gave."""
+        """Carries out effects that a call of the replica returned."""
         for effect in effects:
-            self._one(effect)
+            self._carry_out_one(effect)
 
-    def _one(self, effect: Effect) -> None:
+    def _carry_out_one(self, effect: Effect) -> None:
         listener = self._listener
         if isinstance(effect, Send):
             listener.send(effect.ip, effect.message)
         elif isinstance(effect, Persist):
             task = self._loop.create_task(self._write(effect))
-            self._writing.add(task)
-            task.add_done_callback(self._writing.discard)
+            self._writes.add(task)
+            task.add_done_callback(self._writes.discard)
         elif isinstance(effect, Answer):
             listener.on_answer(effect)
         elif isinstance(effect, Committed):
@@ -79,5 +79,5 @@
         self.carry_out(self.replica.persisted(self._loop.time(), effect.token, error))
 
     def close(self) -> None:
-        """No more writes; one that is under way on a slow disk is not waited for."""
+        """Stops writing, without waiting for a write in progress on a slow disk."""
         self._executor.shutdown(wait=False, cancel_futures=True)
--- a/cloverrouter/daemon/replica_role.py
+++ b/cloverrouter/daemon/replica_role.py
@@ -1,4 +1,4 @@
-"""What a machine with a disk that counts does: its replica, its desk, and publishing what is committed."""
+"""The work of a machine whose disk counts for the quorum: replica, forwarded calls, publishing of updates."""
 
 from __future__ import annotations
 
@@ -28,15 +28,18 @@
 
 MEGABYTE = 1024 * 1024
 DISK_RETRY_S = 0.3
-# Where no head is in force for so many times as long as contact takes, an old state is better than none.
+# After this many connectivity bounds without a confirmed view, an old state is published rather than none.
 UNCONFIRMED_PARTS = 2
 REVIEWED_APART_BYTES = 64 * 1024
 
 
 @attrs.frozen(slots=True)
 class RolePorts:
-    """What the role needs of the process. `on_view` hears of the view as the replica knows it, `on_note` of
-    the notes of `store_note` that are on the disk."""
+    """What the role needs of the process.
+
+    `on_view` is called with each view that the replica learns, `on_note` with each note of `store_note` once
+    it is on the disk.
+    """
 
     send: Callable[[str, object], None]
     on_view: Callable[[ViewSummary], None]
@@ -46,7 +49,7 @@
 
 
 class ReplicaRole:
-    """One replica with all that hangs on it."""
+    """One replica, with its disk, its publisher and the calls that it answers as head."""
 
     def __init__(self, settings: Settings, store: ReplicaStore, stored: StoredReplica, ports: RolePorts,
                  random: Random) -> None:  # fmt: skip
@@ -54,19 +57,19 @@
         self._ports = ports
         self.identity = stored.identity
         self.publisher = Publisher(is_confirmed=False)
-        self._published_at_latest_s = 0.0
-        self._unconfirmed_s = UNCONFIRMED_PARTS * settings.bounds.connectivity_s
-        me = Member(stored.identity, settings.ip, settings.name, settings.zone)
+        self._publish_deadline_s = 0.0
+        self._unconfirmed_timeout_s = UNCONFIRMED_PARTS * settings.bounds.connectivity_s
+        own_member = Member(stored.identity, settings.ip, settings.name, settings.zone)
         config = ReplicaConfig(settings.tolerated_machines, max_state_bytes=store.max_state_bytes)
         self._machine = ConfigurationMachine()
-        self.replica = Replica(me, stored, self._machine, config, random)
-        self._desk = HeadDesk(self.replica, ports.send)
+        self.replica = Replica(own_member, stored, self._machine, config, random)
+        self._call_handler = HeadDesk(self.replica, ports.send)
         listener = ReplicaListener(
             ports.send,
-            self._desk.answered,
-            self._committed,
-            self._restored,
-            self._view_changed,
+            self._call_handler.answered,
+            self._on_committed,
+            self._on_restored,
+            self._on_view_changed,
             lambda kept: ports.on_note(kept.note),
         )
         self._driver = ReplicaDriver(self.replica, store, listener)
@@ -74,11 +77,11 @@
         self._snapshot_wanted = False
         self._reviewer = ThreadPoolExecutor(1, thread_name_prefix="review")
         self._reviews: dict[bytes, asyncio.Future[ReviewResult | None]] = {}
-        self._under_review: dict[tuple[str, int], asyncio.Task[None]] = {}
+        self._review_tasks: dict[tuple[str, int], asyncio.Task[None]] = {}
 
     @staticmethod
     async def open(settings: Settings, ports: RolePorts, random: Random) -> ReplicaRole:
-        """Read the disk and begin. Waits for a disk that gives nothing: nothing can be said without it."""
+        """Returns the role for the replica on the disk. Retries until the disk can be read."""
         assert settings.data_directory is not None
         loop = asyncio.get_running_loop()
         while True:
@@ -93,58 +96,60 @@
                 await asyncio.sleep(DISK_RETRY_S)
 
     def start(self, now: float) -> None:
-        """The process starts."""
-        self._published_at_latest_s = now + self._unconfirmed_s
+        """Starts the replica and the publisher."""
+        self._publish_deadline_s = now + self._unconfirmed_timeout_s
         self._publish(self.publisher.start(now, self.replica.fleet_size))
         self._driver.carry_out(self.replica.start(now))
 
     def tick(self, now: float) -> None:
-        """Time has passed."""
+        """Advances the replica and the publisher to `now`."""
         self._driver.carry_out(self.replica.tick(now))
         if self._snapshot_wanted:
-            self._give_snapshot(now)
-        if now >= self._published_at_latest_s:
+            self._publish_snapshot(now)
+        if now >= self._publish_deadline_s:
             self._publish(self.publisher.confirm(now))
         self._publish(self.publisher.tick(now))
         self.replica.remember_fleet_size(now, self.publisher.fleet_size(now))
 
     def receive(self, now: float, ip: str, message: object) -> None:
-        """A message of another replica."""
+        """Handles a message of another replica."""
         self._driver.carry_out(self.replica.receive(now, ip, message))
 
     def subscriber_says(self, now: float, ip: str, message: object) -> None:
-        """A message of a proxy's subscriber. It hears of the view before it hears what is committed.
+        """Handles a message of a proxy's subscriber, which is sent the view before any committed update.
 
-        Danger: a proxy that was away may know old voters only. If it counted what a majority of them offer,
-        it would take itself for current, though all of them had been replaced.
+        A proxy that was disconnected may know old voters only. If it counted the offers of a majority of
+        them, it would consider itself current although all of them may have been replaced.
         """
         if self._summary is not None and isinstance(message, Subscribe):
             self._ports.send(ip, ViewNotice(self._summary))
-        if self._summary is not None and not self._votes_in(self._summary):
+        if self._summary is not None and not self._is_voter(self._summary):
             return
         self._publish(self.publisher.receive(now, ip, message))
 
     def called(self, now: float, ip: str, call: HeadCall) -> None:
-        """A proxy's call to the head. A long order is reviewed on a thread of its own first: a head that is
-        silent while it reviews is replaced, and so is the next one that the order is sent to.
+        """Handles a proxy's call to the head.
+
+        A long order is first reviewed on a separate thread: a head that sends nothing while it reviews is
+        replaced, and so would be the next head that receives the order.
         """
         is_long = call.kind == CallKind.ORDER.value and len(call.command) >= REVIEWED_APART_BYTES
         if not is_long or self.replica.lease_until is None:
-            self._driver.carry_out(self._desk.called(now, ip, call))
-        elif (ip, call.ticket) not in self._under_review:
-            self._under_review[ip, call.ticket] = self._loop.create_task(self._review(ip, call))
+            self._driver.carry_out(self._call_handler.called(now, ip, call))
+        elif (ip, call.ticket) not in self._review_tasks:
+            self._review_tasks[ip, call.ticket] = self._loop.create_task(self._review(ip, call))
 
     async def _review(self, ip: str, call: HeadCall) -> None:
         try:
-            reviewed = await self._reviewed(call.command)
+            reviewed = await self._start_review(call.command)
         finally:
-            del self._under_review[ip, call.ticket]
+            del self._review_tasks[ip, call.ticket]
         if reviewed is not None:
             self._machine.provide_review(reviewed)
-        self._driver.carry_out(self._desk.called(self._loop.time(), ip, call))
+        self._driver.carry_out(self._call_handler.called(self._loop.time(), ip, call))
 
-    def _reviewed(self, command: bytes) -> asyncio.Future[ReviewResult | None]:
-        """The review of a long order, one for all who send it meanwhile."""
+    def _start_review(self, command: bytes) -> asyncio.Future[ReviewResult | None]:
+        """Returns the review of a long order; all callers that send it meanwhile share one review."""
         review = self._reviews.get(command)
         if review is None:
             review = self._loop.run_in_executor(self._reviewer, self._machine.prepare, command)
@@ -153,7 +158,7 @@
         return asyncio.shield(review)
 
     def discovered(self, now: float, members: Iterable[Member]) -> None:
-        """Disks that peer sampling knows."""
+        """Passes the disk members that peer sampling knows to the replica."""
         self._driver.carry_out(self.replica.discovered(now, members))
 
     def store_note(self, now: float, note: bytes) -> None:
@@ -161,19 +166,19 @@
         self._driver.carry_out(self.replica.store_note(now, note))
 
     def resign(self, now: float) -> None:
-        """The process is about to end."""
+        """Gives up the replica's part in the chain before the process stops."""
         self._driver.carry_out(self.replica.resign(now))
 
     def close(self) -> None:
-        for task in list(self._under_review.values()):
+        for task in list(self._review_tasks.values()):
             task.cancel()
         self._reviewer.shutdown(wait=False, cancel_futures=True)
         self._driver.close()
 
-    def _committed(self, event: Committed) -> None:
+    def _on_committed(self, event: Committed) -> None:
         self._publish(self.publisher.committed(self._loop.time(), event.seq, event.update))
 
-    def _restored(self, event: Restored) -> None:
+    def _on_restored(self, event: Restored) -> None:
         self._publish(self.publisher.restored(self._loop.time(), event.seq, event.snapshot))
 
     def _publish(self, effects: Iterable[Send | SnapshotWanted]) -> None:
@@ -183,13 +188,13 @@
             else:
                 self._snapshot_wanted = True
 
-    def _give_snapshot(self, now: float) -> None:
+    def _publish_snapshot(self, now: float) -> None:
         seq, snapshot = self.replica.committed
         if snapshot is not None:
             self._snapshot_wanted = False
             self._publish(self.publisher.restored(now, seq, snapshot))
 
-    def _view_changed(self, event: ViewChanged) -> None:
+    def _on_view_changed(self, event: ViewChanged) -> None:
         summary = self._summary = summary_of(event.view, self.replica.committed[0])
         self._ports.log_change(
             "view", epoch=summary.epoch, active=summary.active, head=summary.head,
@@ -200,14 +205,14 @@
         self._ports.on_view(summary)
         for ip in self.publisher.acknowledged():
             self._ports.send(ip, ViewNotice(summary))
-        if not self._votes_in(summary):
+        if not self._is_voter(summary):
             self.publisher.resign()
 
-    def _votes_in(self, summary: ViewSummary) -> bool:
+    def _is_voter(self, summary: ViewSummary) -> bool:
         return any(place.identity == self.identity for place in summary.voters)
 
 
 def summary_of(view: ViewInfo, committed: int) -> ViewSummary:
-    """What other machines are told of a view."""
+    """Returns the summary of a view that is sent to other machines; `committed` is a sequence number."""
     voters = tuple(VoterAddress(member.ip, member.identity, member.zone) for member in view.voters)
     return ViewSummary(view.epoch, view.active, view.head_ip or "", voters, committed)
--- a/cloverrouter/daemon/request_traces.py
+++ b/cloverrouter/daemon/request_traces.py
@@ -1,4 +1,4 @@
-"""What became of the latest requests: kept in memory, and at the level `requests` written as actions."""
+"""Traces of the latest requests: kept in memory, and logged as eliot actions at the log level `requests`."""
 
 from __future__ import annotations
 
@@ -8,14 +8,14 @@
 from cloverrouter.daemon.logs import Log
 from cloverrouter.router.ports import RequestRecord
 
-KEPT_REQUESTS = 256
-KEPT_REQUESTS_WHEN_LOGGED = 4096
+MAX_TRACES = 256
+MAX_TRACES_WHEN_LOGGED = 4096
 
 Clock = Callable[[], float]
 
 
 class RequestTrace:
-    """One request: each step with its time, in seconds on the process's steady clock."""
+    """One request: each step with its time, in seconds on the process's monotonic clock."""
 
     __slots__ = ("_clock", "began", "route", "service", "steps", "tenant")
 
@@ -39,8 +39,8 @@
     def ended(self, status: int | None, how: str = "") -> None:
         self.steps.append((self._clock(), "ended", status if not how else f"{how}, {status or 'no answer'}"))
 
-    def told(self) -> dict[str, Any]:
-        """For people, with times in milliseconds since the request came."""
+    def as_json(self) -> dict[str, Any]:
+        """Returns the trace for operators, with times in milliseconds since the request arrived."""
         return {
             "age-s": round(self._clock() - self.began, 3),
             "route": self.route,
@@ -54,7 +54,7 @@
 
 
 class LoggedRequest(RequestTrace):
-    """A request that is also written to the log: an action, and inside it one for each attempt."""
+    """A request that is also logged: as an action, with a nested action for each attempt."""
 
     __slots__ = ("_action", "_attempt", "_log")
 
@@ -91,12 +91,12 @@
 
 
 class RequestTraces:
-    """The router's recorder: the newest requests by the attempt id that their client sent."""
+    """The router's recorder: the newest requests, by the attempt id that the client sent."""
 
     def __init__(self, clock: Clock, log: Log) -> None:
         self._clock = clock
         self._log = log
-        self._kept = KEPT_REQUESTS_WHEN_LOGGED if log.logs_requests else KEPT_REQUESTS
+        self._max_traces = MAX_TRACES_WHEN_LOGGED if log.logs_requests else MAX_TRACES
         self._traces: dict[bytes, RequestTrace] = {}
 
     def begin(self, request_id: bytes, route: str, service: str, tenant: str | None) -> RequestRecord:
@@ -107,7 +107,7 @@
             trace = RequestTrace(self._clock, route, service, tenant)
         traces = self._traces
         traces[request_id] = trace
-        if len(traces) > self._kept:
+        if len(traces) > self._max_traces:
             del traces[next(iter(traces))]
         return trace
 
@@ -116,6 +116,6 @@
             self._log.request("turned-away", attempt_id=request_id.decode("latin-1"), status=status)
 
     def find(self, request_id: str) -> dict[str, Any] | None:
-        """What is remembered of a request, as JSON; None if nothing."""
+        """Returns the trace of a request as JSON, or None if it is unknown."""
         trace = self._traces.get(request_id.encode("latin-1", "replace"))
-        return trace.told() if trace is not None else None
+        return trace.as_json() if trace is not None else None
--- a/cloverrouter/daemon/servers_copy.py
+++ b/cloverrouter/daemon/servers_copy.py
@@ -1,4 +1,4 @@
-"""Copies the list of servers to the disk, and finds the copy after a start (`control/list_snapshot.py`)."""
+"""Stores the list of servers on the disk and loads it after a start (see `control/list_snapshot.py`)."""
 
 from __future__ import annotations
 
@@ -18,11 +18,11 @@
 
 
 class ServersCopy:
-    """One machine's copy. The disk may be slow, or stand still: it is waited for on a thread."""
+    """The stored list of one machine. A thread reads and writes it, because the disk may be slow or stall."""
 
     def __init__(self, directory: Path, registry: Registry, log_error: Callable[..., None]) -> None:
         self._file = AtomicFile(directory / FILE_NAME)
-        self._kept = ListSnapshot(registry)
+        self._snapshot = ListSnapshot(registry)
         self._log_error = log_error
         self._loop = asyncio.get_running_loop()
         self._executor = ThreadPoolExecutor(1, thread_name_prefix="servers-copy")
@@ -30,18 +30,18 @@
         self._failed = False
 
     async def find(self) -> None:
-        """Look for the copy of the process before."""
+        """Loads the list that the previous process stored."""
         data = await self._loop.run_in_executor(self._executor, self._file.read)
         records = unpack(data, time.time()) if data is not None else ()
-        self._kept.loaded(self._loop.time(), records)
+        self._snapshot.loaded(self._loop.time(), records)
 
     def tick(self, now: float) -> list[Effect]:
-        """Copy the list if it is time; effects of the registry if an earlier copy is taken back."""
+        """Stores the list if that is due; returns the registry's effects if the loaded list is restored."""
         if self._writing is None:
-            records = self._kept.take_due(now)
+            records = self._snapshot.take_due(now)
             if records:
                 self._writing = self._loop.create_task(self._write(records))
-        return self._kept.tick(now)
+        return self._snapshot.tick(now)
 
     async def _write(self, records: list[InstanceRecord]) -> None:
         try:
@@ -60,5 +60,5 @@
             self._file.write(data)
 
     def close(self) -> None:
-        """No more copies; one that is under way on a slow disk is not waited for."""
+        """Stops writing, without waiting for a write in progress on a slow disk."""
         self._executor.shutdown(wait=False, cancel_futures=True)
--- a/cloverrouter/daemon/settings.py
+++ b/cloverrouter/daemon/settings.py
@@ -1,7 +1,7 @@
-"""The settings file of a process: read, checked as a whole, and turned into typed values.
+"""The settings file of a process: reads it, checks it as a whole and converts it to typed values.
 
-Unknown fields are ignored. Whatever is missing or senseless is collected and reported together, each with its
-key, what was found and what is wanted.
+Unknown fields are ignored. All missing and invalid values are reported together, each with its key, the value
+found and what is expected.
 """
 
 from __future__ import annotations
@@ -21,8 +21,8 @@
 DEFAULT_PATH = "/etc/cypresswinch/node.toml"
 LOG_LEVELS = ("off", "errors", "changes", "requests")
 
-READ_AGAIN = 10
-READ_PAUSE_S = 0.1
+READ_RETRIES = 10
+READ_RETRY_INTERVAL_S = 0.1
 
 Address = tuple[str, int]
 
@@ -56,21 +56,21 @@
     "cpu-quota": Key(checks.number(), 1),
 }
 
-_TOLERANCE = {"machines": Key(checks.whole(0), 0)}
+_TOLERANCE = {"machines": Key(checks.integer(0), 0)}
 _TIMING = {name: Key(checks.number(), default) for name, default in _BOUNDS.items()}
-_TIMING[_REVOCATION_ENFORCED] = Key(checks.flag, False)
+_TIMING[_REVOCATION_ENFORCED] = Key(checks.boolean, False)
 _LOGGING = {"level": Key(checks.one_of(*LOG_LEVELS), "errors")}
 
 _KEYS = {
-    "node-name": Key(checks.filled),
-    "serves": Key(checks.each(checks.text), []),
-    "ip-address": Key(checks.ip_number),
-    "availability-zone": Key(checks.text, ""),
-    "internal-port-range": Key(checks.each(checks.whole(1, 65535), length=2)),
-    "seed-nodes": Key(checks.each(checks.address)),
-    "bootstrap": Key(checks.flag, False),
-    "counts-for-quorum": Key(checks.flag, False),
-    "data-directory": Key(checks.folder, ""),
+    "node-name": Key(checks.nonempty_string),
+    "serves": Key(checks.list_of(checks.string), []),
+    "ip-address": Key(checks.ip_literal),
+    "availability-zone": Key(checks.string, ""),
+    "internal-port-range": Key(checks.list_of(checks.integer(1, 65535), length=2)),
+    "seed-nodes": Key(checks.list_of(checks.address)),
+    "bootstrap": Key(checks.boolean, False),
+    "counts-for-quorum": Key(checks.boolean, False),
+    "data-directory": Key(checks.directory, ""),
     "heartbeat-interval-ms": Key(checks.number(1), 1000),
     "listen-addresses": Key(checks.table(_LISTENERS)),
     "limits": Key(checks.table(_LIMITS), {}),
@@ -82,7 +82,7 @@
 
 @attrs.frozen(slots=True)
 class Bounds:
-    """`timing-bounds`, in seconds where the file says milliseconds."""
+    """The table `timing-bounds`; milliseconds of the file are converted to seconds."""
 
     connectivity_s: float
     acknowledgment_s: float
@@ -102,20 +102,20 @@
     pass_s: float
     revocation_s: float
     enforces_revocation: bool
-    """No request may run with a key that was taken away longer ago than `revocation_s`, at any machine."""
+    """Whether no machine may accept a request with a key that was revoked more than `revocation_s` ago."""
 
 
 @attrs.frozen(slots=True)
 class Settings:
-    """What a process is told of itself."""
+    """The settings of one process."""
 
     name: str
     ip: str
     zone: str
     internal_ports: tuple[int, int]
-    seeds: tuple[str, ...]  # the IPs of the seeds' machines
+    seeds: tuple[str, ...]  # IP addresses of the seed machines
     bootstrap: bool
-    counts: bool  # for the quorum
+    counts_for_quorum: bool
     data_directory: Path | None
     heartbeat_s: float
     frontend: Address | None
@@ -130,37 +130,38 @@
 
     @property
     def is_replica(self) -> bool:
-        """Does this machine hold a copy of the control state on its disk?"""
-        return self.counts and self.data_directory is not None
+        """Whether this machine stores a copy of the control state on its disk."""
+        return self.counts_for_quorum and self.data_directory is not None
 
 
 def read(path: str) -> Settings:
-    """The settings in this file. Raises `SettingsError`."""
+    """Returns the settings in this file. Raises `SettingsError`."""
     try:
         with open(path, "rb") as file:
             document = tomllib.load(file)
-    except (OSError, ValueError, RecursionError) as error:  # not all that tomllib refuses is its own error
+    except (OSError, ValueError, RecursionError) as error:  # tomllib raises errors beyond TOMLDecodeError
         raise SettingsError(path, [f"{type(error).__name__}: {error}"]) from error
     return settings_of(document, path)
 
 
 def read_patiently(path: str, sleep: Callable[[float], None]) -> Settings:
-    """The settings in this file, read again for a moment while they can't be used: whoever writes the file
-    may not be done. Raises `SettingsError`.
+    """Returns the settings in this file, read again for up to a second while they are invalid.
+
+    The file may still be being written. Raises `SettingsError`.
     """
-    for _ in range(READ_AGAIN):
+    for _ in range(READ_RETRIES):
         try:
             return read(path)
         except SettingsError:
-            sleep(READ_PAUSE_S)
+            sleep(READ_RETRY_INTERVAL_S)
     return read(path)
 
 
 def settings_of(document: Mapping[str, Any], path: str = "settings") -> Settings:
-    """The settings in this document. Raises `SettingsError`."""
-    wrong = list(checks.findings(_KEYS, document))
-    if wrong:
-        raise SettingsError(path, wrong)
+    """Returns the settings in this parsed document. Raises `SettingsError`."""
+    problems = list(checks.findings(_KEYS, document))
+    if problems:
+        raise SettingsError(path, problems)
     found = checks.with_defaults(_KEYS, document)
     directory = found["data-directory"]
     addresses = checks.with_defaults(_LISTENERS, found["listen-addresses"])
@@ -173,7 +174,7 @@
         internal_ports=(first_port, last_port),
         seeds=tuple(parse_address(seed)[0] for seed in found["seed-nodes"]),
         bootstrap=found["bootstrap"],
-        counts=found["counts-for-quorum"],
+        counts_for_quorum=found["counts-for-quorum"],
         data_directory=Path(directory) if directory else None,
         heartbeat_s=found["heartbeat-interval-ms"] / 1000,
         frontend=_optional_address(addresses, "frontend"),
--- a/cloverrouter/daemon/settings_checks.py
+++ b/cloverrouter/daemon/settings_checks.py
@@ -1,7 +1,7 @@
-"""Checks of a settings table: values are checked, defaults filled in, and all findings collected.
+"""Checks of a settings table: checks values, fills in defaults and collects all findings.
 
-Written out rather than left to a library: each start of a process pays for it, and cerberus takes 40 ms of
-processor time and 4 MB to load and to check one file.
+These checks replace a library because they run at each start of a process, and cerberus takes 40 ms of CPU
+time and 4 MB to load and to check one file.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 import attrs
 
 Check = Callable[[str, Any], Iterator[str]]
-"""Called with the place of a value and the value; gives the findings."""
+"""Called with the key path of a value and the value; yields the findings."""
 
 REQUIRED: Any = object()
 _NUMBER = (int, float)
@@ -22,15 +22,15 @@
 
 @attrs.frozen(slots=True)
 class Key:
-    """One key of a table: its check, and what stands for it where the file doesn't name it."""
+    """One key of a table: its check, and its default if the file does not contain it."""
 
     check: Check
     default: Any = REQUIRED
 
 
-def parse_address(text: str) -> tuple[str, int]:
-    """IP and port of `IP:PORT`; raises ValueError."""
-    host, _, port = text.rpartition(":")
+def parse_address(string: str) -> tuple[str, int]:
+    """Returns the IP and port of `IP:PORT`. Raises ValueError."""
+    host, _, port = string.rpartition(":")
     ipaddress.ip_address(host.strip("[]"))
     number = int(port)
     if not 0 < number < 65536:
@@ -38,111 +38,111 @@
     return host.strip("[]"), number
 
 
-def text(place: str, value: Any) -> Iterator[str]:
-    """A string."""
+def string(key_path: str, value: Any) -> Iterator[str]:
+    """Checks that the value is a string."""
     if not isinstance(value, str):
-        yield _finding(place, value, "type 'string'")
+        yield _finding(key_path, value, "type 'string'")
 
 
-def folder(place: str, value: Any) -> Iterator[str]:
-    """A string that can name a folder, or an empty one."""
+def directory(key_path: str, value: Any) -> Iterator[str]:
+    """Checks that the value is a string that can name a directory, or is empty."""
     if not isinstance(value, str):
-        yield _finding(place, value, "type 'string'")
+        yield _finding(key_path, value, "type 'string'")
     elif "\0" in value:
-        yield _finding(place, value, "a folder")
+        yield _finding(key_path, value, "a folder")
 
 
-def filled(place: str, value: Any) -> Iterator[str]:
-    """A string that isn't empty."""
+def nonempty_string(key_path: str, value: Any) -> Iterator[str]:
+    """Checks that the value is a non-empty string."""
     if not isinstance(value, str):
-        yield _finding(place, value, "type 'string'")
+        yield _finding(key_path, value, "type 'string'")
     elif not value:
-        yield _finding(place, value, "a text that isn't empty")
+        yield _finding(key_path, value, "a text that isn't empty")
 
 
-def flag(place: str, value: Any) -> Iterator[str]:
-    """True or false."""
+def boolean(key_path: str, value: Any) -> Iterator[str]:
+    """Checks that the value is a boolean."""
     if not isinstance(value, bool):
-        yield _finding(place, value, "type 'boolean'")
+        yield _finding(key_path, value, "type 'boolean'")
 
 
-def number(least: float = 0) -> Check:
-    """A finite number, whole or not."""
-    return _between(_NUMBER, "number", least, MAX_NUMBER)
+def number(minimum: float = 0) -> Check:
+    """Returns a check for a finite number, integer or not."""
+    return _between(_NUMBER, "number", minimum, MAX_NUMBER)
 
 
-def whole(least: int, most: int = MAX_NUMBER) -> Check:
-    """A whole number."""
-    return _between(int, "integer", least, most)
+def integer(minimum: int, maximum: int = MAX_NUMBER) -> Check:
+    """Returns a check for an integer."""
+    return _between(int, "integer", minimum, maximum)
 
 
-def _between(kind: Any, name: str, least: float, most: float) -> Check:
-    def check(place: str, value: Any) -> Iterator[str]:
+def _between(kind: Any, name: str, minimum: float, maximum: float) -> Check:
+    def check(key_path: str, value: Any) -> Iterator[str]:
         if not isinstance(value, kind) or isinstance(value, bool):
-            yield _finding(place, value, f"type {name!r}")
-        elif not value >= least:  # not-a-number is neither
-            yield _finding(place, value, f"min {least}")
-        elif value > most:
-            yield _finding(place, value, f"max {most}")
+            yield _finding(key_path, value, f"type {name!r}")
+        elif not value >= minimum:  # written so that NaN fails
+            yield _finding(key_path, value, f"min {minimum}")
+        elif value > maximum:
+            yield _finding(key_path, value, f"max {maximum}")
 
     return check
 
 
-def ip_number(place: str, value: Any) -> Iterator[str]:
-    """An IP number."""
+def ip_literal(key_path: str, value: Any) -> Iterator[str]:
+    """Checks that the value is an IP address."""
     try:
-        ipaddress.ip_address(value if isinstance(value, str) else "")  # it takes whole numbers, too
+        ipaddress.ip_address(value if isinstance(value, str) else "")  # would accept integers as well
     except ValueError:
-        yield _finding(place, value, "an IP number")
+        yield _finding(key_path, value, "an IP number")
 
 
-def address(place: str, value: Any) -> Iterator[str]:
-    """`IP:PORT`."""
+def address(key_path: str, value: Any) -> Iterator[str]:
+    """Checks that the value is `IP:PORT`."""
     try:
         parse_address(value)
     except (AttributeError, TypeError, ValueError):
-        yield _finding(place, value, "IP:PORT")
+        yield _finding(key_path, value, "IP:PORT")
 
 
 def one_of(*allowed: str) -> Check:
-    """One of some words."""
+    """Returns a check for one of the allowed strings."""
 
-    def check(place: str, value: Any) -> Iterator[str]:
+    def check(key_path: str, value: Any) -> Iterator[str]:
         if value not in allowed:
-            yield _finding(place, value, f"one of {', '.join(allowed)}")
+            yield _finding(key_path, value, f"one of {', '.join(allowed)}")
 
     return check
 
 
-def each(item: Check, length: int | None = None) -> Check:
-    """A list, of this length if one is told."""
+def list_of(item: Check, length: int | None = None) -> Check:
+    """Returns a check for a list whose items pass `item`, of the given length if there is one."""
 
-    def check(place: str, value: Any) -> Iterator[str]:
+    def check(key_path: str, value: Any) -> Iterator[str]:
         if not isinstance(value, list):
-            yield _finding(place, value, "type 'list'")
+            yield _finding(key_path, value, "type 'list'")
             return
         if length is not None and len(value) != length:
-            yield _finding(place, value, f"length {length}")
+            yield _finding(key_path, value, f"length {length}")
         for index, one in enumerate(value):
-            yield from item(f"{place}.{index}", one)
+            yield from item(f"{key_path}.{index}", one)
 
     return check
 
 
 def table(keys: Mapping[str, Key]) -> Check:
-    """A table with these keys; others are ignored."""
+    """Returns a check for a table with these keys; other keys are ignored."""
 
-    def check(place: str, value: Any) -> Iterator[str]:
+    def check(key_path: str, value: Any) -> Iterator[str]:
         if isinstance(value, Mapping):
-            yield from findings(keys, value, f"{place}.")
+            yield from findings(keys, value, f"{key_path}.")
         else:
-            yield _finding(place, value, "type 'dict'")
+            yield _finding(key_path, value, "type 'dict'")
 
     return check
 
 
 def findings(keys: Mapping[str, Key], document: Mapping[str, Any], prefix: str = "") -> Iterator[str]:
-    """All that is wrong with the document."""
+    """Yields all findings for the document."""
     for name, key in keys.items():
         if name in document:
             yield from key.check(prefix + name, document[name])
@@ -151,9 +151,9 @@
 
 
 def with_defaults(keys: Mapping[str, Key], document: Mapping[str, Any]) -> dict[str, Any]:
-    """A document without findings, and the defaults of what it doesn't name."""
+    """Returns the values of a valid document, with the defaults of absent keys."""
     return {name: document.get(name, key.default) for name, key in keys.items()}
 
 
-def _finding(place: str, value: Any, wanted: str) -> str:
-    return f"{place}: found {value!r}, wanted {wanted}"
+def _finding(key_path: str, value: Any, wanted: str) -> str:
+    return f"{key_path}: found {value!r}, wanted {wanted}"
--- a/cloverrouter/daemon/signals.py
+++ b/cloverrouter/daemon/signals.py
@@ -1,11 +1,12 @@
-"""What the platform tells a process by signals, from the program's first line to its end.
+"""Signal handling from the program's first line to its end.
 
-Both signals end a process that doesn't handle them, so `Signals` is made before anything large is loaded, and
-`close` leaves them ignored: the interpreter would set the system's defaults again while it ends.
+Stop and reload signals kill a process that does not handle them. `Signals` is therefore created before
+anything large is imported, and `close` leaves the signals ignored: the interpreter restores the default
+handlers while it exits.
 
-Danger: the handlers are methods of C. Handlers in Python can be interrupted by the next signal and so nest
-without end in a dense series; and the loop's own way, a pipe that each signal is written to, makes the
-interpreter wait for a lock inside the handler when that pipe is full, and the process never goes on.
+The handlers must be C methods. A handler in Python can be interrupted by the next signal, so that a dense
+series of signals nests without limit. The event loop's own handling writes each signal to a pipe; when that
+pipe is full, the interpreter waits for a lock inside the handler, and the process hangs.
 """
 
 from __future__ import annotations
@@ -13,62 +14,62 @@
 import signal
 import time
 
-# Not that of `typing`, which takes long to load.
+# Replaces the constant of `typing`, which is slow to import.
 TYPE_CHECKING = False
 if TYPE_CHECKING:
     from typing import Protocol
 else:
     Protocol = object
 
-END_SIGNALS = (signal.SIGTERM, signal.SIGINT)
+STOP_SIGNALS = (signal.SIGTERM, signal.SIGINT)
 RELOAD_SIGNAL = signal.SIGHUP
-ALL_SIGNALS = (*END_SIGNALS, RELOAD_SIGNAL)
+ALL_SIGNALS = (*STOP_SIGNALS, RELOAD_SIGNAL)
 
 
 class PlatformSignals(Protocol):
-    """What the platform has told the process."""
+    """The signals that the process has received."""
 
     @property
-    def taken_since(self) -> float:
-        """When signals began to be taken. Seconds on the steady clock."""
+    def handling_since_s(self) -> float:
+        """Since when signals are handled, in seconds on the monotonic clock."""
         ...
 
     @property
-    def told_to_end(self) -> bool:
-        """Whether the process was told to end."""
+    def stop_requested(self) -> bool:
+        """Whether a signal has asked the process to stop."""
         ...
 
-    def settings_changed(self) -> bool:
-        """Whether the settings file has changed since this was last asked."""
+    def consume_reload_request(self) -> bool:
+        """Returns whether a reload signal has arrived since the last call."""
         ...
 
 
 class Signals:
-    """Remembers which signals came. Whoever runs the process asks, again and again."""
+    """Records which signals have arrived, for the process to poll."""
 
     def __init__(self) -> None:
-        """Takes the signals from now on. Only the main thread may do so."""
-        # A signal takes its number out: `dict.pop` is called with the number and the frame, as its default.
-        self._not_seen = {int(number): None for number in ALL_SIGNALS}
+        """Installs the handlers. Must run on the main thread."""
+        # `dict.pop` as the handler removes the signal's number; it is called with the number and the frame.
+        self._not_received = {int(number): None for number in ALL_SIGNALS}
         for number in ALL_SIGNALS:
-            signal.signal(number, self._not_seen.pop)
-        self.taken_since = time.monotonic()
-        """No signal has been taken before; seconds on the clock of the event loop."""
+            signal.signal(number, self._not_received.pop)
+        self.handling_since_s = time.monotonic()
+        """No earlier signal is recorded; in seconds on the clock of the event loop."""
 
     @property
-    def told_to_end(self) -> bool:
-        """Whether the process was told to end."""
-        return any(int(number) not in self._not_seen for number in END_SIGNALS)
+    def stop_requested(self) -> bool:
+        """Whether a signal has asked the process to stop."""
+        return any(int(number) not in self._not_received for number in STOP_SIGNALS)
 
-    def settings_changed(self) -> bool:
-        """Whether the settings file has changed since this was last asked."""
-        has_changed = int(RELOAD_SIGNAL) not in self._not_seen
-        if has_changed:
-            self._not_seen[int(RELOAD_SIGNAL)] = None
-        return has_changed
+    def consume_reload_request(self) -> bool:
+        """Returns whether a reload signal has arrived since the last call."""
+        is_requested = int(RELOAD_SIGNAL) not in self._not_received
+        if is_requested:
+            self._not_received[int(RELOAD_SIGNAL)] = None
+        return is_requested
 
     @staticmethod
     def close() -> None:
-        """Nothing counts any more: the process ends."""
+        """Ignores all signals from now on: the process is exiting."""
         for number in ALL_SIGNALS:
             signal.signal(number, signal.SIG_IGN)
--- a/cloverrouter/daemon/traffic.py
+++ b/cloverrouter/daemon/traffic.py
@@ -28,18 +28,18 @@
 from cloverrouter.router.router import Router
 
 CONNECT_TIMEOUT_S = 0.4
-UPSTREAM_IDLE_S = 10.0
+UPSTREAM_IDLE_TIMEOUT_S = 10.0
 BODY_TIMEOUT_S = 3.0
-TROUBLE_DELAY_S = 0.01  # failures that come together are told together
-STARTING_FLEET = 16  # proxies that share retry budgets, until the control plane tells
+REPORT_DELAY_S = 0.01  # batches failures that occur together into one report
+INITIAL_FLEET_SIZE = 16  # proxies that share retry budgets, until the control plane knows the number
 
 
-def _nothing() -> None:
+def _do_nothing() -> None:
     return None
 
 
 class Traffic:
-    """The data plane. What it needs of the control plane is handed to it."""
+    """The data plane. The control plane passes configurations, servers and warnings to it."""
 
     def __init__(self, settings: Settings, random: Random, log: Log) -> None:
         self._loop = asyncio.get_running_loop()
@@ -49,19 +49,19 @@
         self.quota_rules = QuotaRules(bounds.quota_period_s, bounds.quota_overshoot, bounds.quota_tolerance)
         incarnation = int.from_bytes(os.urandom(6), "big")
         holder = QuotaHolder(incarnation, self._loop.time(), self.quota_rules)
-        self.quota = QuotaPort(holder, self._send, self._quota_woken)
+        self.quota = QuotaPort(holder, self._send, self._on_quota_update)
         self.budgets = RetryBudgets(
             bounds.retry_allowance,
             bounds.retry_budget_ratio,
             bounds.retry_window_s,
-            STARTING_FLEET,
+            INITIAL_FLEET_SIZE,
             self._loop.time,
             random,
         )
         self._pool = ConnectionPool(
             max_connections=settings.file_descriptors // 2,
             connect_timeout_s=CONNECT_TIMEOUT_S,
-            idle_timeout_s=UPSTREAM_IDLE_S,
+            idle_timeout_s=UPSTREAM_IDLE_TIMEOUT_S,
         )
         self.traces = RequestTraces(self._loop.time, log)
         self.router = Router(
@@ -76,31 +76,31 @@
             log.request,
             self.traces,
         )
-        self.trouble = FailureReporter(settings.zone)
-        self.router.on_server_failure = self._trouble_met
-        self.rests = IdleResetReporter()
-        self._pool.on_forgotten = self._connection_forgotten
-        self.on_trouble: Callable[[], None] = _nothing
-        """Called soon after servers have failed requests: `trouble` has something to tell."""
-        self._trouble_told = False
+        self.failures = FailureReporter(settings.zone)
+        self.router.on_server_failure = self._on_server_failure
+        self.idle_resets = IdleResetReporter()
+        self._pool.on_forgotten = self._on_idle_reset
+        self.on_report_due: Callable[[], None] = _do_nothing
+        """Called shortly after `failures` or `idle_resets` has recorded something to report."""
+        self._is_report_scheduled = False
         self.frontend: HttpServer | None = None
         self._client_limits: Limits | None = None
         self.limits: dict[str, TenantLimit] = {}
-        self.fleet_size = 0  # unknown
+        self.fleet_size = 0  # 0: not known yet
 
-    def send_with(self, send: Callable[[str, object], None]) -> None:
-        """Messages to other machines go out by this from now on."""
+    def set_sender(self, send: Callable[[str, object], None]) -> None:
+        """Sets the function that sends messages to other machines."""
         self._sender = send
 
     def _send(self, ip: str, message: object) -> None:
         if self._sender is not None:
             self._sender(ip, message)
 
-    def _quota_woken(self, tenant: str) -> None:
+    def _on_quota_update(self, tenant: str) -> None:
         self.router.on_quota_update(tenant)
 
     def configure(self, configuration: Configuration) -> None:
-        """A configuration is in force from now on."""
+        """Puts a configuration in force."""
         self.router.configure(configuration)
         self.limits = {
             tenant.name: TenantLimit(tenant.rate_per_s or 0.0, tenant.burst_size or 0.0)
@@ -108,59 +108,59 @@
         }
         self.quota.holder.configure(self.limits, self.fleet_size)
         self._client_limits = configuration.limits
-        self._limit_clients()
+        self._apply_client_limits()
 
     def serve_clients(self, frontend: HttpServer) -> None:
-        """Clients come in there, within the limits of the configuration in force."""
+        """Sets the server that clients connect to and applies the configured limits to it."""
         self.frontend = frontend
-        self._limit_clients()
+        self._apply_client_limits()
 
-    def _limit_clients(self) -> None:
-        told, frontend = self._client_limits, self.frontend
-        if told is None or frontend is None:
+    def _apply_client_limits(self) -> None:
+        limits, frontend = self._client_limits, self.frontend
+        if limits is None or frontend is None:
             return
         frontend.limits = ServerLimits(
-            head_bytes=told.header_bytes,
-            body_bytes=told.body_bytes,
-            head_timeout_s=told.header_timeout_ms / 1000,
+            head_bytes=limits.header_bytes,
+            body_bytes=limits.body_bytes,
+            head_timeout_s=limits.header_timeout_ms / 1000,
             body_timeout_s=BODY_TIMEOUT_S,
-            idle_timeout_s=told.idle_timeout_ms / 1000,
+            idle_timeout_s=limits.idle_timeout_ms / 1000,
             max_connections=frontend.limits.max_connections,
         )
 
     def fleet_changed(self, size: int) -> None:
-        """So many proxies there are, as the control plane knows."""
+        """Applies the number of proxies that the control plane knows."""
         self.fleet_size = size
         self.router.fleet_changed(size)
         self.quota.holder.configure(self.limits, size)
         self.budgets.resize(size)
 
-    def _trouble_met(self, instance_id: str) -> None:
-        self.trouble.record_failure(instance_id)
-        self._tell_soon()
+    def _on_server_failure(self, instance_id: str) -> None:
+        self.failures.record_failure(instance_id)
+        self._schedule_report()
 
-    def _connection_forgotten(self, rested_s: float) -> None:
-        self.rests.record_reset(rested_s)
-        self._tell_soon()
+    def _on_idle_reset(self, idle_s: float) -> None:
+        self.idle_resets.record_reset(idle_s)
+        self._schedule_report()
 
-    def _tell_soon(self) -> None:
-        if not self._trouble_told:
-            self._trouble_told = True
-            self._loop.call_later(TROUBLE_DELAY_S, self._tell_trouble)
+    def _schedule_report(self) -> None:
+        if not self._is_report_scheduled:
+            self._is_report_scheduled = True
+            self._loop.call_later(REPORT_DELAY_S, self._report)
 
-    def _tell_trouble(self) -> None:
-        self._trouble_told = False
-        self.on_trouble()
+    def _report(self) -> None:
+        self._is_report_scheduled = False
+        self.on_report_due()
 
-    def warned(self, warning: TroubleWarning | RestWarning) -> None:
-        """Several proxies found servers failing, or forgetting connections."""
+    def apply_warning(self, warning: TroubleWarning | RestWarning) -> None:
+        """Applies a warning that several proxies saw servers fail or reset idle connections."""
         if isinstance(warning, RestWarning):
             self._pool.rest_at_most(warning.limit_ms / 1000, warning.for_ms / 1000)
         elif warning.zone in ("", self._settings.zone):
             self.router.apply_warning(warning.ids, warning.for_ms / 1000)
 
     def instances_changed(self, instances: Iterable[Instance], is_silent: Callable[[str], bool]) -> None:
-        """Servers are new, changed or gone."""
+        """Applies new, changed and removed servers."""
         servers = (_server(instance, is_silent(instance.id)) for instance in instances)
         self.router.servers_changed([server for server in servers if server is not None])
 
--- a/cloverrouter/daemon/transport.py
+++ b/cloverrouter/daemon/transport.py
@@ -1,8 +1,9 @@
 """Messages between the proxies' processes over long-lived TCP connections.
 
-`send` is a datagram to the callers: a message is dropped where no connection can be had, or its peer does not
-read. Each process connects to those that it sends to, from its own address: a peer is known by its IP. A
-connection whose bytes stay unacknowledged is given up by the kernel (`TCP_USER_TIMEOUT`).
+For its callers, `send` works like a datagram socket: a message is dropped if there is no connection or the peer
+does not read. Each process opens a connection to each peer that it sends to, from its own address, because
+peers identify each other by IP. The kernel closes a connection whose data stays unacknowledged
+(`TCP_USER_TIMEOUT`).
 """
 
 from __future__ import annotations
@@ -18,14 +19,14 @@
 
 CONNECT_TIMEOUT_S = 0.5
 USER_TIMEOUT_MS = 1500
-RETRY_PAUSE_S = 0.1  # after a failed connect
-MAX_RETRY_PAUSE_S = 0.4  # where nothing answers, after several
-LATE_CONNECT_S = 0.05  # under way for so long: what it began with may have been lost
-MAX_QUEUED_BYTES = 8 * 1024 * 1024  # for one peer
+RETRY_BACKOFF_S = 0.1  # after a failed connect
+MAX_RETRY_BACKOFF_S = 0.4  # after several connects without an answer
+STALE_CONNECT_S = 0.05  # a connect pending this long may have lost its first packet
+MAX_QUEUED_BYTES = 8 * 1024 * 1024  # per peer
 READ_BYTES = 64 * 1024
-LARGE_BYTES = 4096
-MAX_LARGE = 32
-LARGE_KEPT_S = 0.5
+LARGE_MESSAGE_BYTES = 4096  # frames of this size and more are cached for a while
+MAX_CACHED_FRAMES = 32
+FRAME_CACHE_S = 0.5
 
 OnMessage = Callable[[str, object], None]
 
@@ -36,7 +37,7 @@
 
 
 class Incoming(asyncio.BufferedProtocol):
-    """A connection from a peer: messages in."""
+    """An incoming connection: receives a peer's messages."""
 
     def __init__(self, owner: Transport) -> None:
         self._owner = owner
@@ -51,7 +52,7 @@
         if sock is not None:
             _tune(sock)
         self._owner.incoming.add(transport)
-        self._owner.peer_is_up(self._ip)
+        self._owner.peer_connected(self._ip)
 
     def connection_lost(self, exc: Exception | None) -> None:
         if self._transport is not None:
@@ -77,7 +78,7 @@
 
 
 class _Outgoing(asyncio.Protocol):
-    """A connection to a peer: messages out. What the peer says on it is not expected, and ignored."""
+    """An outgoing connection: sends messages to a peer. Data received on it is ignored."""
 
     def __init__(self, link: Link) -> None:
         self._link = link
@@ -86,37 +87,37 @@
         self._link.lost()
 
 
-class ConnectPause:
-    """How long a link waits until it tries to connect once more.
+class ConnectBackoff:
+    """The backoff between attempts to connect to one peer, in seconds.
 
-    A machine that refuses is up, and its process may be just about to listen: it is asked again soon. Where
-    nothing answers, the waits grow.
+    A machine that refuses a connection is up, and its process may listen soon: it is retried after a constant
+    short delay. Without an answer, the delay grows.
     """
 
     def __init__(self) -> None:
-        self._pause_s = RETRY_PAUSE_S
+        self._backoff_s = RETRY_BACKOFF_S
         self._not_before_s = 0.0
 
     def may_try(self, now_s: float) -> bool:
-        """Whether the wait is over."""
+        """Returns whether the backoff has elapsed."""
         return now_s >= self._not_before_s
 
     def failed(self, now_s: float, *, refused: bool) -> None:
-        """There was no connection. `refused`: the machine itself said so."""
+        """Records a failed attempt. `refused`: the machine answered and refused the connection."""
         if refused:
-            self._pause_s = RETRY_PAUSE_S
-        self._not_before_s = now_s + self._pause_s
+            self._backoff_s = RETRY_BACKOFF_S
+        self._not_before_s = now_s + self._backoff_s
         if not refused:
-            self._pause_s = min(MAX_RETRY_PAUSE_S, 2 * self._pause_s)
+            self._backoff_s = min(MAX_RETRY_BACKOFF_S, 2 * self._backoff_s)
 
-    def over(self) -> None:
-        """The peer is there: nothing is waited for."""
-        self._pause_s = RETRY_PAUSE_S
+    def reset(self) -> None:
+        """Ends the backoff: the peer is reachable."""
+        self._backoff_s = RETRY_BACKOFF_S
         self._not_before_s = 0.0
 
 
 class Link:
-    """Everything that goes to one peer."""
+    """The outgoing messages and connection to one peer."""
 
     def __init__(self, owner: Transport, ip: str) -> None:
         self._owner = owner
@@ -124,28 +125,28 @@
         self._transport: asyncio.Transport | None = None
         self._queue: list[bytes] = []
         self._queued_bytes = 0
-        self._opening: asyncio.Task[None] | None = None
-        self._opening_since_s = 0.0
-        self._pause = ConnectPause()
+        self._connecting: asyncio.Task[None] | None = None
+        self._connecting_since_s = 0.0
+        self._backoff = ConnectBackoff()
 
     @property
     def connected(self) -> bool:
         return self._transport is not None
 
     def send(self, frame: bytes) -> None:
-        """Goes out now, or at the end of the batch, or once there is a connection."""
+        """Sends a frame now, at the end of the batch, or once there is a connection."""
         if self._transport is None:
             self.open()
-        if self._transport is None and self._opening is None:
+        if self._transport is None and self._connecting is None:
             return
         if self._queued_bytes < MAX_QUEUED_BYTES:
             self._queue.append(frame)
             self._queued_bytes += len(frame)
-        if self._transport is not None and not self._owner.hold(self):
+        if self._transport is not None and not self._owner.defer_flush(self):
             self.flush()
 
     def flush(self) -> None:
-        """Writes what is queued, in one go, if there is a connection."""
+        """Writes all queued frames at once if there is a connection."""
         if self._transport is None or not self._queue:
             return
         if self._transport.get_write_buffer_size() < MAX_QUEUED_BYTES:
@@ -155,23 +156,25 @@
         self._drop_queue()
 
     def open(self) -> None:
-        """Begin to connect, unless that is under way, done, or was tried just now."""
+        """Begins to connect unless connected, connecting or in backoff."""
         loop = self._owner.loop
-        if self._transport is None and self._opening is None and self._pause.may_try(loop.time()):
-            self._opening = loop.create_task(self._connect())
-            self._opening_since_s = loop.time()
+        if self._transport is None and self._connecting is None and self._backoff.may_try(loop.time()):
+            self._connecting = loop.create_task(self._connect())
+            self._connecting_since_s = loop.time()
 
-    def peer_is_up(self) -> None:
-        """The peer has just connected to here. A connect that was begun while it was away would wait for
-        its time-out; it is begun anew, with all that is queued for it.
+    def peer_connected(self) -> None:
+        """Handles a new connection from the peer, which shows that it is reachable.
+
+        A connect that began while the peer was unreachable would wait for its timeout; it is restarted and
+        keeps the queued frames.
         """
         if self._transport is not None:
             return
-        self._pause.over()
-        is_late = self._owner.loop.time() - self._opening_since_s >= LATE_CONNECT_S
-        if self._opening is not None and is_late:
-            self._opening.cancel()
-            self._opening = None
+        self._backoff.reset()
+        is_stale = self._owner.loop.time() - self._connecting_since_s >= STALE_CONNECT_S
+        if self._connecting is not None and is_stale:
+            self._connecting.cancel()
+            self._connecting = None
             self.open()
 
     async def _connect(self) -> None:
@@ -182,23 +185,23 @@
                     lambda: _Outgoing(self), self.ip, owner.port, local_addr=(owner.ip, 0)
                 )
         except (OSError, TimeoutError) as error:
-            self._pause.failed(loop.time(), refused=isinstance(error, ConnectionRefusedError))
+            self._backoff.failed(loop.time(), refused=isinstance(error, ConnectionRefusedError))
             self._drop_queue()
             return
         finally:
-            if self._opening is asyncio.current_task():
-                self._opening = None
+            if self._connecting is asyncio.current_task():
+                self._connecting = None
         sock = transport.get_extra_info("socket")
         if sock is not None:
             _tune(sock)
         self._transport = transport
-        self._pause.over()
+        self._backoff.reset()
         owner.on_link(self.ip, True)
         self.flush()
 
     @property
     def unsent_bytes(self) -> int:
-        """What waits here for the connection, or for the system to take it."""
+        """The number of bytes queued here or in the connection's write buffer."""
         buffered = self._transport.get_write_buffer_size() if self._transport is not None else 0
         return self._queued_bytes + buffered
 
@@ -213,22 +216,22 @@
             self._owner.on_link(self.ip, False)
 
     def close(self) -> None:
-        if self._opening is not None:
-            self._opening.cancel()
+        if self._connecting is not None:
+            self._connecting.cancel()
         if self._transport is not None:
             self._transport.abort()
 
 
 @attrs.define(slots=True)
 class KindCount:
-    """Messages of one kind that went to peers."""
+    """The messages of one class sent to peers: number and bytes."""
 
     messages: int = 0
     bytes: int = 0
 
 
 class Transport:
-    """All links of this process, and the listener for those of others."""
+    """All outgoing links of this process, and the listener for its peers' connections."""
 
     def __init__(
         self,
@@ -247,27 +250,29 @@
         self.incoming: set[asyncio.BaseTransport] = set()
         self.bytes_sent = self.bytes_received = 0
         self.messages_sent = self.messages_received = 0
-        self.messages_skipped = 0  # of kinds, or of a version of the protocol, that are not known here
+        self.messages_skipped = 0  # of an unknown type or protocol version
         self.writes = 0
         self.sent: dict[type, KindCount] = {}
-        self._encoded: tuple[object, bytes] = (None, b"")
-        self._large: dict[int, tuple[object, bytes]] = {}  # by id; the message is held so that this stays its
-        self._batches = 0
-        self._held: dict[Link, None] = {}
+        self._last_frame: tuple[object, bytes] = (None, b"")
+        # By id(message); holds the message so that its id is not reused.
+        self._frame_cache: dict[int, tuple[object, bytes]] = {}
+        self._batch_depth = 0
+        self._deferred: dict[Link, None] = {}
         self._on_message = on_message
         self._links: dict[str, Link] = {}
         self._server: asyncio.Server | None = None
 
     async def listen(self) -> None:
-        """Raises OSError if the port is taken."""
+        """Starts listening. Raises OSError if the address is in use or not available."""
         self._server = await self.loop.create_server(
             lambda: Incoming(self), self.ip, self.port, reuse_address=True, backlog=256
         )
 
     def send(self, ip: str, message: object) -> None:
-        """Send, or drop. To oneself: delivered in the loop's next turn.
+        """Sends a message or drops it. A message to the own address arrives in the loop's next iteration.
 
-        The very same message to one after the other is encoded once; so is a large one within half a second.
+        The same message object sent to several peers in a row is encoded once, and so is a large one sent
+        within half a second.
         """
         self.messages_sent += 1
         if ip == self.ip:
@@ -278,7 +283,7 @@
         self._link(ip).send(frame)
 
     def send_to_all(self, ips: list[str], message: object) -> None:
-        """The same message to several, encoded once."""
+        """Sends a message to several peers, encoded once."""
         frame = encode(message)
         for ip in ips:
             self.messages_sent += 1
@@ -290,37 +295,37 @@
 
     @contextlib.contextmanager
     def batch(self) -> Iterator[None]:
-        """What is sent meanwhile goes to each peer in one write at the end."""
-        self._batches += 1
+        """Batches the messages sent in this context into one write per peer at its end."""
+        self._batch_depth += 1
         try:
             yield
         finally:
-            self._batches -= 1
-            if not self._batches:
-                self._flush_held()
-                self._encoded = (None, b"")
+            self._batch_depth -= 1
+            if not self._batch_depth:
+                self._flush_deferred()
+                self._last_frame = (None, b"")
 
     def _frame(self, message: object) -> bytes:
-        if message is self._encoded[0]:
-            return self._encoded[1]
-        large = self._large.get(id(message))
+        if message is self._last_frame[0]:
+            return self._last_frame[1]
+        large = self._frame_cache.get(id(message))
         frame = encode(message) if large is None else large[1]
-        self._encoded = message, frame
-        if large is None and len(frame) >= LARGE_BYTES and len(self._large) < MAX_LARGE:
-            if not self._large:
-                self.loop.call_later(LARGE_KEPT_S, self._large.clear)
-            self._large[id(message)] = message, frame
+        self._last_frame = message, frame
+        if large is None and len(frame) >= LARGE_MESSAGE_BYTES and len(self._frame_cache) < MAX_CACHED_FRAMES:
+            if not self._frame_cache:
+                self.loop.call_later(FRAME_CACHE_S, self._frame_cache.clear)
+            self._frame_cache[id(message)] = message, frame
         return frame
 
-    def hold(self, link: Link) -> bool:
-        """Whether the link is to wait for the end of a batch."""
-        if self._batches:
-            self._held[link] = None
-        return self._batches > 0
+    def defer_flush(self, link: Link) -> bool:
+        """Returns whether a batch is open; if so, the link is flushed at its end."""
+        if self._batch_depth:
+            self._deferred[link] = None
+        return self._batch_depth > 0
 
-    def _flush_held(self) -> None:
-        links = list(self._held)
-        self._held.clear()
+    def _flush_deferred(self) -> None:
+        links = list(self._deferred)
+        self._deferred.clear()
         for link in links:
             link.flush()
 
@@ -332,22 +337,22 @@
         count.bytes += len(frame)
 
     def open(self, ip: str) -> None:
-        """Have a connection there, for messages to come."""
+        """Opens a connection to a peer ahead of messages."""
         if ip != self.ip:
             self._link(ip).open()
 
-    def peer_is_up(self, ip: str) -> None:
-        """A peer has connected to here."""
+    def peer_connected(self, ip: str) -> None:
+        """Handles a new connection from a peer."""
         link = self._links.get(ip)
         if link is not None:
-            link.peer_is_up()
+            link.peer_connected()
 
     def connected(self, ip: str) -> bool:
         link = self._links.get(ip)
         return ip == self.ip or (link is not None and link.connected)
 
     def unsent_bytes(self, ip: str) -> int:
-        """What waits for the link to a peer."""
+        """Returns the number of bytes that wait to be sent to a peer."""
         link = self._links.get(ip)
         return link.unsent_bytes if link is not None else 0
 
--- a/cloverrouter/daemon/trouble_news.py
+++ b/cloverrouter/daemon/trouble_news.py
@@ -1,4 +1,4 @@
-"""What proxies tell each other of failing servers and of forgotten connections, by way of the head."""
+"""Reports of failing servers and of idle connection resets to the head, and its warnings to all proxies."""
 
 from __future__ import annotations
 
@@ -12,8 +12,11 @@
 
 
 class TroubleNews:
-    """Reports from here to the head, and as head the warnings to all. `head` is the head's address,
-    `lead_until` until when that is this machine for sure, `proxies` the addresses of all machines."""
+    """Sends this proxy's reports to the head; as head, aggregates reports and warns all proxies.
+
+    `head` returns the head's address, `lease_until` the end of this machine's lease as head or None, and
+    `proxies` the addresses of all proxies.
+    """
 
     def __init__(
         self,
@@ -21,7 +24,7 @@
         traffic: Traffic,
         send: Callable[[str, object], None],
         head: Callable[[], str | None],
-        lead_until: Callable[[], float | None],
+        lease_until: Callable[[], float | None],
         proxies: Callable[[], Iterable[str]],
         log: Log,
     ) -> None:
@@ -29,16 +32,16 @@
         self._traffic = traffic
         self._send = send
         self._head = head
-        self._lead_until = lead_until
+        self._lead_until = lease_until
         self._proxies = proxies
         self._log = log
-        self._failing = FailureAggregator(lambda: traffic.fleet_size)
-        self._forgetting = IdleResetAggregator()
+        self._failure_aggregator = FailureAggregator(lambda: traffic.fleet_size)
+        self._idle_reset_aggregator = IdleResetAggregator()
 
     def report(self, now: float) -> None:
-        """Tell the head what happened here."""
+        """Sends the failures and idle resets seen here to the head."""
         head = self._head()
-        for report in (self._traffic.trouble.flush(now), self._traffic.rests.flush(now)):
+        for report in (self._traffic.failures.flush(now), self._traffic.idle_resets.flush(now)):
             if report is None or not head:
                 continue
             if head == self._own_ip:
@@ -47,27 +50,27 @@
                 self._send(head, report)
 
     def receive(self, now: float, ip: str, message: object) -> None:
-        """A report, or a warning of the head. One that was the head is not listened to."""
+        """Handles a report or a warning. A warning from a machine other than the present head is ignored."""
         if isinstance(message, TroubleWarning | RestWarning):
             if ip == self._head():
-                self._traffic.warned(message)
+                self._traffic.apply_warning(message)
         elif not self._leads(now):
             return
         elif isinstance(message, TroubleReport):
-            for warning in self._failing.receive(now, ip, message):
+            for warning in self._failure_aggregator.receive(now, ip, message):
                 self._log.change("servers-failing", instances=warning.ids, zone=warning.zone)
-                self._warn_all(warning)
+                self._broadcast_warning(warning)
         elif isinstance(message, RestReport):
-            found = self._forgetting.receive(now, ip, message)
+            found = self._idle_reset_aggregator.receive(now, ip, message)
             if found is not None:
                 self._log.change("connections-forgotten", limit_ms=found.limit_ms)
-                self._warn_all(found)
+                self._broadcast_warning(found)
 
     def _leads(self, now: float) -> bool:
         until = self._lead_until()
         return until is not None and now < until
 
-    def _warn_all(self, warning: TroubleWarning | RestWarning) -> None:
-        self._traffic.warned(warning)
+    def _broadcast_warning(self, warning: TroubleWarning | RestWarning) -> None:
+        self._traffic.apply_warning(warning)
         for proxy in self._proxies():
             self._send(proxy, warning)
--- a/cloverrouter/daemon/view_notice.py
+++ b/cloverrouter/daemon/view_notice.py
@@ -1,4 +1,4 @@
-"""The membership view, pushed from replicas to subscribers; others hear of it by peer sampling."""
+"""The message that sends the membership view from replicas to subscribers; others use peer sampling."""
 
 from __future__ import annotations
 
@@ -8,6 +8,6 @@
 
 @message(340)
 class ViewNotice:
-    """The view as its sender knows it."""
+    """The view that the sender knows."""
 
     summary: ViewSummary
--- a/tests/system/no_signals.py
+++ b/tests/system/no_signals.py
@@ -1,4 +1,4 @@
-"""A platform that tells a node nothing."""
+"""A source of signals for tests that never reports one."""
 
 from __future__ import annotations
 
@@ -6,13 +6,13 @@
 
 
 class NoSignals:
-    """In place of `daemon.signals.Signals`, which takes the signals of the whole process."""
+    """Replaces `daemon.signals.Signals`, which handles the signals of the whole process."""
 
-    told_to_end = False
+    stop_requested = False
 
     def __init__(self) -> None:
-        self.taken_since = time.monotonic()
+        self.handling_since_s = time.monotonic()
 
-    def settings_changed(self) -> bool:
-        """No."""
+    def consume_reload_request(self) -> bool:
+        """Returns False."""
         return False
--- a/tests/system/test_head_desk.py
+++ b/tests/system/test_head_desk.py
@@ -1,4 +1,4 @@
-"""The head's side of forwarded calls: who gets which answer, also when a proxy was started again."""
+"""The head's side of forwarded calls: which caller gets which answer, also after a proxy restarts."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from cloverrouter.coordination.effects import Answer, Effect, Outcome
 from cloverrouter.coordination.replica import Replica
 from cloverrouter.daemon.control_calls import ControlCalls
-from cloverrouter.daemon.head_desk import ANSWERS_KEPT, HeadDesk
+from cloverrouter.daemon.head_desk import MAX_REMEMBERED_ANSWERS, HeadDesk
 from cloverrouter.daemon.plane_port import PlanePort
 from cloverrouter.messages import Decoder, encode
 
@@ -19,7 +19,7 @@
 
 
 class HoldingReplica:
-    """Takes commands, and answers none by itself."""
+    """Records commands and never answers them by itself."""
 
     def __init__(self) -> None:
         self.commands: dict[int, bytes] = {}
@@ -33,15 +33,15 @@
 
 
 class ScriptedPlane:
-    """Passes a process's calls to the head's desk."""
+    """Passes a process's calls to the head's call handler."""
 
-    def __init__(self, desk: HeadDesk) -> None:
-        self._desk = desk
+    def __init__(self, handler: HeadDesk) -> None:
+        self._handler = handler
         self.tickets: list[int] = []
 
     def ask_head(self, ticket: int, kind: CallKind, command: bytes) -> None:
         self.tickets.append(ticket)
-        self._desk.called(0.0, PROXY, HeadCall(ticket, kind.value, command))
+        self._handler.called(0.0, PROXY, HeadCall(ticket, kind.value, command))
 
 
 def reply_to(body: bytes) -> bytes:
@@ -51,27 +51,27 @@
 def test_a_process_started_again_gets_no_answer_to_a_call_of_the_one_before() -> None:
     replica = HoldingReplica()
     sent: list[HeadAnswer] = []
-    desk = HeadDesk(cast(Replica, replica), lambda ip, message: sent.append(cast(HeadAnswer, message)))
+    handler = HeadDesk(cast(Replica, replica), lambda ip, message: sent.append(cast(HeadAnswer, message)))
 
-    async def play() -> tuple[OrderReply, set[int], set[int]]:
+    async def run_calls() -> tuple[OrderReply, set[int], set[int]]:
         loop = asyncio.get_running_loop()
-        first, second = ScriptedPlane(desk), ScriptedPlane(desk)
-        before = ControlCalls(cast(PlanePort, first), loop, first_ticket(Random(1)))
-        lost = asyncio.ensure_future(before.order("PUT", "0", b"of the first life"))
+        first, second = ScriptedPlane(handler), ScriptedPlane(handler)
+        first_calls = ControlCalls(cast(PlanePort, first), loop, first_ticket(Random(1)))
+        first_order = asyncio.ensure_future(first_calls.order("PUT", "0", b"of the first life"))
         await asyncio.sleep(0)
-        after = ControlCalls(cast(PlanePort, second), loop, first_ticket(Random(2)))
-        asked = asyncio.ensure_future(after.order("PUT", "1", b"of the second life"))
+        second_calls = ControlCalls(cast(PlanePort, second), loop, first_ticket(Random(2)))
+        second_order = asyncio.ensure_future(second_calls.order("PUT", "1", b"of the second life"))
         await asyncio.sleep(0)
         for ticket, command in list(replica.commands.items()):
             which = b"first" if b"of the first life" in command else b"second"
-            desk.answered(Answer(ticket, Outcome.DONE, reply_to(which)))
+            handler.answered(Answer(ticket, Outcome.DONE, reply_to(which)))
         for answer in sent:
-            after.call_ended(Finished(answer.ticket, answer.reply))
-        reply = await asyncio.wait_for(asked, 1.0)
-        lost.cancel()
+            second_calls.complete_call(Finished(answer.ticket, answer.reply))
+        reply = await asyncio.wait_for(second_order, 1.0)
+        first_order.cancel()
         return reply, set(first.tickets), set(second.tickets)
 
-    reply, first_tickets, second_tickets = asyncio.run(play())
+    reply, first_tickets, second_tickets = asyncio.run(run_calls())
     assert reply.body == b"second"
     assert not first_tickets & second_tickets
 
@@ -79,51 +79,51 @@
 def test_a_call_that_is_sent_again_joins_the_first_and_is_answered_once() -> None:
     replica = HoldingReplica()
     sent: list[Any] = []
-    desk = HeadDesk(cast(Replica, replica), lambda ip, message: sent.append((ip, message)))
+    handler = HeadDesk(cast(Replica, replica), lambda ip, message: sent.append((ip, message)))
     call = HeadCall(first_ticket(Random(3)), CallKind.ORDER.value, b"order")
-    desk.called(0.0, PROXY, call)
-    desk.called(0.4, PROXY, call)
+    handler.called(0.0, PROXY, call)
+    handler.called(0.4, PROXY, call)
     assert len(replica.commands) == 1
     (ticket,) = replica.commands
-    desk.answered(Answer(ticket, Outcome.DONE, b"reply"))
+    handler.answered(Answer(ticket, Outcome.DONE, b"reply"))
     assert sent == [(PROXY, HeadAnswer(call.ticket, True, b"reply"))]
 
 
 def test_a_copy_of_an_answered_order_gets_the_same_answer_and_is_not_decided_again() -> None:
-    """The order built on a version to come and was refused; that version is there when the copy arrives."""
+    """The order names a later version and is rejected; that version exists when the copy arrives."""
     replica = HoldingReplica()
     sent: list[Any] = []
-    desk = HeadDesk(cast(Replica, replica), lambda ip, message: sent.append(message))
+    handler = HeadDesk(cast(Replica, replica), lambda ip, message: sent.append(message))
     call = HeadCall(first_ticket(Random(3)), CallKind.ORDER.value, b"order on version 8")
-    desk.called(0.0, PROXY, call)
+    handler.called(0.0, PROXY, call)
     (ticket,) = replica.commands
-    desk.answered(Answer(ticket, Outcome.DONE, encode(OrderReply(412, b"", 7))))
-    desk.called(0.4, PROXY, call)
+    handler.answered(Answer(ticket, Outcome.DONE, encode(OrderReply(412, b"", 7))))
+    handler.called(0.4, PROXY, call)
     assert len(replica.commands) == 1
     assert [answer.reply for answer in sent] == [encode(OrderReply(412, b"", 7))] * 2
 
 
 def test_an_unclear_answer_is_no_answer_and_reads_are_always_made_anew() -> None:
     replica = HoldingReplica()
-    desk = HeadDesk(cast(Replica, replica), lambda ip, message: None)
+    handler = HeadDesk(cast(Replica, replica), lambda ip, message: None)
     order = HeadCall(first_ticket(Random(3)), CallKind.ORDER.value, b"order")
     read = HeadCall(order.ticket + 1, CallKind.READ.value, b"")
     for call, outcome in ((order, Outcome.UNAVAILABLE), (read, Outcome.DONE)):
         before = len(replica.commands)
-        desk.called(0.0, PROXY, call)
-        desk.answered(Answer(max(replica.commands), outcome, b"state"))
-        desk.called(0.4, PROXY, call)
+        handler.called(0.0, PROXY, call)
+        handler.answered(Answer(max(replica.commands), outcome, b"state"))
+        handler.called(0.4, PROXY, call)
         assert len(replica.commands) == before + 2
 
 
 def test_answers_are_kept_for_a_bounded_number_of_orders() -> None:
     replica = HoldingReplica()
-    desk = HeadDesk(cast(Replica, replica), lambda ip, message: None)
-    for number in range(4 * ANSWERS_KEPT):
-        desk.called(0.0, PROXY, HeadCall(number, CallKind.ORDER.value, b"order"))
-        desk.answered(Answer(max(replica.commands), Outcome.DONE, b"x" * 5))
-    assert len(desk._answered) == ANSWERS_KEPT
-    assert not desk._orders and not desk._under_way
+    handler = HeadDesk(cast(Replica, replica), lambda ip, message: None)
+    for number in range(4 * MAX_REMEMBERED_ANSWERS):
+        handler.called(0.0, PROXY, HeadCall(number, CallKind.ORDER.value, b"order"))
+        handler.answered(Answer(max(replica.commands), Outcome.DONE, b"x" * 5))
+    assert len(handler._recent_answers) == MAX_REMEMBERED_ANSWERS
+    assert not handler._pending_orders and not handler._pending
 
 
 def test_tickets_of_many_lives_never_meet_and_fit_their_field() -> None:
--- a/tests/system/test_leaving_process.py
+++ b/tests/system/test_leaving_process.py
@@ -1,4 +1,4 @@
-"""A process that was told to end begins only what surely ends before it does; the rest is refused at once."""
+"""A process that is stopping begins only requests that surely end before it; it rejects others at once."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 import pytest
 
-from cloverrouter.daemon.drain import end_what_is_open
+from cloverrouter.daemon.drain import drain_requests
 from cloverrouter.daemon.node import Node
 from cloverrouter.daemon.settings import read
 from cloverrouter.http.client import Failure
@@ -34,9 +34,9 @@
 
 GRACE_S = 7.3
 TIMED_ROUTES = ("once", "twice", "again", "talk", "resume")
-"""Their time-out is two seconds, unless a test says otherwise."""
+"""Routes whose timeout is two seconds unless a test sets another."""
 MOMENTS_S = [tenth / 5 for tenth in range(38)]
-"""Each fifth of a second of the grace, and a little beyond."""
+"""Every fifth of a second of the grace period and slightly beyond it."""
 
 
 @pytest.fixture
@@ -45,7 +45,7 @@
 
 
 def leave(world: World, grace_s: float = GRACE_S) -> float:
-    """SIGTERM; when the process will end."""
+    """Begins the shutdown, as SIGTERM does; returns when the process ends."""
     ends_at = world.clock() + grace_s
     world.router.begin_shutdown(ends_at)
     return ends_at
@@ -55,32 +55,32 @@
     return b"cypresswinch-deadline-ms", b"%d" % (seconds * 1000)
 
 
-def asked(
+def send_request(
     world: World, path: str, *more: tuple[bytes, bytes]
 ) -> tuple[ScriptedExchange, ScriptedCall | None]:
-    """A request, and its call to a server if one was made."""
+    """Sends a request; returns it and its call to a server, if there is one."""
     before = len(world.calls)
     exchange = world.ask(path, *more)
     return exchange, world.last if len(world.calls) > before else None
 
 
 def assert_refused(exchange: ScriptedExchange) -> None:
-    """Answered at once, by a promise, and told when to come back; its connection ends."""
+    """Checks an immediate 503 with Retry-After, and that the connection is closed."""
     assert (exchange.status, exchange.ended, exchange.closed) == (503, True, True)
     wait_s = float(exchange.field(b"retry-after") or b"nan")
     assert 0 < wait_s <= 0.1
 
 
-def took(world: World, path: str, seconds: float) -> None:
-    """A request of the kind is answered after so long."""
-    exchange, call = asked(world, path)
+def complete_request(world: World, path: str, seconds: float) -> None:
+    """Sends a request to this path that is answered after this time."""
+    exchange, call = send_request(world, path)
     assert call is not None
     serve(world, call, seconds)
     assert exchange.status == 200
 
 
 def serve(world: World, call: ScriptedCall, seconds: float) -> None:
-    """The server answers event by event, and is done after so long."""
+    """Streams the server's answer event by event over this time."""
     events = max(1, round(seconds * 2))
     call.stream(event(1))
     for number in range(2, events + 2):
@@ -92,29 +92,31 @@
 # The decision
 
 
-def begun(now: float, deadline: float, longest_s: float | None = None, can_resume: bool = False) -> bool:
-    """In a process that was told at 0.0 to end, and ends at 7.3."""
+def may_begin_at(
+    now: float, deadline: float, longest_s: float | None = None, can_resume: bool = False
+) -> bool:
+    """Returns whether a request may begin in a process that was asked to stop at 0.0 and ends at 7.3."""
     return may_begin(ShutdownWindow(0.0, 7.3), now, Expectation(deadline, longest_s, can_resume))
 
 
 def test_what_is_over_at_its_deadline_before_the_end_may_begin() -> None:
-    assert begun(0.0, deadline=7.0)
-    assert begun(6.0, deadline=7.0)
-    assert not begun(0.0, deadline=7.2)
+    assert may_begin_at(0.0, deadline=7.0)
+    assert may_begin_at(6.0, deadline=7.0)
+    assert not may_begin_at(0.0, deadline=7.2)
 
 
 @pytest.mark.parametrize("longest_s", [0.01, 0.5, 1.0, 2.0, 3.0, 3.5, 4.0, 8.0, 15.0])
 @pytest.mark.parametrize("now", MOMENTS_S)
 def test_an_estimate_is_trusted_early_and_with_room(longest_s: float, now: float) -> None:
-    """Twice the longest that was seen must fit, and the moment be in the first third."""
+    """Twice the longest observed answer must fit, within the first third of the grace period."""
     expected = now <= 7.3 / 3 and now + 2 * longest_s <= 7.1
-    assert begun(now, now + 15.0, longest_s) is expected
+    assert may_begin_at(now, now + 15.0, longest_s) is expected
 
 
 @pytest.mark.parametrize("now", MOMENTS_S)
 def test_a_stream_that_can_be_resumed_is_begun_early_only(now: float) -> None:
-    """Its client goes on elsewhere after a cut; late, it would hardly get anything before that."""
-    assert begun(now, now + 15.0, can_resume=True) is (now <= 7.3 / 3)
+    """The client resumes it elsewhere after a cut; a late one would get almost nothing before the cut."""
+    assert may_begin_at(now, now + 15.0, can_resume=True) is (now <= 7.3 / 3)
 
 
 def test_a_long_grace_does_not_lengthen_the_time_in_which_estimates_count() -> None:
@@ -144,13 +146,13 @@
 @pytest.mark.parametrize("seconds", [0.3, 1.0, 2.0, 5.0, 15.0])
 @pytest.mark.parametrize("path", TIMED_ROUTES)
 def test_no_request_of_a_leaving_process_is_cut(path: str, seconds: float) -> None:
-    """Each kind of route, each moment of the grace, each time that the client gives, and servers that take
-    all of it: what is begun has its deadline before the end, and what isn't begun is refused at once."""
+    """For every route, moment and client deadline, with servers that use all of that time: a request that
+    begins has its deadline before the process ends, and any other is rejected at once."""
     for moment_s in MOMENTS_S:
         world = World().set_up()
         ends_at = leave(world)
         world.clock.pass_ms(moment_s * 1000)
-        exchange, call = asked(world, f"/{path}/x", deadline(seconds))
+        exchange, call = send_request(world, f"/{path}/x", deadline(seconds))
         last_s = world.clock() + min(seconds, 2.0)
         if call is None:
             assert last_s > ends_at - 0.2
@@ -165,15 +167,15 @@
 @pytest.mark.parametrize("path", TIMED_ROUTES)
 @pytest.mark.parametrize("usual_s", [0.2, 1.0, 2.0, 3.0])
 def test_long_requests_are_begun_by_their_usual_length(path: str, usual_s: float) -> None:
-    """The route allows 15 s. What is begun ends before the process even if it takes twice as long as any that
-    was seen."""
+    """The route allows 15 s. A request that begins ends before the process does, even if it takes twice as
+    long as the longest observed one."""
     for moment_s in MOMENTS_S:
         world = World().set_up()
         world.slow_routes(15_000)
-        took(world, f"/{path}/x", usual_s)
+        complete_request(world, f"/{path}/x", usual_s)
         ends_at = leave(world)
         world.clock.pass_ms(moment_s * 1000)
-        exchange, call = asked(world, f"/{path}/x", deadline(15.0))
+        exchange, call = send_request(world, f"/{path}/x", deadline(15.0))
         fits = moment_s + 2 * usual_s <= GRACE_S - 0.2
         fits = moment_s <= GRACE_S / 3 and (fits or path == "resume")
         assert (call is not None) is fits, f"at {moment_s} s"
@@ -188,7 +190,7 @@
 def test_a_long_request_of_unknown_length_is_not_begun(world: World) -> None:
     world.slow_routes(15_000)
     leave(world)
-    exchange, call = asked(world, "/talk/x", deadline(15.0))
+    exchange, call = send_request(world, "/talk/x", deadline(15.0))
     assert call is None
     assert_refused(exchange)
 
@@ -196,7 +198,7 @@
 def test_a_long_stream_that_can_be_resumed_is_begun_and_cut_behind_a_whole_event(world: World) -> None:
     world.slow_routes(15_000)
     ends_at = leave(world)
-    exchange, call = asked(world, "/resume/x", deadline(15.0))
+    exchange, call = send_request(world, "/resume/x", deadline(15.0))
     assert call is not None
     call.stream(event(1))
     for number in range(2, 8):
@@ -210,16 +212,16 @@
 
 
 def test_a_stream_that_is_still_open_counts_with_its_age(world: World) -> None:
-    """The servers have just turned slow: no slow answer has ended yet."""
+    """The servers have just become slow, so that no slow answer has ended yet."""
     world.slow_routes(15_000)
-    took(world, "/talk/x", 1.0)
+    complete_request(world, "/talk/x", 1.0)
     world.ask("/talk/x", deadline(15.0))
     world.last.stream(event(1))
     for number in range(2, 6):
         world.clock.pass_ms(1000)
         world.last.data(event(number))
     leave(world)
-    exchange, call = asked(world, "/talk/x", deadline(15.0))
+    exchange, call = send_request(world, "/talk/x", deadline(15.0))
     assert call is None
     assert_refused(exchange)
 
@@ -233,8 +235,8 @@
 
 
 def test_a_request_is_not_sent_again_when_that_would_not_end_in_time(world: World) -> None:
-    """It was turned away by one server; a second would still work on it when the process ends."""
-    exchange, call = asked(world, "/twice/x", deadline(2.0))
+    """One server rejected it; a second would still process it when this process ends."""
+    exchange, call = send_request(world, "/twice/x", deadline(2.0))
     assert call is not None
     leave(world, 2.0)
     world.clock.pass_ms(100)
@@ -244,7 +246,7 @@
 
 
 def test_what_may_have_run_is_not_refused_but_failed(world: World) -> None:
-    exchange, call = asked(world, "/again/x", deadline(2.0))
+    exchange, call = send_request(world, "/again/x", deadline(2.0))
     assert call is not None
     leave(world, 2.0)
     call.write()
@@ -254,7 +256,7 @@
 
 
 def test_a_stream_under_way_is_still_continued_elsewhere(world: World) -> None:
-    exchange, _ = asked(world, "/resume/x", deadline(2.0))
+    exchange, _ = send_request(world, "/resume/x", deadline(2.0))
     world.last.stream(event(1))
     leave(world, 1.0)
     world.last.fail(Failure.BROKEN)
@@ -267,7 +269,7 @@
 
 def test_a_wait_for_quota_that_ends_too_late_is_a_refusal(world: World) -> None:
     world.quota.waits = [0.02]
-    exchange, call = asked(world, "/once/x", deadline(1.0))
+    exchange, call = send_request(world, "/once/x", deadline(1.0))
     assert call is None
     leave(world, 1.0)
     world.clock.pass_ms(50)
@@ -279,11 +281,11 @@
 
 
 def test_at_the_end_each_open_request_gets_the_answer_that_is_true(world: World) -> None:
-    running, call = asked(world, "/once/x")
+    running, call = send_request(world, "/once/x")
     assert call is not None
     call.write()
-    unsent, unsent_call = asked(world, "/once/x")
-    begun, _ = asked(world, "/resume/x")
+    unsent, unsent_call = send_request(world, "/once/x")
+    begun, _ = send_request(world, "/resume/x")
     world.last.stream(event(1), b"id: 2\ndata: ha")
     leave(world, 0.5)
     world.clock.pass_ms(500)
@@ -294,12 +296,12 @@
     assert unsent_call.cancelled
     assert_refused(unsent)
     assert begun.aborted
-    assert begun.body == event(1)  # whole events only: its client can go on elsewhere
+    assert begun.body == event(1)  # whole events only, so that the client can resume elsewhere
     assert world.router.in_flight == 0
 
 
 def test_at_the_end_a_promise_that_has_come_holds(world: World) -> None:
-    exchange, call = asked(world, "/once/x")
+    exchange, call = send_request(world, "/once/x")
     assert call is not None
     call.head(503, NOT_EXECUTED, length=4)
     leave(world, 0.1)
@@ -309,7 +311,7 @@
 
 def test_a_process_that_stays_begins_everything(world: World) -> None:
     world.slow_routes(15_000)
-    _, call = asked(world, "/talk/x", deadline(15.0))
+    _, call = send_request(world, "/talk/x", deadline(15.0))
     assert call is not None
 
 
@@ -323,7 +325,7 @@
 
 
 class Requests:
-    """So many are open until a time, or until they are given an answer."""
+    """One request that is open until a time, or until it is ended."""
 
     def __init__(self, clock: FakeClock, until: float) -> None:
         self._clock = clock
@@ -339,16 +341,16 @@
 
 
 def drained(busy_s: float, grace_s: float = GRACE_S) -> tuple[float, Requests]:
-    """How long a process stays with one request of that length, and that request."""
+    """Returns how long a process drains one request of this duration, and that request."""
     clock = FakeClock()
-    told_at = clock()
-    requests = Requests(clock, told_at + busy_s)
+    stopped_at = clock()
+    requests = Requests(clock, stopped_at + busy_s)
 
     async def sleep(seconds: float) -> None:
         clock.pass_ms(seconds * 1000)
 
-    asyncio.run(end_what_is_open(requests, lambda: requests.in_flight > 0, told_at + grace_s, clock, sleep))
-    return clock() - told_at, requests
+    asyncio.run(drain_requests(requests, lambda: requests.in_flight > 0, stopped_at + grace_s, clock, sleep))
+    return clock() - stopped_at, requests
 
 
 @pytest.mark.parametrize("busy_s", [0.0, 0.4, 3.0, 6.9])
@@ -373,32 +375,32 @@
 
 
 def test_sigterm_is_seen_in_the_readiness_at_once(tmp_path: Path) -> None:
-    async def scene() -> None:
+    async def run_node() -> None:
         process = node(tmp_path)
-        asks = [ScriptedExchange(Request(b"GET", b"/-/readiness", [], b"", 0.0)) for _ in range(2)]
+        requests = [ScriptedExchange(Request(b"GET", b"/-/readiness", [], b"", 0.0)) for _ in range(2)]
         router = process._traffic.router
         router.configure(CONFIGURATION)
         for service in ("desk", "model"):
             router.servers_changed([World().server(service, 0)])
-        process._readiness(cast(Exchange, asks[0]))
+        process._readiness(cast(Exchange, requests[0]))
         process.stop()
-        process._readiness(cast(Exchange, asks[1]))
-        assert [one.status for one in asks] == [200, 503]
+        process._readiness(cast(Exchange, requests[1]))
+        assert [one.status for one in requests] == [200, 503]
 
-    asyncio.run(scene())
+    asyncio.run(run_node())
 
 
 def test_a_second_sigterm_does_not_lengthen_the_grace(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    async def scene() -> None:
+    async def run_node() -> None:
         process = node(tmp_path)
-        told: list[float] = []
-        monkeypatch.setattr(process._traffic.router, "begin_shutdown", told.append)
+        deadlines: list[float] = []
+        monkeypatch.setattr(process._traffic.router, "begin_shutdown", deadlines.append)
         now = asyncio.get_running_loop().time()
         process.stop()
         process.stop()
-        assert len(told) == 1
-        assert now + 7.0 < told[0] < now + 8.0
+        assert len(deadlines) == 1
+        assert now + 7.0 < deadlines[0] < now + 8.0
 
-    asyncio.run(scene())
+    asyncio.run(run_node())
--- a/tests/system/test_pages_node.py
+++ b/tests/system/test_pages_node.py
@@ -1,4 +1,4 @@
-"""What the pages say of a whole process: before its first configuration, at SIGHUP and at SIGTERM."""
+"""Guarantees of a whole process: before its first configuration, at SIGHUP and at SIGTERM."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 
 
 def settings(ip: str, **changes: Any) -> Settings:
-    told: dict[str, Any] = {
+    defaults: dict[str, Any] = {
         "node-name": "edge-a-1",
         "serves": ["edge", "control_plane"],
         "ip-address": ip,
@@ -46,7 +46,7 @@
         },
         "timing-bounds": {"grace-period-s": 1.0},
     }
-    return settings_of({**told, **changes})
+    return settings_of({**defaults, **changes})
 
 
 def settings_text(ip: str, seeds: list[str]) -> str:
@@ -58,21 +58,21 @@
         "internal-port-range": [7000, 7001],
         "seed-nodes": seeds,
     }
-    written = "".join(f"{name} = {json.dumps(value)}\n" for name, value in lines.items())
-    return written + f'[listen-addresses]\nfrontend = "{ip}:7010"\n'
+    text = "".join(f"{name} = {json.dumps(value)}\n" for name, value in lines.items())
+    return text + f'[listen-addresses]\nfrontend = "{ip}:7010"\n'
 
 
-async def readiness(told: Settings) -> int:
-    assert told.readiness is not None
-    peer = await Peer.connect(told.readiness)
+async def readiness(node_settings: Settings) -> int:
+    assert node_settings.readiness is not None
+    peer = await Peer.connect(node_settings.readiness)
     peer.send(b"GET /-/readiness HTTP/1.1\r\nHost: x\r\n\r\n")
     status, _, _ = await peer.answer()
     peer.close()
     return status
 
 
-def put_to_work(node: Node) -> None:
-    """As if it had heard of a configuration, and of servers."""
+def configure_with_servers(node: Node) -> None:
+    """Gives the node a configuration and servers, as the control plane does."""
     node._traffic.configure(CONFIGURATION)
     listed = RouterWorld().server
     node._traffic.router.servers_changed([listed("desk", 0), listed("model", 0)])
@@ -80,39 +80,39 @@
 
 @pytest.mark.parametrize("was_ready", [False, True])
 def test_after_a_sigterm_a_process_is_not_ready_and_ends(was_ready: bool) -> None:
-    """Of all at once, too: each goes by itself alone, whether it was ready or not."""
+    """This holds if all processes stop at once, because each depends on no other, ready or not."""
 
-    async def scene() -> None:
-        told = settings("127.77.1.1" if was_ready else "127.77.1.2")
-        node = Node(told, "none.toml", NoSignals())
+    async def run_node() -> None:
+        node_settings = settings("127.77.1.1" if was_ready else "127.77.1.2")
+        node = Node(node_settings, "none.toml", NoSignals())
         running = asyncio.create_task(node.run())
         await until(lambda: node._frontend is not None)
         if was_ready:
-            put_to_work(node)
-        assert await readiness(told) == (200 if was_ready else 503)
+            configure_with_servers(node)
+        assert await readiness(node_settings) == (200 if was_ready else 503)
         node.stop()
-        assert await readiness(told) == 503
-        assert await readiness(told) == 503
+        assert await readiness(node_settings) == 503
+        assert await readiness(node_settings) == 503
         assert await asyncio.wait_for(running, LONG_S) == 0
 
-    play(scene())
+    play(run_node())
 
 
 def test_a_process_that_is_told_to_end_while_it_starts_ends() -> None:
-    async def scene() -> None:
+    async def run_node() -> None:
         node = Node(settings("127.77.1.3"), "none.toml", NoSignals())
         running = asyncio.create_task(node.run())
         node.stop()
         assert await asyncio.wait_for(running, LONG_S) == 0
 
-    play(scene())
+    play(run_node())
 
 
-# DENIED: without a configuration its limits are not known either
+# DENIED: without a configuration, the limits are unknown
 
-ASKING = b"POST /once/x HTTP/1.1\r\nHost: front.example\r\nCypresswinch-Attempt-Id: t\r\n"
-LARGE_HEAD = ASKING + b"X-Large: " + b"x" * 40_000 + b"\r\n\r\n"
-LARGE_BODY = ASKING + b"Content-Length: 9000000\r\n\r\n"
+REQUEST_START = b"POST /once/x HTTP/1.1\r\nHost: front.example\r\nCypresswinch-Attempt-Id: t\r\n"
+LARGE_HEAD = REQUEST_START + b"X-Large: " + b"x" * 40_000 + b"\r\n\r\n"
+LARGE_BODY = REQUEST_START + b"Content-Length: 9000000\r\n\r\n"
 
 
 @pytest.mark.parametrize("message, refused", [(LARGE_HEAD, 431), (LARGE_BODY, 413)])
@@ -120,26 +120,26 @@
 def test_what_may_be_within_the_limits_is_refused_only_where_they_are_known(
     message: bytes, refused: int, configured: bool
 ) -> None:
-    async def scene() -> None:
-        told = settings("127.77.2.1")
-        node = Node(told, "none.toml", NoSignals())
+    async def run_node() -> None:
+        node_settings = settings("127.77.2.1")
+        node = Node(node_settings, "none.toml", NoSignals())
         running = asyncio.create_task(node.run())
         await until(lambda: node._frontend is not None)
         if configured:
-            put_to_work(node)
-        assert told.frontend is not None
-        client = await Peer.connect(told.frontend)
+            configure_with_servers(node)
+        assert node_settings.frontend is not None
+        client = await Peer.connect(node_settings.frontend)
         client.send(message)
         assert (await client.answer())[0] == (refused if configured else 503)
         client.close()
         node.stop()
         await running
 
-    play(scene())
+    play(run_node())
 
 
 def test_limits_told_before_clients_are_served_hold_for_them() -> None:
-    async def scene() -> None:
+    async def run_node() -> None:
         traffic = Traffic(settings("127.77.2.2"), Random(1), Log("off", "edge-a-1"))
         limits = Limits(header_bytes=900, body_bytes=800, header_timeout_ms=700, idle_timeout_ms=600)
         traffic.configure(attrs.evolve(CONFIGURATION, limits=limits))
@@ -147,7 +147,7 @@
         traffic.serve_clients(server)
         assert server.limits == ServerLimits(900, 800, 0.7, BODY_TIMEOUT_S, 0.6, max_connections=50)
 
-    play(scene())
+    play(run_node())
 
 
 # LOST: at SIGHUP
@@ -155,27 +155,27 @@
 
 @pytest.mark.parametrize("found", [True, False])
 def test_a_changed_settings_file_touches_no_request(found: bool, tmp_path: Path) -> None:
-    async def scene() -> None:
-        told = settings("127.77.3.1")
+    async def run_node() -> None:
+        node_settings = settings("127.77.3.1")
         path = tmp_path / "node.toml"
         if found:
             path.write_text(settings_text("127.77.3.1", seeds=["127.77.3.9:1"]))
             assert read(str(path)).seeds == ("127.77.3.9",)
-        node = Node(told, str(path), NoSignals())
+        node = Node(node_settings, str(path), NoSignals())
         running = asyncio.create_task(node.run())
         await until(lambda: node._frontend is not None)
-        put_to_work(node)
+        configure_with_servers(node)
         upstream = await Upstream().start()
         listed = RouterWorld().server("desk", 1, address=upstream.address)
         gone = RouterWorld().server("desk", 0, ready=False)
         node._traffic.router.servers_changed([gone, listed])
-        assert told.frontend is not None
-        client = await Peer.connect(told.frontend)
-        client.send(ASKING.replace(b"/once/", b"/open/") + b"Content-Length: 0\r\n\r\n")
+        assert node_settings.frontend is not None
+        client = await Peer.connect(node_settings.frontend)
+        client.send(REQUEST_START.replace(b"/once/", b"/open/") + b"Content-Length: 0\r\n\r\n")
         server = await upstream.peer()
         await server.head()
         node.reload()
-        assert await readiness(told) == 200
+        assert await readiness(node_settings) == 200
         answer = b"HTTP/1.1 200 OK\r\nCypresswinch-Attempt-Id: t\r\nCypresswinch-Server-Signature: s\r\n"
         server.send(answer + b"Content-Length: 2\r\n\r\nok")
         assert (await client.answer())[::2] == (200, b"ok")
@@ -183,4 +183,4 @@
         node.stop()
         await running
 
-    play(scene())
+    play(run_node())
--- a/tests/system/test_replica_role.py
+++ b/tests/system/test_replica_role.py
@@ -1,4 +1,4 @@
-"""A replica's start: what it tells of its disk."""
+"""The replica role: what it logs about a damaged disk, and what it sends to subscribers."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 DISK_MB = 4
 
 
-def used_disk(directory: Path) -> Path:
+def written_disk(directory: Path) -> Path:
     store = ReplicaStore.open(directory, DISK_MB * 1024 * 1024)
     store.load(bootstrap=True)
     store.write(Record(meta=Meta(promised=3)))
@@ -28,12 +28,12 @@
     return directory / FILE_NAME
 
 
-@pytest.mark.parametrize("is_turned", [False, True])
-def test_a_damaged_disk_is_told(tmp_path: Path, is_turned: bool) -> None:
-    path = used_disk(tmp_path)
-    if is_turned:
+@pytest.mark.parametrize("is_damaged", [False, True])
+def test_a_damaged_disk_is_told(tmp_path: Path, is_damaged: bool) -> None:
+    path = written_disk(tmp_path)
+    if is_damaged:
         path.write_bytes(path.read_bytes().replace(b"identity", b"identitx"))
-    told: list[tuple[str, dict[str, Any]]] = []
+    logged: list[tuple[str, dict[str, Any]]] = []
     settings: Any = SimpleNamespace(
         data_directory=tmp_path,
         disk_mb=DISK_MB,
@@ -47,7 +47,7 @@
     ports = RolePorts(
         lambda ip, message: None,
         lambda view: None,
-        lambda kind, **fields: told.append((kind, fields)),
+        lambda event, **fields: logged.append((event, fields)),
         lambda *_, **__: None,
     )
 
@@ -55,12 +55,15 @@
         return await ReplicaRole.open(settings, ports, Random(1))
 
     role = asyncio.run(opened())
-    assert [kind for kind, _ in told] == ["disk-damaged"] * is_turned
-    assert all(fields["damage"] and fields["identity"] == role.identity for _, fields in told)
+    assert [event for event, _ in logged] == ["disk-damaged"] * is_damaged
+    assert all(fields["damage"] and fields["identity"] == role.identity for _, fields in logged)
 
 
 async def role_in_view(directory: Path, voters: tuple[Member, ...]) -> tuple[ReplicaRole, list[Any]]:
-    """A replica whose disk knows a view with these voters, and what it sends; an empty name stands for it."""
+    """Starts a replica whose disk holds a view with these voters; returns it and the list of its messages.
+
+    An empty identity stands for the replica itself.
+    """
     store = ReplicaStore.open(directory, DISK_MB * 1024 * 1024)
     identity = store.load().identity
     chosen = tuple(Member(each.identity or identity, each.ip, each.name, each.zone) for each in voters)
@@ -91,9 +94,9 @@
 def test_a_subscriber_hears_of_the_view_first_and_from_voters_only_what_is_committed(
     tmp_path: Path, is_voter: bool
 ) -> None:
-    """A proxy that was away knows voters of long ago: what those offer says nothing about what is current."""
+    """A proxy that was disconnected may know only replaced voters, whose offers may be out of date."""
 
-    async def scene() -> list[Any]:
+    async def run_role() -> list[Any]:
         voters = (SELF, *OTHERS) if is_voter else (*OTHERS, Member("cc", "10.0.0.4", "four", "a"))
         role, sent = await role_in_view(tmp_path, voters)
         sent.clear()
@@ -101,4 +104,4 @@
         role.close()
         return [type(message) for message in sent]
 
-    assert asyncio.run(scene()) == ([ViewNotice, Offer] if is_voter else [ViewNotice])
+    assert asyncio.run(run_role()) == ([ViewNotice, Offer] if is_voter else [ViewNotice])
--- a/tests/system/test_request_traces.py
+++ b/tests/system/test_request_traces.py
@@ -1,4 +1,4 @@
-"""What is remembered, and logged, of requests: each attempt, how it ended, and what the client got."""
+"""Traces and logs of requests: each attempt, how it ended, and the answer to the client."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 from tests.system.router_world import SIGNED, ScriptedExchange, World, event
 
 
-def recorded(level: str = "errors") -> tuple[World, RequestTraces]:
+def traced_world(level: str = "errors") -> tuple[World, RequestTraces]:
     world = World().set_up()
     traces = RequestTraces(world.clock, Log(level, "edge-1"))
     world.router.recorder = traces
@@ -30,13 +30,13 @@
 
 
 def steps(traces: RequestTraces, exchange: ScriptedExchange) -> list[tuple[str, Any]]:
-    told = traces.find(id_of(exchange))
-    assert told is not None
-    return [(step["step"], step["detail"]) for step in told["steps"]]
+    trace = traces.find(id_of(exchange))
+    assert trace is not None
+    return [(step["step"], step["detail"]) for step in trace["steps"]]
 
 
 def test_an_answered_request() -> None:
-    world, traces = recorded()
+    world, traces = traced_world()
     exchange = world.ask("/once/x")
     instance = world.last.instance
     world.clock.pass_ms(250)
@@ -46,13 +46,13 @@
         ("attempt-ended", "answered"),
         ("ended", 200),
     ]
-    told = traces.find(id_of(exchange))
-    assert told is not None and told["tenant"] == "a"
-    assert [step["at-ms"] for step in told["steps"]] == [0, 250, 250]
+    trace = traces.find(id_of(exchange))
+    assert trace is not None and trace["tenant"] == "a"
+    assert [step["at-ms"] for step in trace["steps"]] == [0, 250, 250]
 
 
 def test_a_request_that_was_sent_twice() -> None:
-    world, traces = recorded()
+    world, traces = traced_world()
     exchange = world.ask("/again/x")
     world.last.fail(Failure.CONNECT_FAILED)
     world.last.answer(200, SIGNED, body=b"x")
@@ -62,14 +62,14 @@
 
 
 def test_a_client_that_left() -> None:
-    world, traces = recorded()
+    world, traces = traced_world()
     exchange = world.ask("/once/x")
     exchange.leave()
     assert steps(traces, exchange)[1:] == [("attempt-ended", "given up"), ("ended", "client left, no answer")]
 
 
 def test_a_stream() -> None:
-    world, traces = recorded()
+    world, traces = traced_world()
     exchange = world.ask("/talk/x")
     world.last.stream(event(1))
     world.last.end()
@@ -77,8 +77,8 @@
 
 
 def test_only_the_newest_are_remembered(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(request_traces, "KEPT_REQUESTS", 2)
-    world, traces = recorded()
+    monkeypatch.setattr(request_traces, "MAX_TRACES", 2)
+    world, traces = traced_world()
     asked = [world.ask("/once/x") for _ in range(3)]
     assert [traces.find(id_of(exchange)) is not None for exchange in asked] == [False, True, True]
     assert traces.find("never") is None
@@ -94,14 +94,14 @@
 
 
 def test_below_the_level_nothing_is_written(written: list[dict[str, Any]]) -> None:
-    world, _ = recorded("changes")
+    world, _ = traced_world("changes")
     world.ask("/once/x")
     world.last.answer(200, SIGNED, body=b"x")
     assert written == []
 
 
 def test_at_the_level_a_request_is_one_tree(written: list[dict[str, Any]]) -> None:
-    world, _ = recorded("requests")
+    world, _ = traced_world("requests")
     exchange, other = world.ask("/again/x"), world.ask("/nowhere")
     world.calls[0].fail(Failure.CONNECT_FAILED)
     world.last.answer(200, SIGNED, body=b"x")
--- a/tests/system/test_settings_file.py
+++ b/tests/system/test_settings_file.py
@@ -1,4 +1,4 @@
-"""The settings file of a process: what is read, what is ignored, and how faults are reported."""
+"""The settings file of a process: which values are read, which are ignored, and how errors are reported."""
 
 from __future__ import annotations
 
--- a/tests/system/test_signals.py
+++ b/tests/system/test_signals.py
@@ -1,4 +1,4 @@
-"""Signals at any moment of a process's life: at each import of its start, and until it is gone."""
+"""Signals at any moment of a process's life: at each import during its start, and until it has exited."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 from cloverrouter.lab.fleet import deployment, nodes
 
-SIGNALS = 100_000  # in a row: more than a loop's own pipe for them holds
+SIGNALS = 100_000  # in a row: more than the event loop's signal pipe holds
 SIGNALLED_AT_EACH_IMPORT = """
 import os, runpy, sys
 number, has_begun = {number}, False
@@ -32,7 +32,7 @@
 
 @pytest.fixture
 def node(tmp_path: Path, request: pytest.FixtureRequest) -> Iterator[nodes.Node]:
-    """One at an address of the test's own."""
+    """Returns a node at an address that no other test uses."""
     specs = deployment.nodes(f"127.32.{crc32(request.node.name.encode()) % 250}")
     made = nodes.Node(specs[0], deployment.fleet_settings(specs), tmp_path)
     yield made
@@ -52,7 +52,7 @@
 
 
 def start(node: nodes.Node, monkeypatch: pytest.MonkeyPatch, number: signal.Signals) -> None:
-    """Starts a process that gets the signal at each import from its program's first on."""
+    """Starts a process that receives the signal at each import, from the program's first one on."""
     monkeypatch.setattr(nodes, "DAEMON", ("-c", SIGNALLED_AT_EACH_IMPORT.format(number=int(number))))
     node.start(bootstrap=True)
 
--- a/tests/system/test_transport.py
+++ b/tests/system/test_transport.py
@@ -1,4 +1,4 @@
-"""Messages between processes on real sockets of the loopback."""
+"""Messages between processes over real loopback sockets."""
 
 from __future__ import annotations
 
@@ -7,10 +7,10 @@
 from typing import Any
 
 from cloverrouter.daemon.transport import (
-    LATE_CONNECT_S,
-    MAX_RETRY_PAUSE_S,
-    RETRY_PAUSE_S,
-    ConnectPause,
+    MAX_RETRY_BACKOFF_S,
+    RETRY_BACKOFF_S,
+    STALE_CONNECT_S,
+    ConnectBackoff,
     Transport,
 )
 from cloverrouter.messages import encode, message
@@ -32,16 +32,16 @@
 
 
 class Peer:
-    """A transport that keeps what it hears."""
+    """A transport that records its messages, link changes and errors."""
 
     def __init__(self, ip: str, port: int) -> None:
-        self.heard: asyncio.Queue[tuple[str, object]] = asyncio.Queue()
+        self.received: asyncio.Queue[tuple[str, object]] = asyncio.Queue()
         self.links: list[tuple[str, bool]] = []
         self.errors: asyncio.Queue[Exception] = asyncio.Queue()
         self.transport = Transport(
             ip,
             port,
-            lambda sender, found: self.heard.put_nowait((sender, found)),
+            lambda sender, found: self.received.put_nowait((sender, found)),
             lambda ip, up: self.links.append((ip, up)),
             lambda ip, error: self.errors.put_nowait(error),
         )
@@ -57,12 +57,12 @@
         for ping in sent:
             one.transport.send(HOSTS[1], ping)
         async with asyncio.timeout(10):
-            heard = [await two.heard.get() for _ in sent]
-        assert heard == [(HOSTS[0], ping) for ping in sent]
+            received = [await two.received.get() for _ in sent]
+        assert received == [(HOSTS[0], ping) for ping in sent]
         assert one.links == [(HOSTS[1], True)]
         one.transport.send(HOSTS[0], sent[0])
         async with asyncio.timeout(10):
-            assert await one.heard.get() == (HOSTS[0], sent[0])
+            assert await one.received.get() == (HOSTS[0], sent[0])
         await one.transport.close()
         await two.transport.close()
 
@@ -79,7 +79,7 @@
         two = Peer(HOSTS[1], port)
         await two.transport.listen()
         async with asyncio.timeout(10):
-            while two.heard.empty():
+            while two.received.empty():
                 one.transport.send(HOSTS[1], Ping(2, b""))
                 await asyncio.sleep(0.01)
         await one.transport.close()
@@ -111,7 +111,7 @@
         await two.transport.listen()
         one.transport.send(HOSTS[1], Ping(0, b""))
         async with asyncio.timeout(10):
-            await two.heard.get()
+            await two.received.get()
             before = one.transport.writes
             with one.transport.batch():
                 for number in (1, 2, 3):
@@ -119,8 +119,8 @@
                         one.transport.send(HOSTS[1], Ping(number, b"x"))
                 assert one.transport.writes == before
             assert one.transport.writes == before + 1
-            heard = [await two.heard.get() for _ in range(3)]
-        assert heard == [(HOSTS[0], Ping(number, b"x")) for number in (1, 2, 3)]
+            received = [await two.received.get() for _ in range(3)]
+        assert received == [(HOSTS[0], Ping(number, b"x")) for number in (1, 2, 3)]
         assert one.transport.sent[Ping].messages == 4
         assert one.transport.sent[Ping].bytes == one.transport.bytes_sent
         await one.transport.close()
@@ -139,7 +139,7 @@
         _, writer = await asyncio.open_connection(HOSTS[1], port, local_addr=(HOSTS[0], 0))
         writer.write(newer + newer + known)
         async with asyncio.timeout(10):
-            assert await two.heard.get() == (HOSTS[0], Ping(1, b""))
+            assert await two.received.get() == (HOSTS[0], Ping(1, b""))
         assert two.transport.messages_skipped == 2
         writer.close()
         await two.transport.close()
@@ -147,45 +147,45 @@
     asyncio.run(run())
 
 
-def waits(pause: ConnectPause, refused: list[bool]) -> list[float]:
-    """The wait after each of these failures, one after the other, in steps of 10 ms."""
+def backoffs_s(backoff: ConnectBackoff, refused: list[bool]) -> list[float]:
+    """Returns the backoff after each of these consecutive failures, to 10 ms."""
     now_s, found = 100.0, []
     for each in refused:
-        pause.failed(now_s, refused=each)
-        steps = next(step for step in range(100) if pause.may_try(now_s + step / 100 + 1e-6))
+        backoff.failed(now_s, refused=each)
+        steps = next(step for step in range(100) if backoff.may_try(now_s + step / 100 + 1e-6))
         found.append(steps / 100)
         now_s += 1.0
     return found
 
 
 def test_a_machine_that_refuses_is_asked_again_soon_however_often_it_did() -> None:
-    assert waits(ConnectPause(), [True] * 6) == [RETRY_PAUSE_S] * 6
+    assert backoffs_s(ConnectBackoff(), [True] * 6) == [RETRY_BACKOFF_S] * 6
 
 
 def test_waits_grow_where_nothing_answers() -> None:
-    assert waits(ConnectPause(), [False] * 4) == [0.1, 0.2, MAX_RETRY_PAUSE_S, MAX_RETRY_PAUSE_S]
+    assert backoffs_s(ConnectBackoff(), [False] * 4) == [0.1, 0.2, MAX_RETRY_BACKOFF_S, MAX_RETRY_BACKOFF_S]
 
 
 def test_a_machine_that_was_dark_and_refuses_now_is_up_again() -> None:
-    pause = ConnectPause()
-    assert waits(pause, [False, False, False, True, True]) == [0.1, 0.2, 0.4, 0.1, 0.1]
-    pause.over()
-    assert waits(pause, [False]) == [RETRY_PAUSE_S]
+    backoff = ConnectBackoff()
+    assert backoffs_s(backoff, [False, False, False, True, True]) == [0.1, 0.2, 0.4, 0.1, 0.1]
+    backoff.reset()
+    assert backoffs_s(backoff, [False]) == [RETRY_BACKOFF_S]
 
 
-class DarkAtFirst:
-    """A loop whose first connect finds the peer dark: it gets no answer. Its clock can be put on."""
+class UnansweredFirstConnect:
+    """An event loop whose first connect gets no answer, and whose clock can be advanced."""
 
     def __init__(self) -> None:
         self._loop = asyncio.get_running_loop()
         self.connects = 0
-        self.later_s = 0.0
+        self.clock_offset_s = 0.0
 
     def __getattr__(self, name: str) -> Any:
         return getattr(self._loop, name)
 
     def time(self) -> float:
-        return self._loop.time() + self.later_s
+        return self._loop.time() + self.clock_offset_s
 
     async def create_connection(self, *args: Any, **options: Any) -> Any:
         self.connects += 1
@@ -198,18 +198,18 @@
     async def run() -> None:
         port = free_port()
         one, two = (Peer(host, port) for host in HOSTS)
-        loop = DarkAtFirst()
+        loop = UnansweredFirstConnect()
         one.transport.loop = loop  # type: ignore[assignment]
         await one.transport.listen()
         await two.transport.listen()
-        one.transport.send(HOSTS[1], Ping(1, b""))  # to a peer that is dark
+        one.transport.send(HOSTS[1], Ping(1, b""))  # the peer does not answer
         await asyncio.sleep(0)
         assert loop.connects == 1
-        loop.later_s = 2 * LATE_CONNECT_S
+        loop.clock_offset_s = 2 * STALE_CONNECT_S
         two.transport.send(HOSTS[0], Ping(2, b""))
         async with asyncio.timeout(10):
-            assert await one.heard.get() == (HOSTS[1], Ping(2, b""))
-            assert await two.heard.get() == (HOSTS[0], Ping(1, b""))  # what was sent first isn't lost
+            assert await one.received.get() == (HOSTS[1], Ping(2, b""))
+            assert await two.received.get() == (HOSTS[0], Ping(1, b""))  # the first message is not lost
         assert loop.connects == 2
         await one.transport.close()
         await two.transport.close()
@@ -226,8 +226,8 @@
         one.transport.send(HOSTS[1], Ping(1, b""))
         two.transport.send(HOSTS[0], Ping(2, b""))
         async with asyncio.timeout(10):
-            await one.heard.get()
-            await two.heard.get()
+            await one.received.get()
+            await two.received.get()
         assert one.links == [(HOSTS[1], True)]
         assert two.links == [(HOSTS[0], True)]
         assert len(one.transport.incoming) == len(two.transport.incoming) == 1
@@ -238,8 +238,8 @@
 
 
 def test_a_peer_that_was_given_up_is_tried_again_as_soon_as_it_connects_to_here() -> None:
-    pause = ConnectPause()
-    pause.failed(100.0, refused=False)
-    assert not pause.may_try(100.05)
-    pause.over()
-    assert pause.may_try(100.05)
+    backoff = ConnectBackoff()
+    backoff.failed(100.0, refused=False)
+    assert not backoff.may_try(100.05)
+    backoff.reset()
+    assert backoff.may_try(100.05)
