--- a/cloverrouter/daemon/transport.py
+++ b/cloverrouter/daemon/transport.py
@@ -1,8 +1,8 @@
 """Messages between the proxies' processes over long-lived TCP connections.
 
 For its callers, `send` works like a datagram socket: a message is dropped if there is no connection or the
-peer does not read. Each process opens a connection to each peer that it sends to, from its own address, because
-peers identify each other by IP. The kernel closes a connection whose data stays unacknowledged
+peer does not read. Each process opens a connection to each peer that it sends to, from its own address,
+because peers identify each other by IP. The kernel closes a connection whose data stays unacknowledged
 (`TCP_USER_TIMEOUT`).
 """
 
