--- a/cloverrouter/daemon/control_plane.py
+++ b/cloverrouter/daemon/control_plane.py
@@ -58,7 +58,7 @@
     from cloverrouter.daemon.replica_role import ReplicaRole
     from cloverrouter.daemon.servers_copy import ServersCopy
 
-FRESH_MEMBER_S = 2.5  # disk members heard of within this time count as alive
+FRESH_MEMBER_S = 2.5  # disk members that were seen within this time count as alive
 REVOCATION_MARGIN_S = 0.5  # covers updates in flight when a voter reported its state
 DISCOVERY_INTERVAL_S = 0.2  # between passing on what peer sampling has discovered
 
@@ -287,9 +287,9 @@
     def _share_discoveries(self, now: float) -> None:
         """Passes on the discovered disk members and the number of proxies."""
         members = [
-            Member(found.record.identity, found.record.ip, found.record.name, found.record.zone)
-            for found in self.sampler.disk_members(now)
-            if found.silent_for_s < FRESH_MEMBER_S
+            Member(disk.record.identity, disk.record.ip, disk.record.name, disk.record.zone)
+            for disk in self.sampler.disk_members(now)
+            if disk.silent_for_s < FRESH_MEMBER_S
         ]
         if self.role is not None:
             self.role.discovered(now, members)
@@ -429,8 +429,8 @@
                 self.traffic.instances_changed(effect.instances, self.registry.is_silent)
             elif isinstance(effect, InstancesSilent | InstancesRecovered):
                 found = (self.registry.find(instance_id) for instance_id in effect.ids)
-                known = [instance for instance in found if instance is not None]
-                self.traffic.instances_changed(known, self.registry.is_silent)
+                instances = [instance for instance in found if instance is not None]
+                self.traffic.instances_changed(instances, self.registry.is_silent)
 
     def _apply_subscriber_effects(self, effects: Iterable[SubscriberEffect]) -> None:
         for effect in effects:
--- a/cloverrouter/daemon/node.py
+++ b/cloverrouter/daemon/node.py
@@ -79,11 +79,11 @@
     def reload(self) -> None:
         """Reloads the settings file (SIGHUP) and applies its seeds. An invalid file is logged and ignored."""
         try:
-            found = settings_file.read(self._path)
+            new_settings = settings_file.read(self._path)
         except SettingsError as error:
             self._log.error("settings-refused", findings=list(error.findings))
             return
-        self._control.seeds_changed(found.seeds)
+        self._control.seeds_changed(new_settings.seeds)
 
     async def _listen(self) -> None:
         settings = self._settings
--- a/cloverrouter/daemon/quota_service.py
+++ b/cloverrouter/daemon/quota_service.py
@@ -67,11 +67,11 @@
         role = self._role()
         if role is None:
             return None
-        found = read_note(role.replica.note, role.identity, role.replica.follows)
-        if found.refused:
+        note_read = read_note(role.replica.note, role.identity, role.replica.follows)
+        if note_read.refused:
             self.notes_refused += 1
-            self._log_change("quota-note-refused", reason=found.refused)
-        return found.left
+            self._log_change("quota-note-refused", reason=note_read.refused)
+        return note_read.left
 
     def _carry_out(self, effects: Iterable[Effect]) -> None:
         role = self._role()
--- a/cloverrouter/daemon/replica_role.py
+++ b/cloverrouter/daemon/replica_role.py
@@ -70,7 +70,7 @@
             self._on_committed,
             self._on_restored,
             self._on_view_changed,
-            lambda kept: ports.on_note(kept.note),
+            lambda stored_note: ports.on_note(stored_note.note),
         )
         self._driver = ReplicaDriver(self.replica, store, listener)
         self._summary: ViewSummary | None = None
@@ -200,7 +200,7 @@
             "view", epoch=summary.epoch, active=summary.active, head=summary.head,
             chain=[member.ip for member in event.view.chain],
         )  # fmt: skip
-        if event.view.active and any(one.identity == self.identity for one in event.view.chain):
+        if event.view.active and any(each.identity == self.identity for each in event.view.chain):
             self._publish(self.publisher.confirm(self._loop.time()))
         self._ports.on_view(summary)
         for ip in self.publisher.acknowledged():
--- a/cloverrouter/daemon/settings.py
+++ b/cloverrouter/daemon/settings.py
@@ -102,7 +102,7 @@
     pass_s: float
     revocation_s: float
     enforces_revocation: bool
-    """Whether no machine may accept a request with a key that was revoked more than `revocation_s` ago."""
+    """Whether every machine must reject keys that were revoked more than `revocation_s` ago."""
 
 
 @attrs.frozen(slots=True)
--- a/cloverrouter/daemon/settings_checks.py
+++ b/cloverrouter/daemon/settings_checks.py
@@ -123,8 +123,8 @@
             return
         if length is not None and len(value) != length:
             yield _finding(key_path, value, f"length {length}")
-        for index, one in enumerate(value):
-            yield from item(f"{key_path}.{index}", one)
+        for index, item_value in enumerate(value):
+            yield from item(f"{key_path}.{index}", item_value)
 
     return check
 
--- a/cloverrouter/daemon/signals.py
+++ b/cloverrouter/daemon/signals.py
@@ -54,7 +54,7 @@
         for number in ALL_SIGNALS:
             signal.signal(number, self._not_received.pop)
         self.handling_since_s = time.monotonic()
-        """No earlier signal is recorded; in seconds on the clock of the event loop."""
+        """Earlier signals are not recorded; in seconds on the clock of the event loop."""
 
     @property
     def stop_requested(self) -> bool:
--- a/cloverrouter/daemon/trouble_news.py
+++ b/cloverrouter/daemon/trouble_news.py
@@ -1,4 +1,4 @@
-"""Reports of failing servers and of idle connection resets to the head, and its warnings to all proxies."""
+"""Sends reports of failing servers and idle connection resets to the head, and its warnings to proxies."""
 
 from __future__ import annotations
 
--- a/tests/system/test_leaving_process.py
+++ b/tests/system/test_leaving_process.py
@@ -140,7 +140,7 @@
     assert longest.of("a", 9 * RETENTION_S) is None
 
 
-# What the router makes of it
+# The router's behaviour
 
 
 @pytest.mark.parametrize("seconds", [0.3, 1.0, 2.0, 5.0, 15.0])
@@ -285,7 +285,7 @@
     assert call is not None
     call.write()
     unsent, unsent_call = send_request(world, "/once/x")
-    begun, _ = send_request(world, "/resume/x")
+    streaming, _ = send_request(world, "/resume/x")
     world.last.stream(event(1), b"id: 2\ndata: ha")
     leave(world, 0.5)
     world.clock.pass_ms(500)
@@ -295,8 +295,8 @@
     assert unsent_call is not None
     assert unsent_call.cancelled
     assert_refused(unsent)
-    assert begun.aborted
-    assert begun.body == event(1)  # whole events only, so that the client can resume elsewhere
+    assert streaming.aborted
+    assert streaming.body == event(1)  # whole events only, so that the client can resume elsewhere
     assert world.router.in_flight == 0
 
 
--- a/tests/system/test_pages_node.py
+++ b/tests/system/test_pages_node.py
@@ -153,12 +153,12 @@
 # LOST: at SIGHUP
 
 
-@pytest.mark.parametrize("found", [True, False])
-def test_a_changed_settings_file_touches_no_request(found: bool, tmp_path: Path) -> None:
+@pytest.mark.parametrize("is_readable", [True, False])
+def test_a_changed_settings_file_touches_no_request(is_readable: bool, tmp_path: Path) -> None:
     async def run_node() -> None:
         node_settings = settings("127.77.3.1")
         path = tmp_path / "node.toml"
-        if found:
+        if is_readable:
             path.write_text(settings_text("127.77.3.1", seeds=["127.77.3.9:1"]))
             assert read(str(path)).seeds == ("127.77.3.9",)
         node = Node(node_settings, str(path), NoSignals())
@@ -167,8 +167,8 @@
         configure_with_servers(node)
         upstream = await Upstream().start()
         listed = RouterWorld().server("desk", 1, address=upstream.address)
-        gone = RouterWorld().server("desk", 0, ready=False)
-        node._traffic.router.servers_changed([gone, listed])
+        not_ready = RouterWorld().server("desk", 0, ready=False)
+        node._traffic.router.servers_changed([not_ready, listed])
         assert node_settings.frontend is not None
         client = await Peer.connect(node_settings.frontend)
         client.send(REQUEST_START.replace(b"/once/", b"/open/") + b"Content-Length: 0\r\n\r\n")
--- a/tests/system/test_request_traces.py
+++ b/tests/system/test_request_traces.py
@@ -56,9 +56,9 @@
     exchange = world.ask("/again/x")
     world.last.fail(Failure.CONNECT_FAILED)
     world.last.answer(200, SIGNED, body=b"x")
-    found = steps(traces, exchange)
-    assert [step for step, _ in found] == ["sent", "attempt-ended", "sent", "attempt-ended", "ended"]
-    assert found[1][1] == "unreached" and found[0][1] != found[2][1]
+    recorded_steps = steps(traces, exchange)
+    assert [step for step, _ in recorded_steps] == ["sent", "attempt-ended", "sent", "attempt-ended", "ended"]
+    assert recorded_steps[1][1] == "unreached" and recorded_steps[0][1] != recorded_steps[2][1]
 
 
 def test_a_client_that_left() -> None:
@@ -79,8 +79,8 @@
 def test_only_the_newest_are_remembered(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(request_traces, "MAX_TRACES", 2)
     world, traces = traced_world()
-    asked = [world.ask("/once/x") for _ in range(3)]
-    assert [traces.find(id_of(exchange)) is not None for exchange in asked] == [False, True, True]
+    exchanges = [world.ask("/once/x") for _ in range(3)]
+    assert [traces.find(id_of(exchange)) is not None for exchange in exchanges] == [False, True, True]
     assert traces.find("never") is None
 
 
--- a/tests/system/test_signals.py
+++ b/tests/system/test_signals.py
@@ -16,7 +16,7 @@
 SIGNALLED_AT_EACH_IMPORT = """
 import os, runpy, sys
 number, has_begun = {number}, False
-FIRST = ("cloverrouter.daemon.__main__", "cloverrouter.daemon.signals")  # what sets the handlers
+FIRST = ("cloverrouter.daemon.__main__", "cloverrouter.daemon.signals")  # install the handlers
 def at_import(event, arguments):
     global has_begun
     if event == "import":
--- a/tests/system/test_transport.py
+++ b/tests/system/test_transport.py
@@ -50,21 +50,21 @@
 def test_messages_arrive_in_order_and_their_sender_is_known() -> None:
     async def run() -> None:
         port = free_port()
-        one, two = (Peer(host, port) for host in HOSTS)
-        await one.transport.listen()
-        await two.transport.listen()
+        first, second = (Peer(host, port) for host in HOSTS)
+        await first.transport.listen()
+        await second.transport.listen()
         sent = [Ping(number, b"x" * 100_000) for number in range(5)]
         for ping in sent:
-            one.transport.send(HOSTS[1], ping)
+            first.transport.send(HOSTS[1], ping)
         async with asyncio.timeout(10):
-            received = [await two.received.get() for _ in sent]
+            received = [await second.received.get() for _ in sent]
         assert received == [(HOSTS[0], ping) for ping in sent]
-        assert one.links == [(HOSTS[1], True)]
-        one.transport.send(HOSTS[0], sent[0])
+        assert first.links == [(HOSTS[1], True)]
+        first.transport.send(HOSTS[0], sent[0])
         async with asyncio.timeout(10):
-            assert await one.received.get() == (HOSTS[0], sent[0])
-        await one.transport.close()
-        await two.transport.close()
+            assert await first.received.get() == (HOSTS[0], sent[0])
+        await first.transport.close()
+        await second.transport.close()
 
     asyncio.run(run())
 
@@ -72,18 +72,18 @@
 def test_a_peer_that_is_not_there_costs_the_message_only() -> None:
     async def run() -> None:
         port = free_port()
-        one = Peer(HOSTS[0], port)
-        await one.transport.listen()
-        one.transport.send(HOSTS[1], Ping(1, b""))
-        assert not one.transport.connected(HOSTS[1])
-        two = Peer(HOSTS[1], port)
-        await two.transport.listen()
+        first = Peer(HOSTS[0], port)
+        await first.transport.listen()
+        first.transport.send(HOSTS[1], Ping(1, b""))
+        assert not first.transport.connected(HOSTS[1])
+        second = Peer(HOSTS[1], port)
+        await second.transport.listen()
         async with asyncio.timeout(10):
-            while two.received.empty():
-                one.transport.send(HOSTS[1], Ping(2, b""))
+            while second.received.empty():
+                first.transport.send(HOSTS[1], Ping(2, b""))
                 await asyncio.sleep(0.01)
-        await one.transport.close()
-        await two.transport.close()
+        await first.transport.close()
+        await second.transport.close()
 
     asyncio.run(run())
 
@@ -91,15 +91,15 @@
 def test_bytes_that_are_no_message_end_the_connection() -> None:
     async def run() -> None:
         port = free_port()
-        one = Peer(HOSTS[0], port)
-        await one.transport.listen()
+        first = Peer(HOSTS[0], port)
+        await first.transport.listen()
         reader, writer = await asyncio.open_connection(HOSTS[0], port)
         writer.write(b"GET / HTTP/1.1\r\n\r\n")
         async with asyncio.timeout(10):
-            await one.errors.get()
+            await first.errors.get()
             assert await reader.read() == b""
         writer.close()
-        await one.transport.close()
+        await first.transport.close()
 
     asyncio.run(run())
 
@@ -107,24 +107,24 @@
 def test_what_is_sent_in_a_batch_goes_out_in_one_write_and_is_counted_by_kind() -> None:
     async def run() -> None:
         port = free_port()
-        one, two = (Peer(host, port) for host in HOSTS)
-        await two.transport.listen()
-        one.transport.send(HOSTS[1], Ping(0, b""))
+        first, second = (Peer(host, port) for host in HOSTS)
+        await second.transport.listen()
+        first.transport.send(HOSTS[1], Ping(0, b""))
         async with asyncio.timeout(10):
-            await two.received.get()
-            before = one.transport.writes
-            with one.transport.batch():
+            await second.received.get()
+            before = first.transport.writes
+            with first.transport.batch():
                 for number in (1, 2, 3):
-                    with one.transport.batch():
-                        one.transport.send(HOSTS[1], Ping(number, b"x"))
-                assert one.transport.writes == before
-            assert one.transport.writes == before + 1
-            received = [await two.received.get() for _ in range(3)]
+                    with first.transport.batch():
+                        first.transport.send(HOSTS[1], Ping(number, b"x"))
+                assert first.transport.writes == before
+            assert first.transport.writes == before + 1
+            received = [await second.received.get() for _ in range(3)]
         assert received == [(HOSTS[0], Ping(number, b"x")) for number in (1, 2, 3)]
-        assert one.transport.sent[Ping].messages == 4
-        assert one.transport.sent[Ping].bytes == one.transport.bytes_sent
-        await one.transport.close()
-        await two.transport.close()
+        assert first.transport.sent[Ping].messages == 4
+        assert first.transport.sent[Ping].bytes == first.transport.bytes_sent
+        await first.transport.close()
+        await second.transport.close()
 
     asyncio.run(run())
 
@@ -132,30 +132,30 @@
 def test_a_message_of_a_newer_kind_is_ignored_and_counted() -> None:
     async def run() -> None:
         port = free_port()
-        two = Peer(HOSTS[1], port)
-        await two.transport.listen()
-        known = encode(Ping(1, b""))
-        newer = known[:5] + b"\xff\xfe" + known[7:]
+        second = Peer(HOSTS[1], port)
+        await second.transport.listen()
+        known_frame = encode(Ping(1, b""))
+        newer_frame = known_frame[:5] + b"\xff\xfe" + known_frame[7:]
         _, writer = await asyncio.open_connection(HOSTS[1], port, local_addr=(HOSTS[0], 0))
-        writer.write(newer + newer + known)
+        writer.write(newer_frame + newer_frame + known_frame)
         async with asyncio.timeout(10):
-            assert await two.received.get() == (HOSTS[0], Ping(1, b""))
-        assert two.transport.messages_skipped == 2
+            assert await second.received.get() == (HOSTS[0], Ping(1, b""))
+        assert second.transport.messages_skipped == 2
         writer.close()
-        await two.transport.close()
+        await second.transport.close()
 
     asyncio.run(run())
 
 
 def backoffs_s(backoff: ConnectBackoff, refused: list[bool]) -> list[float]:
     """Returns the backoff after each of these consecutive failures, to 10 ms."""
-    now_s, found = 100.0, []
-    for each in refused:
-        backoff.failed(now_s, refused=each)
+    now_s, waits_s = 100.0, []
+    for is_refused in refused:
+        backoff.failed(now_s, refused=is_refused)
         steps = next(step for step in range(100) if backoff.may_try(now_s + step / 100 + 1e-6))
-        found.append(steps / 100)
+        waits_s.append(steps / 100)
         now_s += 1.0
-    return found
+    return waits_s
 
 
 def test_a_machine_that_refuses_is_asked_again_soon_however_often_it_did() -> None:
@@ -197,22 +197,22 @@
 def test_a_peer_that_has_come_back_is_connected_to_as_soon_as_it_connects_to_here() -> None:
     async def run() -> None:
         port = free_port()
-        one, two = (Peer(host, port) for host in HOSTS)
+        first, second = (Peer(host, port) for host in HOSTS)
         loop = UnansweredFirstConnect()
-        one.transport.loop = loop  # type: ignore[assignment]
-        await one.transport.listen()
-        await two.transport.listen()
-        one.transport.send(HOSTS[1], Ping(1, b""))  # the peer does not answer
+        first.transport.loop = loop  # type: ignore[assignment]
+        await first.transport.listen()
+        await second.transport.listen()
+        first.transport.send(HOSTS[1], Ping(1, b""))  # the peer does not answer
         await asyncio.sleep(0)
         assert loop.connects == 1
         loop.clock_offset_s = 2 * STALE_CONNECT_S
-        two.transport.send(HOSTS[0], Ping(2, b""))
+        second.transport.send(HOSTS[0], Ping(2, b""))
         async with asyncio.timeout(10):
-            assert await one.received.get() == (HOSTS[1], Ping(2, b""))
-            assert await two.received.get() == (HOSTS[0], Ping(1, b""))  # the first message is not lost
+            assert await first.received.get() == (HOSTS[1], Ping(2, b""))
+            assert await second.received.get() == (HOSTS[0], Ping(1, b""))  # the first message is not lost
         assert loop.connects == 2
-        await one.transport.close()
-        await two.transport.close()
+        await first.transport.close()
+        await second.transport.close()
 
     asyncio.run(run())
 
@@ -220,19 +220,19 @@
 def test_two_that_connect_to_each_other_at_once_connect_once_each() -> None:
     async def run() -> None:
         port = free_port()
-        one, two = (Peer(host, port) for host in HOSTS)
-        await one.transport.listen()
-        await two.transport.listen()
-        one.transport.send(HOSTS[1], Ping(1, b""))
-        two.transport.send(HOSTS[0], Ping(2, b""))
+        first, second = (Peer(host, port) for host in HOSTS)
+        await first.transport.listen()
+        await second.transport.listen()
+        first.transport.send(HOSTS[1], Ping(1, b""))
+        second.transport.send(HOSTS[0], Ping(2, b""))
         async with asyncio.timeout(10):
-            await one.received.get()
-            await two.received.get()
-        assert one.links == [(HOSTS[1], True)]
-        assert two.links == [(HOSTS[0], True)]
-        assert len(one.transport.incoming) == len(two.transport.incoming) == 1
-        await one.transport.close()
-        await two.transport.close()
+            await first.received.get()
+            await second.received.get()
+        assert first.links == [(HOSTS[1], True)]
+        assert second.links == [(HOSTS[0], True)]
+        assert len(first.transport.incoming) == len(second.transport.incoming) == 1
+        await first.transport.close()
+        await second.transport.close()
 
     asyncio.run(run())
 
