--- a/cloverrouter/daemon/__main__.py
+++ b/cloverrouter/daemon/__main__.py
@@ -19,7 +19,7 @@
     DEFAULT_PATH,
     SETTINGS_VARIABLE,
     Settings,
-    read_patiently,
+    read_with_retries,
 )
 
 
@@ -44,7 +44,7 @@
     """Runs the process and returns its exit code."""
     path = os.environ.get(SETTINGS_VARIABLE, DEFAULT_PATH)
     try:
-        settings = read_patiently(path, time.sleep)
+        settings = read_with_retries(path, time.sleep)
     except SettingsError as error:
         for finding in error.findings:
             print(f"{error.path}: {finding}", file=sys.stderr)
--- a/cloverrouter/daemon/configuration_feed.py
+++ b/cloverrouter/daemon/configuration_feed.py
@@ -32,7 +32,7 @@
         self.not_applied = 0
         self.history: deque[dict[str, Any]] = deque(maxlen=MAX_HISTORY)
 
-    def take(self, effect: Apply | Replace) -> bool:
+    def apply(self, effect: Apply | Replace) -> bool:
         """Applies a snapshot or updates. Returns False on failure: all later updates would fail too."""
         try:
             state = self._state_after(effect)
--- a/cloverrouter/daemon/control_plane.py
+++ b/cloverrouter/daemon/control_plane.py
@@ -39,12 +39,12 @@
 from cloverrouter.coordination.views import Member
 from cloverrouter.daemon.configuration_feed import ConfigurationFeed
 from cloverrouter.daemon.control_calls import ControlCalls
-from cloverrouter.daemon.listening import when_free
+from cloverrouter.daemon.listening import listen_when_free
 from cloverrouter.daemon.logs import Log
 from cloverrouter.daemon.settings import Settings
 from cloverrouter.daemon.traffic import Traffic
 from cloverrouter.daemon.transport import Transport
-from cloverrouter.daemon.trouble_news import TroubleNews
+from cloverrouter.daemon.trouble_relay import TroubleRelay
 from cloverrouter.daemon.view_notice import ViewNotice
 from cloverrouter.messages import message_classes_in
 from cloverrouter.messages.sending import Send
@@ -56,7 +56,7 @@
     from cloverrouter.coordination.genesis import GenesisProposer
     from cloverrouter.daemon.quota_service import QuotaService
     from cloverrouter.daemon.replica_role import ReplicaRole
-    from cloverrouter.daemon.servers_copy import ServersCopy
+    from cloverrouter.daemon.server_list_file import ServerListFile
 
 FRESH_MEMBER_S = 2.5  # disk members that were seen within this time count as alive
 REVOCATION_MARGIN_S = 0.5  # covers updates in flight when a voter reported its state
@@ -87,7 +87,7 @@
         self._forwarder = Forwarder(self.transport.unsent_bytes)
         self.role: ReplicaRole | None = None
         self._opening: asyncio.Task[None] | None = None
-        self._server_list_file: ServersCopy | None = None
+        self._server_list_file: ServerListFile | None = None
         self._genesis: GenesisProposer | None = None
         self._ballot = Ballot()
         self._quotas: QuotaService | None = None
@@ -132,13 +132,13 @@
         if not self._settings.is_replica:
             self._handlers.update(dict.fromkeys(coordination_messages.BALLOT_MESSAGES, self._on_ballot))
 
-    def _make_trouble_relay(self) -> TroubleNews:
-        relay = TroubleNews(
+    def _make_trouble_relay(self) -> TroubleRelay:
+        relay = TroubleRelay(
             self._settings.ip,
             self.traffic,
             self.transport.send,
             lambda: self.summary.head if self.summary is not None else None,
-            self._lead_until,
+            self._lease_until,
             self.registry.subscribers,
             self._log,
         )
@@ -149,7 +149,7 @@
 
     async def open(self) -> None:
         """Starts listening and peer discovery, and opens the replica in the background."""
-        await when_free(self.transport.listen, self._address_taken, asyncio.sleep)
+        await listen_when_free(self.transport.listen, self._address_taken, asyncio.sleep)
         now = self._loop.time()
         if self._settings.is_replica:
             self._opening = self._loop.create_task(self._open_role())
@@ -180,13 +180,13 @@
             self._send_all(self._genesis.start(now))
 
     async def _load_server_list(self) -> None:
-        from cloverrouter.daemon.servers_copy import ServersCopy
+        from cloverrouter.daemon.server_list_file import ServerListFile
 
         directory = self._settings.data_directory
         assert directory is not None
-        servers_copy = ServersCopy(directory, self.registry, self._log.error)
-        await servers_copy.find()
-        self._server_list_file = servers_copy
+        server_list_file = ServerListFile(directory, self.registry, self._log.error)
+        await server_list_file.load()
+        self._server_list_file = server_list_file
 
     def seeds_changed(self, seeds: tuple[str, ...]) -> None:
         """Applies the seeds of a reloaded settings file."""
@@ -203,7 +203,7 @@
         """Whether no other machine depends on this one's vote: see `Replica.may_end`."""
         return self.role is None or self.role.replica.may_end
 
-    def called(self, exchange: ControlExchange) -> None:
+    def handle_call(self, exchange: ControlExchange) -> None:
         """Handles a call of an operator or a server. The first call loads the API and bottle."""
         if self._api is None:
             from cloverrouter.control.api import ControlApi
@@ -222,7 +222,7 @@
         return attrs.asdict(progress) if progress is not None else {}
 
     @property
-    def calls_under_way(self) -> int:
+    def pending_calls(self) -> int:
         """The number of calls of operators and servers that wait for an answer."""
         return self._calls.pending_count
 
@@ -255,14 +255,14 @@
             self._send_all(self._genesis.tick(now))
             if self._genesis.is_over:
                 self._genesis = None
-        lease_until = self._lead_until()
+        lease_until = self._lease_until()
         self.registry.set_sole_head(lease_until is not None and now < lease_until)
         has_quorum_contact = self.subscriber.current(now)
         self.registry.set_in_touch(has_quorum_contact)
         self._forwarder.set_quorum_contact(has_quorum_contact)
         is_behind = self.subscriber.behind_s(now) > self._settings.bounds.propagation_s
         self.traffic.router.is_behind = has_quorum_contact and is_behind
-        self._limit_keys()
+        self._update_key_validity()
         self._apply_registry_effects(self.registry.tick(now))
         if self._server_list_file is not None:
             self._apply_registry_effects(self._server_list_file.tick(now))
@@ -273,7 +273,7 @@
             self._quotas.tick(now)
         self._trouble_relay.report(now)
 
-    def _limit_keys(self) -> None:
+    def _update_key_validity(self) -> None:
         """Limits how long API keys are accepted without contact to the voters.
 
         A key is accepted only until a revocation that this machine has not received could be older than the
@@ -361,7 +361,7 @@
 
     def _on_distribution(self, now: float, ip: str, message: object) -> None:
         if self.role is not None:
-            self.role.subscriber_says(now, ip, message)
+            self.role.receive_from_subscriber(now, ip, message)
         self._apply_subscriber_effects(self.subscriber.receive(now, ip, message))
 
     def _on_coordination(self, now: float, ip: str, message: object) -> None:
@@ -385,7 +385,7 @@
     def _on_head_call(self, now: float, ip: str, message: object) -> None:
         assert isinstance(message, HeadCall)
         if self.role is not None:
-            self.role.called(now, ip, message)
+            self.role.handle_call(now, ip, message)
         else:
             self.transport.send(ip, HeadAnswer(message.ticket, False, b""))
 
@@ -436,7 +436,7 @@
         for effect in effects:
             if isinstance(effect, Send):
                 self.transport.send(effect.ip, effect.message)
-            elif self.feed.take(effect):
+            elif self.feed.apply(effect):
                 self.subscriber.applied()
             else:
                 self.subscriber.start_over(self._loop.time())
@@ -482,7 +482,7 @@
         if self._quotas is not None:
             self._quotas.view_changed(now, summary.epoch, head)
 
-    def _lead_until(self) -> float | None:
+    def _lease_until(self) -> float | None:
         """Returns until when no other machine can become head, or None if this one is not head."""
         return self.role.replica.lease_until if self.role is not None else None
 
--- a/cloverrouter/daemon/head_desk.py
+++ b/cloverrouter/daemon/head_calls.py
@@ -17,7 +17,7 @@
 TOO_LARGE = OrderReply(413, b'{"error-message":"the configuration would outgrow the disks"}', 0)
 
 
-class HeadDesk:
+class HeadCalls:
     """Passes the proxies' calls to this machine's replica, and its answers back to them.
 
     A retransmitted call joins the pending one. A retransmitted order that has been answered gets the same
@@ -34,7 +34,7 @@
         self._pending_orders: set[tuple[str, int]] = set()  # the pending calls that are orders
         self._recent_answers: OrderedDict[tuple[str, int], HeadAnswer] = OrderedDict()  # of orders only
 
-    def called(self, now: float, ip: str, call: HeadCall) -> Iterable[Effect]:
+    def handle_call(self, now: float, ip: str, call: HeadCall) -> Iterable[Effect]:
         """Handles a proxy's call and returns the replica's effects."""
         key = (ip, call.ticket)
         if key in self._pending:
@@ -51,7 +51,7 @@
         self._pending_orders.add(key)
         return self._replica.submit(now, ticket, call.command)
 
-    def answered(self, answer: Answer) -> None:
+    def deliver_answer(self, answer: Answer) -> None:
         """Sends the replica's answer to the caller."""
         key = self._callers.pop(answer.ticket, None)
         if key is None:
--- a/cloverrouter/daemon/node.py
+++ b/cloverrouter/daemon/node.py
@@ -12,7 +12,7 @@
 from cloverrouter.daemon.control_plane import ControlPlane
 from cloverrouter.daemon.drain import drain_requests
 from cloverrouter.daemon.errors import SettingsError
-from cloverrouter.daemon.listening import when_free
+from cloverrouter.daemon.listening import listen_when_free
 from cloverrouter.daemon.logs import Log
 from cloverrouter.daemon.settings import Address, Settings
 from cloverrouter.daemon.signals import PlatformSignals
@@ -91,7 +91,7 @@
         if settings.readiness is not None:
             await self._serve(settings.readiness, self._readiness, READINESS_CONNECTIONS)
         if settings.control is not None:
-            await self._serve(settings.control, self._control.called, CONTROL_CONNECTIONS)
+            await self._serve(settings.control, self._control.handle_call, CONTROL_CONNECTIONS)
         if settings.frontend is not None:
             self._frontend = await self._serve(
                 settings.frontend, self._traffic.router.handle, max_client_connections
@@ -102,7 +102,7 @@
     async def _serve(self, address: Address, handle: object, connections: int) -> Server:
         limits = ServerLimits(max_connections=connections, body_bytes=MAX_CONTROL_BODY_BYTES)
         server = Server(handle, limits)  # type: ignore[arg-type]
-        await when_free(lambda: server.listen(*address), self._address_taken, asyncio.sleep)
+        await listen_when_free(lambda: server.listen(*address), self._address_taken, asyncio.sleep)
         self._servers.append(server)
         return server
 
@@ -142,4 +142,4 @@
     def _is_busy(self) -> bool:
         frontend = self._frontend
         has_clients = frontend is not None and (frontend.open_exchanges > 0 or frontend.connections > 0)
-        return has_clients or self._control.calls_under_way > 0 or not self._control.may_end
+        return has_clients or self._control.pending_calls > 0 or not self._control.may_end
--- a/cloverrouter/daemon/quota_service.py
+++ b/cloverrouter/daemon/quota_service.py
@@ -47,18 +47,18 @@
 
     def tick(self, now: float) -> None:
         """Advances the allocator to `now`."""
-        self._carry_out(self._duty.tick(now, self._lead_until()))
+        self._carry_out(self._duty.tick(now, self._lease_until()))
 
     def receive(self, now: float, ip: str, message: object) -> None:
         """Handles a message of a proxy or of an earlier head."""
-        self._carry_out(self._duty.receive(now, self._lead_until(), ip, message))
+        self._carry_out(self._duty.receive(now, self._lease_until(), ip, message))
 
     def note_stored(self, note: bytes) -> None:
         """Handles the completed write of a note to the disk."""
         stored = decode_message(note, QuotaNote)
-        self._carry_out(self._duty.noted(self._clock(), self._lead_until(), stored))
+        self._carry_out(self._duty.noted(self._clock(), self._lease_until(), stored))
 
-    def _lead_until(self) -> float | None:
+    def _lease_until(self) -> float | None:
         role = self._role()
         return role.replica.lease_until if role is not None else None
 
--- a/cloverrouter/daemon/replica_role.py
+++ b/cloverrouter/daemon/replica_role.py
@@ -17,7 +17,7 @@
 from cloverrouter.coordination.replica import Replica
 from cloverrouter.coordination.sampling_messages import ViewSummary, VoterAddress
 from cloverrouter.coordination.views import Member
-from cloverrouter.daemon.head_desk import HeadDesk
+from cloverrouter.daemon.head_calls import HeadCalls
 from cloverrouter.daemon.replica_driver import ReplicaDriver, ReplicaListener
 from cloverrouter.daemon.settings import Settings
 from cloverrouter.daemon.view_notice import ViewNotice
@@ -29,8 +29,8 @@
 MEGABYTE = 1024 * 1024
 DISK_RETRY_S = 0.3
 # After this many connectivity bounds without a confirmed view, an old state is published rather than none.
-UNCONFIRMED_PARTS = 2
-REVIEWED_APART_BYTES = 64 * 1024
+UNCONFIRMED_TIMEOUT_FACTOR = 2
+THREADED_REVIEW_BYTES = 64 * 1024
 
 
 @attrs.frozen(slots=True)
@@ -58,15 +58,15 @@
         self.identity = stored.identity
         self.publisher = Publisher(is_confirmed=False)
         self._publish_deadline_s = 0.0
-        self._unconfirmed_timeout_s = UNCONFIRMED_PARTS * settings.bounds.connectivity_s
+        self._unconfirmed_timeout_s = UNCONFIRMED_TIMEOUT_FACTOR * settings.bounds.connectivity_s
         own_member = Member(stored.identity, settings.ip, settings.name, settings.zone)
         config = ReplicaConfig(settings.tolerated_machines, max_state_bytes=store.max_state_bytes)
         self._machine = ConfigurationMachine()
         self.replica = Replica(own_member, stored, self._machine, config, random)
-        self._call_handler = HeadDesk(self.replica, ports.send)
+        self._call_handler = HeadCalls(self.replica, ports.send)
         listener = ReplicaListener(
             ports.send,
-            self._call_handler.answered,
+            self._call_handler.deliver_answer,
             self._on_committed,
             self._on_restored,
             self._on_view_changed,
@@ -115,7 +115,7 @@
         """Handles a message of another replica."""
         self._driver.carry_out(self.replica.receive(now, ip, message))
 
-    def subscriber_says(self, now: float, ip: str, message: object) -> None:
+    def receive_from_subscriber(self, now: float, ip: str, message: object) -> None:
         """Handles a message of a proxy's subscriber, which is sent the view before any committed update.
 
         A proxy that was disconnected may know old voters only. If it counted the offers of a majority of
@@ -127,15 +127,15 @@
             return
         self._publish(self.publisher.receive(now, ip, message))
 
-    def called(self, now: float, ip: str, call: HeadCall) -> None:
+    def handle_call(self, now: float, ip: str, call: HeadCall) -> None:
         """Handles a proxy's call to the head.
 
         A long order is first reviewed on a separate thread: a head that sends nothing while it reviews is
         replaced, and so would be the next head that receives the order.
         """
-        is_long = call.kind == CallKind.ORDER.value and len(call.command) >= REVIEWED_APART_BYTES
+        is_long = call.kind == CallKind.ORDER.value and len(call.command) >= THREADED_REVIEW_BYTES
         if not is_long or self.replica.lease_until is None:
-            self._driver.carry_out(self._call_handler.called(now, ip, call))
+            self._driver.carry_out(self._call_handler.handle_call(now, ip, call))
         elif (ip, call.ticket) not in self._review_tasks:
             self._review_tasks[ip, call.ticket] = self._loop.create_task(self._review(ip, call))
 
@@ -146,7 +146,7 @@
             del self._review_tasks[ip, call.ticket]
         if reviewed is not None:
             self._machine.provide_review(reviewed)
-        self._driver.carry_out(self._call_handler.called(self._loop.time(), ip, call))
+        self._driver.carry_out(self._call_handler.handle_call(self._loop.time(), ip, call))
 
     def _start_review(self, command: bytes) -> asyncio.Future[ReviewResult | None]:
         """Returns the review of a long order; all callers that send it meanwhile share one review."""
--- a/cloverrouter/daemon/servers_copy.py
+++ b/cloverrouter/daemon/server_list_file.py
@@ -17,7 +17,7 @@
 FILE_NAME = "servers.copy"
 
 
-class ServersCopy:
+class ServerListFile:
     """The stored list of one machine. A thread reads and writes it, because the disk may be slow or stall."""
 
     def __init__(self, directory: Path, registry: Registry, log_error: Callable[..., None]) -> None:
@@ -26,10 +26,10 @@
         self._log_error = log_error
         self._loop = asyncio.get_running_loop()
         self._executor = ThreadPoolExecutor(1, thread_name_prefix="servers-copy")
-        self._writing: asyncio.Task[None] | None = None
+        self._write_task: asyncio.Task[None] | None = None
         self._failed = False
 
-    async def find(self) -> None:
+    async def load(self) -> None:
         """Loads the list that the previous process stored."""
         data = await self._loop.run_in_executor(self._executor, self._file.read)
         records = unpack(data, time.time()) if data is not None else ()
@@ -37,10 +37,10 @@
 
     def tick(self, now: float) -> list[Effect]:
         """Stores the list if that is due; returns the registry's effects if the loaded list is restored."""
-        if self._writing is None:
+        if self._write_task is None:
             records = self._snapshot.take_due(now)
             if records:
-                self._writing = self._loop.create_task(self._write(records))
+                self._write_task = self._loop.create_task(self._write(records))
         return self._snapshot.tick(now)
 
     async def _write(self, records: list[InstanceRecord]) -> None:
@@ -52,7 +52,7 @@
                 self._log_error("servers-not-copied", error=str(error))
             self._failed = True
         finally:
-            self._writing = None
+            self._write_task = None
 
     def _replace(self, records: list[InstanceRecord], wall_s: float) -> None:
         data = pack(records, wall_s)
--- a/cloverrouter/daemon/settings.py
+++ b/cloverrouter/daemon/settings.py
@@ -144,7 +144,7 @@
     return settings_of(document, path)
 
 
-def read_patiently(path: str, sleep: Callable[[float], None]) -> Settings:
+def read_with_retries(path: str, sleep: Callable[[float], None]) -> Settings:
     """Returns the settings in this file, read again for up to a second while they are invalid.
 
     The file may still be being written. Raises `SettingsError`.
--- a/cloverrouter/daemon/trouble_news.py
+++ b/cloverrouter/daemon/trouble_relay.py
@@ -11,7 +11,7 @@
 from cloverrouter.placement.trouble_messages import RestReport, RestWarning, TroubleReport, TroubleWarning
 
 
-class TroubleNews:
+class TroubleRelay:
     """Sends this proxy's reports to the head; as head, aggregates reports and warns all proxies.
 
     `head` returns the head's address, `lease_until` the end of this machine's lease as head or None, and
@@ -32,7 +32,7 @@
         self._traffic = traffic
         self._send = send
         self._head = head
-        self._lead_until = lease_until
+        self._lease_until = lease_until
         self._proxies = proxies
         self._log = log
         self._failure_aggregator = FailureAggregator(lambda: traffic.fleet_size)
@@ -67,7 +67,7 @@
                 self._broadcast_warning(found)
 
     def _leads(self, now: float) -> bool:
-        until = self._lead_until()
+        until = self._lease_until()
         return until is not None and now < until
 
     def _broadcast_warning(self, warning: TroubleWarning | RestWarning) -> None:
--- a/cloverrouter/explore/coordination/distribution_model.py
+++ b/cloverrouter/explore/coordination/distribution_model.py
@@ -279,7 +279,7 @@
 
     def _put_in_force(self, effect: Apply | Replace) -> None:
         machine = self.machine
-        machine.feed.take(effect)
+        machine.feed.apply(effect)
         document = machine.feed.state.json()
         documents = _history(self.scope.changes)[2]
         self.tell(f"-> {effect.sequence} is in force")
--- a/cloverrouter/explore/coordination/orders_model.py
+++ b/cloverrouter/explore/coordination/orders_model.py
@@ -1,6 +1,6 @@
 """Operators' orders from proxy to head and back: the real order machine, forwarder and the head's desks.
 
-Real: `ConfigurationMachine`, `Forwarder`, `HeadDesk`; of the chain `History`, `PendingCalls` and the work of
+Real: `ConfigurationMachine`, `Forwarder`, `HeadCalls`; of the chain `History`, `PendingCalls` and the work of
 `Head` on commands. Played: operators, who hear no answer and send again, to any proxy; the network, which
 holds messages back, loses them and changes their order; and the chain, as far as its own model shows that it
 does it: one replica leads, updates are committed in order by it alone, another takes over with all that was
@@ -46,7 +46,7 @@
 from cloverrouter.coordination.pending_calls import PendingCalls
 from cloverrouter.coordination.replica import Replica
 from cloverrouter.coordination.views import Member, View
-from cloverrouter.daemon.head_desk import HeadDesk
+from cloverrouter.daemon.head_calls import HeadCalls
 from cloverrouter.explore.coordination.copies import Form, Immutable, digest
 from cloverrouter.explore.coordination.network import Network
 from cloverrouter.explore.coordination.search import Action
@@ -243,7 +243,7 @@
 
     name: str
     replica: LeadingReplica
-    desk: HeadDesk
+    desk: HeadCalls
 
 
 @attrs.define(slots=True)
@@ -279,7 +279,7 @@
 
     def _begin_machine(self, name: str) -> None:
         replica = LeadingReplica(name)
-        self.machines[name] = _Machine(name, replica, HeadDesk(replica, _Outbox(self, name).send))
+        self.machines[name] = _Machine(name, replica, HeadCalls(replica, _Outbox(self, name).send))
         for update in self.committed:
             replica.history.append(update)
         replica.history.commit(len(self.committed))
@@ -429,7 +429,7 @@
             self._forwarded(proxy, proxy.forwarder.handle_answer(proxy.clock, message))
         elif isinstance(message, HeadCall):
             machine = self.machines[letter.target]
-            self._take(letter.target, machine.desk.called(0.0, letter.source, message))
+            self._take(letter.target, machine.desk.handle_call(0.0, letter.source, message))
 
     def send(self, source: str, target: str, message: HeadCall | HeadAnswer) -> None:
         """A message goes out."""
@@ -476,7 +476,7 @@
         machine = self.machines[name]
         for effect in effects:
             if isinstance(effect, Answer):
-                machine.desk.answered(effect)
+                machine.desk.deliver_answer(effect)
         if name == self.leader:
             self._note_committed(machine.replica)
 
--- a/tests/system/control_world.py
+++ b/tests/system/control_world.py
@@ -24,7 +24,7 @@
 )
 from cloverrouter.coordination.effects import Answer, Effect, Outcome, StateMachine, ViewChanged
 from cloverrouter.coordination.sampling_messages import ViewSummary
-from cloverrouter.daemon.head_desk import HeadDesk
+from cloverrouter.daemon.head_calls import HeadCalls
 from cloverrouter.daemon.replica_role import summary_of
 from cloverrouter.messages.sending import Send
 from tests.system.replica_world import Node, Register, World
@@ -79,7 +79,7 @@
 
     def __init__(self, seed: int, count: int, tolerance: int, proxies: int = 2, **options: Any) -> None:
         self.front_ends: dict[str, FrontEnd] = {}
-        self._desks: dict[str, tuple[Any, HeadDesk]] = {}
+        self._desks: dict[str, tuple[Any, HeadCalls]] = {}
         super().__init__(seed, count, tolerance, **options)
         for node in self.nodes:
             self.front_ends[node.ip] = FrontEnd(node.ip, self.random.random())
@@ -153,21 +153,21 @@
     def _handle_call(self, from_ip: str, to_ip: str, call: HeadCall) -> None:
         for node in self.nodes:
             if node.ip == to_ip and node.replica is not None:
-                self.carry_out(node, self._desk(node).called(self.now, from_ip, call))
+                self.carry_out(node, self._desk(node).handle_call(self.now, from_ip, call))
 
-    def _desk(self, node: Node) -> HeadDesk:
-        """Returns the `HeadDesk` of a node's current process."""
+    def _desk(self, node: Node) -> HeadCalls:
+        """Returns the `HeadCalls` of a node's current process."""
         found = self._desks.get(node.ip)
         if found is None or found[0] is not node.replica:
             assert node.replica is not None
-            desk = HeadDesk(node.replica, lambda ip, message: self._send_or_loop_back(node.ip, ip, message))
+            desk = HeadCalls(node.replica, lambda ip, message: self._send_or_loop_back(node.ip, ip, message))
             found = self._desks[node.ip] = node.replica, desk
         return found[1]
 
     def carry_out(self, node: Node, effects: Iterable[Effect]) -> None:
         for effect in effects:
             if isinstance(effect, Answer):
-                self._desk(node).answered(effect)
+                self._desk(node).deliver_answer(effect)
             else:
                 super().carry_out(node, [effect])
 
--- a/tests/system/order_world.py
+++ b/tests/system/order_world.py
@@ -1,6 +1,6 @@
 """A seeded simulation of operators, proxies and the replica chain, with real orders.
 
-Each machine with a disk has a replica of the configuration and a `HeadDesk`. Proxies receive the operators'
+Each machine with a disk has a replica of the configuration and a `HeadCalls`. Proxies receive the operators'
 calls and forward them, as their processes do. Processes end and restart, links are cut, answers are lost.
 """
 
@@ -34,7 +34,7 @@
 )
 from cloverrouter.control.updates import decode_message, decode_update
 from cloverrouter.coordination.effects import Answer, Committed, Effect, StateMachine
-from cloverrouter.daemon.head_desk import HeadDesk
+from cloverrouter.daemon.head_calls import HeadCalls
 from cloverrouter.messages import encode
 from cloverrouter.messages.sending import Send
 from tests.system.configurations import document
@@ -149,7 +149,7 @@
     """Replicas of the configuration, and proxies. Operators call proxies, not replicas."""
 
     def __init__(self, seed: int, count: int, tolerance: int, proxies: int = 3, **options: Any) -> None:
-        self.desks: dict[str, tuple[int, HeadDesk]] = {}
+        self.desks: dict[str, tuple[int, HeadCalls]] = {}
         self.proxies: list[Proxy] = []
         self.documents: dict[int, bytes] = {}  # committed, by version
         self.versions: dict[str, int] = {}  # of the orders that were committed, by digest
@@ -184,21 +184,21 @@
             super()._deliver(from_ip, to_ip, message)
 
     def _hand_call(self, node: Node, from_ip: str, call: HeadCall) -> None:
-        self._when_awake(node, lambda: list(self._desk(node).called(self.now, from_ip, call)))
+        self._when_awake(node, lambda: list(self._desk(node).handle_call(self.now, from_ip, call)))
 
-    def _desk(self, node: Node) -> HeadDesk:
-        """Returns the `HeadDesk` of a node's current process."""
+    def _desk(self, node: Node) -> HeadCalls:
+        """Returns the `HeadCalls` of a node's current process."""
         life, desk = self.desks.get(node.ip, (0, None))
         if desk is None or life != node.life:
             assert node.replica is not None
-            desk = HeadDesk(node.replica, lambda ip, message: self.send(node.ip, ip, message))
+            desk = HeadCalls(node.replica, lambda ip, message: self.send(node.ip, ip, message))
             self.desks[node.ip] = (node.life, desk)
         return desk
 
     def carry_out(self, node: Node, effects: Iterable[Effect]) -> None:
         for effect in effects:
             if isinstance(effect, Answer) and node.replica is not None:
-                self._desk(node).answered(effect)
+                self._desk(node).deliver_answer(effect)
             else:
                 super().carry_out(node, (effect,))
 
--- a/tests/system/test_leaving_replica.py
+++ b/tests/system/test_leaving_replica.py
@@ -15,7 +15,7 @@
 def test_a_process_whose_vote_is_waited_for_is_busy(may_end: bool) -> None:
     role: Any = SimpleNamespace(replica=SimpleNamespace(may_end=may_end))
     plane: Any = SimpleNamespace(role=role)
-    control: Any = SimpleNamespace(calls_under_way=0, may_end=ControlPlane.may_end.fget(plane))  # type: ignore[attr-defined]
+    control: Any = SimpleNamespace(pending_calls=0, may_end=ControlPlane.may_end.fget(plane))  # type: ignore[attr-defined]
     node: Any = SimpleNamespace(_frontend=None, _control=control)
     assert Node._is_busy(node) is not may_end
 
--- a/tests/system/test_list_snapshot.py
+++ b/tests/system/test_list_snapshot.py
@@ -21,7 +21,7 @@
 )
 from cloverrouter.control.registry import Registry
 from cloverrouter.control.servers_list import InstancesChanged
-from cloverrouter.daemon.servers_copy import FILE_NAME, ServersCopy
+from cloverrouter.daemon.server_list_file import FILE_NAME, ServerListFile
 from cloverrouter.store.atomic_file import AtomicFile
 from cloverrouter.store.errors import StoreFailed
 
@@ -165,13 +165,13 @@
 
     async def scene() -> None:
         logged: list[str] = []
-        copy = ServersCopy(tmp_path / "none", registry(server(1)), lambda event, **_: logged.append(event))
-        await copy.find()
+        copy = ServerListFile(tmp_path / "none", registry(server(1)), lambda event, **_: logged.append(event))
+        await copy.load()
         now = asyncio.get_running_loop().time()
         for step in range(1, 4):
             copy.tick(now + step * (REFRESH_INTERVAL_S + WRITE_INTERVAL_S))
-            assert copy._writing is not None
-            await copy._writing
+            assert copy._write_task is not None
+            await copy._write_task
         assert logged == ["servers-not-copied"]
         copy.close()
 
@@ -181,15 +181,15 @@
 def test_the_next_process_restores_the_snapshot(tmp_path: Path) -> None:
     async def scene() -> None:
         now = asyncio.get_running_loop().time()
-        before = ServersCopy(tmp_path, registry(*map(server, range(6)), now=now), lambda event, **_: None)
-        await before.find()
+        before = ServerListFile(tmp_path, registry(*map(server, range(6)), now=now), lambda event, **_: None)
+        await before.load()
         before.tick(now + 2 * WRITE_INTERVAL_S)
-        assert before._writing is not None
-        await before._writing
+        assert before._write_task is not None
+        await before._write_task
         before.close()
         assert (tmp_path / FILE_NAME).exists()
-        after = ServersCopy(tmp_path, registry(now=now), lambda event, **_: None)
-        await after.find()
+        after = ServerListFile(tmp_path, registry(now=now), lambda event, **_: None)
+        await after.load()
         assert len(ids(after.tick(now + 1.0))) == 6
         after.close()
 
--- a/tests/system/test_long_orders.py
+++ b/tests/system/test_long_orders.py
@@ -20,7 +20,7 @@
 from cloverrouter.control.orders import ConfigurationMachine, Order, OrderReply
 from cloverrouter.control.updates import decode_message
 from cloverrouter.coordination.views import GENESIS_EPOCH, Member, View, encode_view
-from cloverrouter.daemon.replica_role import REVIEWED_APART_BYTES, ReplicaRole, RolePorts
+from cloverrouter.daemon.replica_role import THREADED_REVIEW_BYTES, ReplicaRole, RolePorts
 from cloverrouter.messages import encode
 from cloverrouter.store import Meta
 from cloverrouter.store.replica_store import ReplicaStore
@@ -150,11 +150,11 @@
         loop = asyncio.get_running_loop()
         await chain.until(lambda: chain.role.replica.lease_until is not None)
         long, short = command(0, 5), command(5, 7, 2)
-        assert len(long) >= REVIEWED_APART_BYTES > len(short)
+        assert len(long) >= THREADED_REVIEW_BYTES > len(short)
         for ticket in (1, 1, 2):
-            chain.role.called(loop.time(), PROXY, HeadCall(ticket, CallKind.ORDER.value, long))
+            chain.role.handle_call(loop.time(), PROXY, HeadCall(ticket, CallKind.ORDER.value, long))
         await chain.until(lambda: len(chain.answers()) == 2)
-        chain.role.called(loop.time(), PROXY, HeadCall(3, CallKind.ORDER.value, short))
+        chain.role.handle_call(loop.time(), PROXY, HeadCall(3, CallKind.ORDER.value, short))
         await chain.until(lambda: len(chain.answers()) == 3)
         chain.role.close()
         replies = [decode_message(answer.reply, OrderReply) for answer in chain.answers()]
--- a/tests/system/test_mechanisms.py
+++ b/tests/system/test_mechanisms.py
@@ -30,7 +30,7 @@
 from cloverrouter.coordination.head import Head
 from cloverrouter.coordination.proposal import Proposal
 from cloverrouter.coordination.sampling_messages import ViewSummary
-from cloverrouter.daemon.trouble_news import TroubleNews
+from cloverrouter.daemon.trouble_relay import TroubleRelay
 from cloverrouter.placement.quota import QuotaHolder
 from cloverrouter.store import StoreFull, replica_store
 from tests.system import (
@@ -42,7 +42,7 @@
     test_registry,
     test_replica_store,
     test_subscribers,
-    test_trouble_news,
+    test_trouble_relay,
     test_view_learned,
 )
 
@@ -238,9 +238,9 @@
         yield
 
 
-@mechanism(lambda: test_trouble_news.test_a_head_warns_only_while_no_other_can_be_head(0.9, False))
+@mechanism(lambda: test_trouble_relay.test_a_head_warns_only_while_no_other_can_be_head(0.9, False))
 def warnings_are_given_while_the_lead_is_sure() -> Iterator[None]:
-    with patch.object(TroubleNews, "_leads", lambda self, now: self._lead_until() is not None):
+    with patch.object(TroubleRelay, "_leads", lambda self, now: self._lease_until() is not None):
         yield
 
 
--- a/tests/system/test_pages_requests.py
+++ b/tests/system/test_pages_requests.py
@@ -161,7 +161,7 @@
     force, it would have no routes, and requests would be answered with 404."""
     applied: list[ConfigurationState] = []
     feed = ConfigurationFeed(applied.append, lambda *how, **why: pytest.fail(str(why)))
-    feed.take(Replace(NOTHING + 1, ConfigurationMachine().snapshot()))
+    feed.apply(Replace(NOTHING + 1, ConfigurationMachine().snapshot()))
     assert not applied
 
 
--- a/tests/system/test_replica_role.py
+++ b/tests/system/test_replica_role.py
@@ -100,7 +100,7 @@
         voters = (SELF, *OTHERS) if is_voter else (*OTHERS, Member("cc", "10.0.0.4", "four", "a"))
         role, sent = await role_in_view(tmp_path, voters)
         sent.clear()
-        role.subscriber_says(1.1, "10.0.0.9", Subscribe(5, True))
+        role.receive_from_subscriber(1.1, "10.0.0.9", Subscribe(5, True))
         role.close()
         return [type(message) for message in sent]
 
--- a/tests/system/test_restart_state.py
+++ b/tests/system/test_restart_state.py
@@ -18,7 +18,7 @@
 from cloverrouter.coordination.effects import Answer, Outcome
 from cloverrouter.coordination.messages import Heartbeat
 from cloverrouter.coordination.views import GENESIS_EPOCH, Member, View, encode_view
-from cloverrouter.daemon.replica_role import UNCONFIRMED_PARTS, ReplicaRole, RolePorts
+from cloverrouter.daemon.replica_role import UNCONFIRMED_TIMEOUT_FACTOR, ReplicaRole, RolePorts
 from cloverrouter.messages import encode
 from cloverrouter.messages.sending import Send
 from cloverrouter.store import Meta, Record, Update
@@ -138,10 +138,10 @@
     async def scene() -> None:
         role = await ReplicaRole.open(settings, ports, Random(1))
         role.start(100.0)
-        role.subscriber_says(100.1, PROXY, Subscribe(NOTHING, True))
-        role.tick(100.0 + UNCONFIRMED_PARTS * CONNECTIVITY_S - 0.1)
+        role.receive_from_subscriber(100.1, PROXY, Subscribe(NOTHING, True))
+        role.tick(100.0 + UNCONFIRMED_TIMEOUT_FACTOR * CONNECTIVITY_S - 0.1)
         assert told() == {NOTHING}
-        role.tick(100.0 + UNCONFIRMED_PARTS * CONNECTIVITY_S + 0.1)
+        role.tick(100.0 + UNCONFIRMED_TIMEOUT_FACTOR * CONNECTIVITY_S + 0.1)
         assert told() == {NOTHING, 1}
         role.close()
 
--- a/tests/system/test_revocation.py
+++ b/tests/system/test_revocation.py
@@ -83,7 +83,7 @@
         subscriber=SimpleNamespace(complete_as_of=lambda: complete_as_of),
         traffic=SimpleNamespace(router=router),
     )
-    ControlPlane._limit_keys(plane)
+    ControlPlane._update_key_validity(plane)
     return float(router.keys_valid_until)
 
 
--- a/tests/system/test_start_over.py
+++ b/tests/system/test_start_over.py
@@ -19,8 +19,8 @@
 from cloverrouter.control.voter_choice import VoterAddress
 from cloverrouter.daemon.configuration_feed import ConfigurationFeed
 from cloverrouter.daemon.errors import SettingsError
-from cloverrouter.daemon.listening import PATIENCE_S, when_free
-from cloverrouter.daemon.settings import read_patiently
+from cloverrouter.daemon.listening import LISTEN_TIMEOUT_S, listen_when_free
+from cloverrouter.daemon.settings import read_with_retries
 from cloverrouter.lab.fleet import deployment, nodes
 from cloverrouter.messages import encode
 from cloverrouter.messages.sending import Send
@@ -61,9 +61,9 @@
     errors: list[str] = []
     feed = ConfigurationFeed(configured.append, lambda kind, **fields: errors.append(kind))
     document = b'{"version":3,"route-table":[],"backends":[]}'
-    assert feed.take(Replace(1, encode(MachineSnapshot(3, document, b""))))
-    assert not feed.take(Apply(2, (encode(ConfigurationPatched(7, 4, b"", b"{}")),)))
-    assert not feed.take(Apply(3, (encode(ConfigurationPatched(7, 3, b"", b'{"upsert":3}')),)))
+    assert feed.apply(Replace(1, encode(MachineSnapshot(3, document, b""))))
+    assert not feed.apply(Apply(2, (encode(ConfigurationPatched(7, 4, b"", b"{}")),)))
+    assert not feed.apply(Apply(3, (encode(ConfigurationPatched(7, 3, b"", b'{"upsert":3}')),)))
     assert errors == ["configuration-not-applied"] * 2
     assert [state.version for state in configured] == [3]
 
@@ -86,11 +86,11 @@
             raise OSError(errno.EADDRINUSE, "in use")
         return "listening"
 
-    assert asyncio.run(when_free(listen, told.append, clock.sleep)) == "listening"
+    assert asyncio.run(listen_when_free(listen, told.append, clock.sleep)) == "listening"
     assert len(told) == 1
 
 
-@pytest.mark.parametrize(("number", "waits_s"), [(errno.EADDRINUSE, PATIENCE_S), (errno.EACCES, 0.0)])
+@pytest.mark.parametrize(("number", "waits_s"), [(errno.EADDRINUSE, LISTEN_TIMEOUT_S), (errno.EACCES, 0.0)])
 def test_an_address_that_does_not_get_free_is_told(number: int, waits_s: float) -> None:
     clock = Clock()
 
@@ -98,7 +98,7 @@
         raise OSError(number, "no")
 
     with pytest.raises(OSError, match="no"):
-        asyncio.run(when_free(listen, lambda error: None, clock.sleep))
+        asyncio.run(listen_when_free(listen, lambda error: None, clock.sleep))
     assert clock.waited_s == pytest.approx(waits_s, abs=0.2)
 
 
@@ -111,13 +111,13 @@
     def go_on_writing(seconds: float) -> None:
         path.write_text(whole)
 
-    assert read_patiently(str(path), go_on_writing).name == spec.name
+    assert read_with_retries(str(path), go_on_writing).name == spec.name
 
 
 def test_a_settings_file_that_stays_wrong_is_told(tmp_path: Path) -> None:
     waits: list[float] = []
     with pytest.raises(SettingsError):
-        read_patiently(str(tmp_path / "none.toml"), waits.append)
+        read_with_retries(str(tmp_path / "none.toml"), waits.append)
     assert sum(waits) == pytest.approx(1.0)
 
 
--- a/tests/system/test_trouble_news.py
+++ b/tests/system/test_trouble_relay.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from cloverrouter.daemon.trouble_news import TroubleNews
+from cloverrouter.daemon.trouble_relay import TroubleRelay
 from cloverrouter.placement.trouble_messages import RestWarning, TroubleReport, TroubleWarning
 
 HEAD, OTHER, OWN = "10.0.0.1", "10.0.0.2", "10.0.0.3"
@@ -21,7 +21,7 @@
         self.sent: list[tuple[str, object]] = []
         traffic: Any = SimpleNamespace(fleet_size=3, apply_warning=self.warnings.append)
         log: Any = SimpleNamespace(change=lambda *_, **__: None)
-        self.relay = TroubleNews(
+        self.relay = TroubleRelay(
             OWN,
             traffic,
             lambda ip, message: self.sent.append((ip, message)),
