--- a/cloverrouter/lab/fleet/asking.py
+++ b/cloverrouter/lab/fleet/asking.py
@@ -1,4 +1,4 @@
-"""Asking each of several subjects again and again, each on its own and with a pause between."""
+"""Periodic polling of several subjects, each in a task of its own."""
 
 from __future__ import annotations
 
@@ -9,25 +9,25 @@
 T = TypeVar("T")
 
 
-class AskingOn(Generic[T]):
-    """Calls `ask` for each subject, and `pause_s` seconds after its end again, from `begin` until `stop`."""
+class Poller(Generic[T]):
+    """Calls `poll` for each subject from `start` until `stop`, pausing `pause_s` seconds after each call."""
 
-    def __init__(self, subjects: Sequence[T], ask: Callable[[T], Awaitable[None]], pause_s: float) -> None:
+    def __init__(self, subjects: Sequence[T], poll: Callable[[T], Awaitable[None]], pause_s: float) -> None:
         self._subjects = subjects
-        self._ask = ask
+        self._poll = poll
         self._pause_s = pause_s
         self._tasks: list[asyncio.Task[None]] = []
 
-    def begin(self) -> None:
-        """Asks from now on."""
-        self._tasks = [asyncio.create_task(self._ask_on(subject)) for subject in self._subjects]
+    def start(self) -> None:
+        """Starts one polling task per subject."""
+        self._tasks = [asyncio.create_task(self._poll_repeatedly(subject)) for subject in self._subjects]
 
     def stop(self) -> None:
-        """Asks no more."""
+        """Cancels all polling tasks."""
         for task in self._tasks:
             task.cancel()
 
-    async def _ask_on(self, subject: T) -> None:
+    async def _poll_repeatedly(self, subject: T) -> None:
         while True:
-            await self._ask(subject)
+            await self._poll(subject)
             await asyncio.sleep(self._pause_s)
--- a/cloverrouter/lab/fleet/client.py
+++ b/cloverrouter/lab/fleet/client.py
@@ -1,4 +1,4 @@
-"""Clients: they ask, read answers and streams, retry as the contract lets them, and tell the judge all."""
+"""Clients: send requests, read answers, retry as the contract allows, and report all to the judge."""
 
 from __future__ import annotations
 
@@ -8,9 +8,9 @@
 
 import attrs
 
-from cloverrouter.lab.fleet.contract import PROMISES, Event, subject_of
-from cloverrouter.lab.fleet.judge import AnswerSeen, Ask, Judge, Request
-from cloverrouter.lab.fleet.load import Draws, Kind, Wish
+from cloverrouter.lab.fleet.contract import NOT_EXECUTED_STATUSES, Event, subject_of
+from cloverrouter.lab.fleet.judge import Judge, ObservedAnswer, Operation, Request
+from cloverrouter.lab.fleet.load import LoadGenerator, RequestKind, RequestTemplate
 from cloverrouter.lab.fleet.wire import (
     EventParser,
     Head,
@@ -22,38 +22,38 @@
     render_chunk,
 )
 
-FINAL_STATUSES = frozenset({400, 401, 404, 413, 431})  # never asked again
-CONNECT_S = 1.0
+FINAL_STATUSES = frozenset({400, 401, 404, 413, 431})  # never retried
+CONNECT_TIMEOUT_S = 1.0
 RETRY_PAUSE_S = 0.05
-MOST_KEPT = 8  # connections kept by a client, each for later requests
+MAX_IDLE_CONNECTIONS = 8  # idle keep-alive connections per client
 
-Stream = tuple[asyncio.StreamReader, asyncio.StreamWriter]
+Connection = tuple[asyncio.StreamReader, asyncio.StreamWriter]
 
 
 class Frontends(Protocol):
-    """Who says where new connections go."""
+    """Selects the frontend for a new connection."""
 
     def frontend(self, zone: str) -> str:
-        """The address for a new connection from this zone."""
+        """Returns the address for a new connection from this zone."""
         ...
 
 
 @attrs.define(slots=True)
-class Try:
-    """How one try went."""
+class Attempt:
+    """The outcome of one attempt. Times in seconds."""
 
     status: int | None = None
     head: Head | None = None
     events: list[Event] = attrs.field(factory=list)
     body: bytes = b""
-    whole: bool = False
+    is_complete: bool = False
     was_sent: bool = False
-    was_cut: bool = False
+    was_interrupted: bool = False
     first_event_at: float | None = None
 
     @property
     def served(self) -> bool:
-        return self.whole and self.status is not None and 200 <= self.status < 300
+        return self.is_complete and self.status is not None and 200 <= self.status < 300
 
     @property
     def retry_after_s(self) -> float:
@@ -65,168 +65,185 @@
 
 
 class Client:
-    """One client in one zone, with some connections that it keeps. `clock` gives seconds.
+    """One client in one zone, with a pool of keep-alive connections. `clock` returns seconds.
 
-    `is_stubborn`: it goes on using its connections whatever answers say of their end.
+    `ignores_close`: it keeps using a connection after an answer with `Connection: close`.
     """
 
     def __init__(
         self,
         zone: str,
         platform: Frontends,
-        draws: Draws,
+        generator: LoadGenerator,
         judge: Judge,
         clock: Callable[[], float],
-        is_stubborn: bool = False,
+        ignores_close: bool = False,
     ) -> None:
         self.zone = zone
-        self._is_stubborn = is_stubborn
+        self._ignores_close = ignores_close
         self._platform = platform
-        self._draws = draws
+        self._generator = generator
         self._judge = judge
         self._clock = clock
-        self._kept: list[Stream] = []
-
-    async def ask(self, kind: Kind) -> None:
-        """One wish with all its tries."""
-        wish = self._draws.wish(kind)
-        ask_id = self._draws.attempt_id()
-        ask = Ask(kind.name, self._clock(), kind.resumable, kind.owed)
-        self._judge.ask_begins(ask_id, ask)
-        deadline = ask.asked_at + kind.deadline_ms / 1000
+        self._idle_connections: list[Connection] = []
+
+    async def perform(self, kind: RequestKind) -> None:
+        """Draws one request of this kind and sends it, with retries until its deadline."""
+        template = self._generator.draw_request(kind)
+        operation_id = self._generator.attempt_id()
+        operation = Operation(kind.name, self._clock(), kind.is_resumable, kind.within_quota)
+        self._judge.operation_started(operation_id, operation)
+        deadline = operation.started_at + kind.deadline_ms / 1000
         events: list[Event] = []
         for number in range(kind.retries + 1):
-            tried = await self._one_try(wish, ask_id, deadline, len(events), is_first=number == 0)
-            events.extend(tried.events)
-            ask.first_at = ask.first_at or tried.first_event_at
-            left = deadline - self._clock()
-            if tried.served or left <= 0 or not _may_retry(kind, tried):
+            attempt = await self._send_attempt(
+                template, operation_id, deadline, len(events), is_first=number == 0
+            )
+            events.extend(attempt.events)
+            operation.first_at = operation.first_at or attempt.first_event_at
+            remaining_s = deadline - self._clock()
+            if attempt.served or remaining_s <= 0 or not _may_retry(kind, attempt):
                 break
-            await asyncio.sleep(min(left / 3, max(RETRY_PAUSE_S, tried.retry_after_s)))
+            await asyncio.sleep(min(remaining_s / 3, max(RETRY_PAUSE_S, attempt.retry_after_s)))
 
     def close(self) -> None:
-        for _, writer in self._kept:
+        for _, writer in self._idle_connections:
             writer.close()
-        self._kept.clear()
-
-    async def _one_try(
-        self, wish: Wish, ask_id: str, deadline: float, events_before: int, is_first: bool
-    ) -> Try:
-        attempt_id = self._draws.attempt_id()
-        kind = wish.kind
-        subject = subject_of("POST", wish.path, wish.body)
+        self._idle_connections.clear()
+
+    async def _send_attempt(
+        self,
+        template: RequestTemplate,
+        operation_id: str,
+        deadline: float,
+        events_before: int,
+        is_first: bool,
+    ) -> Attempt:
+        attempt_id = self._generator.attempt_id()
+        kind = template.kind
+        subject = subject_of("POST", template.path, template.body)
         request = Request(
             attempt_id=attempt_id,
-            ask=ask_id,
+            operation_id=operation_id,
             route=kind.route,
             backends=kind.backends,
-            tenant=wish.tenant.name,
-            idempotent=kind.idempotent or kind.resumable,
+            tenant=template.tenant.name,
+            idempotent=kind.idempotent or kind.is_resumable,
             subject=subject,
             sent_at=self._clock(),
             first_event=events_before + 1,
-            tokens=sum(wish.tokens),
+            tokens=sum(template.tokens),
             zone=self.zone,
         )
         self._judge.request_sent(request)
-        tried = Try()
+        attempt = Attempt()
         try:
             async with asyncio.timeout(max(0.01, deadline - self._clock())):
-                await self._send_and_read(wish, attempt_id, deadline, events_before, is_first, tried)
+                await self._send_and_read(template, attempt_id, deadline, events_before, is_first, attempt)
         except TimeoutError:
             pass
         except (OSError, WireError):
-            tried.was_cut = tried.was_sent
-        stamp = tried.head.get("Cypresswinch-Server-Signature") if tried.head is not None else ""
-        self._judge.answer_came(
+            attempt.was_interrupted = attempt.was_sent
+        signature = attempt.head.get("Cypresswinch-Server-Signature") if attempt.head is not None else ""
+        self._judge.answer_received(
             attempt_id,
-            AnswerSeen(
-                status=tried.status,
-                stamp=stamp,
-                body=tried.body,
-                events=tuple(tried.events),
-                whole=tried.whole,
+            ObservedAnswer(
+                status=attempt.status,
+                signature=signature,
+                body=attempt.body,
+                events=tuple(attempt.events),
+                is_complete=attempt.is_complete,
                 is_stream=kind.streaming,
                 ended_at=self._clock(),
-                was_cut=tried.was_cut,
+                was_interrupted=attempt.was_interrupted,
             ),
         )
-        return tried
+        return attempt
 
     async def _send_and_read(
-        self, wish: Wish, attempt_id: str, deadline: float, events_before: int, is_first: bool, tried: Try
+        self,
+        template: RequestTemplate,
+        attempt_id: str,
+        deadline: float,
+        events_before: int,
+        is_first: bool,
+        attempt: Attempt,
     ) -> None:
-        stream = await self._connection(may_reuse=is_first)
-        reader, writer = stream
-        keeps = False
+        connection = await self._connection(may_reuse=is_first)
+        reader, writer = connection
+        is_reusable = False
         try:
             left_ms = max(1, int((deadline - self._clock()) * 1000))
-            writer.write(_request_bytes(wish, attempt_id, left_ms, events_before))
-            tried.was_sent = True
+            writer.write(_request_bytes(template, attempt_id, left_ms, events_before))
+            attempt.was_sent = True
             await writer.drain()
             head = await read_head(reader)
             if head is None:
-                tried.was_cut = True
+                attempt.was_interrupted = True
                 return
-            tried.head, tried.status = head, head.status
-            await self._read_body(reader, head, wish.kind.streaming, tried)
-            tried.whole = True
-            keeps = (self._is_stubborn or not head.closes) and len(self._kept) < MOST_KEPT
+            attempt.head, attempt.status = head, head.status
+            await self._read_body(reader, head, template.kind.streaming, attempt)
+            attempt.is_complete = True
+            is_reusable = (self._ignores_close or not head.closes) and len(
+                self._idle_connections
+            ) < MAX_IDLE_CONNECTIONS
         finally:
-            if keeps:
-                self._kept.append(stream)
+            if is_reusable:
+                self._idle_connections.append(connection)
             else:
                 writer.close()
 
-    async def _read_body(self, reader: asyncio.StreamReader, head: Head, streaming: bool, tried: Try) -> None:
+    async def _read_body(
+        self, reader: asyncio.StreamReader, head: Head, streaming: bool, attempt: Attempt
+    ) -> None:
         if not (streaming and head.status == 200):
-            tried.body = b"".join([part async for part in body_parts(reader, head, is_answer=True)])
+            attempt.body = b"".join([part async for part in body_parts(reader, head, is_answer=True)])
             return
         parser = EventParser()
         async for part in body_parts(reader, head, is_answer=True):
             for event in parser.feed(part):
-                tried.first_event_at = tried.first_event_at or self._clock()
-                tried.events.append(event)
-        if parser.holds_part:
-            raise WireError("the stream ended inside an event")
-
-    async def _connection(self, may_reuse: bool) -> Stream:
-        """A kept connection that is still open, or a new one."""
-        while may_reuse and self._kept:
-            reader, writer = self._kept.pop()
+                attempt.first_event_at = attempt.first_event_at or self._clock()
+                attempt.events.append(event)
+        if parser.has_partial_event:
+            raise WireError("the event stream ended inside an event")
+
+    async def _connection(self, may_reuse: bool) -> Connection:
+        """Returns an idle connection that is still open, or a new one."""
+        while may_reuse and self._idle_connections:
+            reader, writer = self._idle_connections.pop()
             if not reader.at_eof() and not writer.transport.is_closing():
                 return reader, writer
             writer.close()
-        async with asyncio.timeout(CONNECT_S):
+        async with asyncio.timeout(CONNECT_TIMEOUT_S):
             return await connect(self._platform.frontend(self.zone))
 
 
-def _request_bytes(wish: Wish, attempt_id: str, left_ms: int, events_before: int) -> bytes:
+def _request_bytes(template: RequestTemplate, attempt_id: str, left_ms: int, events_before: int) -> bytes:
     headers = [
-        ("Host", wish.kind.host),
+        ("Host", template.kind.host),
         ("Cypresswinch-Attempt-Id", attempt_id),
         ("Cypresswinch-Deadline-Ms", str(left_ms)),
-        ("Authorization", f"Bearer {wish.key}"),
-        ("Cypresswinch-Tenant", "somebody-else"),  # the fleet's own word counts, never a client's
+        ("Authorization", f"Bearer {template.key}"),
+        ("Cypresswinch-Tenant", "somebody-else"),  # the fleet must ignore a tenant named by a client
     ]
-    if wish.kind.streaming:
+    if template.kind.streaming:
         headers.append(("Cypresswinch-Model", "m"))
-        headers.append(("Cypresswinch-Token-Usage", f"{wish.tokens[0]},{wish.tokens[1]}"))
-        headers.append(("Cypresswinch-Prompt-Prefix", wish.prefix))
+        headers.append(("Cypresswinch-Token-Usage", f"{template.tokens[0]},{template.tokens[1]}"))
+        headers.append(("Cypresswinch-Prompt-Prefix", template.prefix))
     if events_before:
         headers.append(("Last-Event-Id", str(events_before)))
-    first = f"POST {wish.path} HTTP/1.1"
-    if not wish.in_chunks:
-        return render(first, [*headers, ("Content-Length", str(len(wish.body)))], wish.body)
-    middle = len(wish.body) // 2
-    body = render_chunk(wish.body[:middle]) + render_chunk(wish.body[middle:]) + render_chunk(b"")
+    first = f"POST {template.path} HTTP/1.1"
+    if not template.is_chunked:
+        return render(first, [*headers, ("Content-Length", str(len(template.body)))], template.body)
+    middle = len(template.body) // 2
+    body = render_chunk(template.body[:middle]) + render_chunk(template.body[middle:]) + render_chunk(b"")
     return render(first, [*headers, ("Transfer-Encoding", "chunked")], body)
 
 
-def _may_retry(kind: Kind, tried: Try) -> bool:
-    """Whether the contract lets a client ask again after such a try."""
-    if tried.status in FINAL_STATUSES:
+def _may_retry(kind: RequestKind, attempt: Attempt) -> bool:
+    """Returns whether the contract allows a retry after this attempt."""
+    if attempt.status in FINAL_STATUSES:
         return False
-    if kind.idempotent or kind.resumable:
+    if kind.idempotent or kind.is_resumable:
         return True
-    return tried.status in PROMISES or not tried.was_sent
+    return attempt.status in NOT_EXECUTED_STATUSES or not attempt.was_sent
--- a/cloverrouter/lab/fleet/contract.py
+++ b/cloverrouter/lab/fleet/contract.py
@@ -1,4 +1,4 @@
-"""Words of the fleet's contract that servers, clients and the judge share. Pure."""
+"""Parts of the fleet's contract that servers, clients and the judge share. No I/O."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 import attrs
 
-PROMISES = frozenset({408, 421, 429, 503})  # statuses that promise: the request has not run and never will
+NOT_EXECUTED_STATUSES = frozenset({408, 421, 429, 503})  # guarantee: never executed
 
 
 @attrs.frozen(slots=True)
@@ -17,11 +17,11 @@
     data: str
 
 
-def event_data(subject: str, event_id: int, stamp: str) -> str:
-    """What a server writes into an event: whose it is, which one, and which run made it."""
-    return f"{subject} {event_id} {stamp}"
+def event_data(subject: str, event_id: int, signature: str) -> str:
+    """Returns the data of an event: the request's digest, the event's number and the signature of the run."""
+    return f"{subject} {event_id} {signature}"
 
 
 def subject_of(method: str, path: str, body: bytes) -> str:
-    """What a request is about, as one word: the same at client and server if nothing was changed."""
+    """Returns a digest of a request: equal at client and server if nothing was modified on the way."""
     return hashlib.sha256(b"%s %s " % (method.encode(), path.encode()) + body).hexdigest()[:16]
--- a/cloverrouter/lab/fleet/deployment.py
+++ b/cloverrouter/lab/fleet/deployment.py
@@ -1,4 +1,4 @@
-"""The deployment that the demo plays: nodes, servers, configuration, kinds of requests, tenants."""
+"""The deployment of the demo: nodes, servers, configuration, kinds of requests, tenants."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from cloverrouter.lab.fleet.engine import EngineShape
 from cloverrouter.lab.fleet.exchange import ServerSpec
 from cloverrouter.lab.fleet.judge import QuotaRule
-from cloverrouter.lab.fleet.load import Kind, Tenant
+from cloverrouter.lab.fleet.load import RequestKind, Tenant
 from cloverrouter.lab.fleet.nodes import FleetSettings, NodeSpec
 
 REGION = "kathmandu"
@@ -53,7 +53,7 @@
 }
 
 KINDS = (
-    Kind(
+    RequestKind(
         name="summary",
         route="r-summary",
         host=HOST,
@@ -67,7 +67,7 @@
         own_tokens=600,
         output_tokens=40,
     ),
-    Kind(
+    RequestKind(
         name="caption",
         route="r-caption",
         host=HOST,
@@ -77,13 +77,13 @@
         deadline_ms=8000,
         target_ms=250,
         streaming=True,
-        resumable=True,
+        is_resumable=True,
         retries=2,
         shared_tokens=200,
         own_tokens=100,
         output_tokens=600,
     ),
-    Kind(
+    RequestKind(
         name="roster",
         route="r-roster",
         host=HOST,
@@ -93,7 +93,7 @@
         deadline_ms=1500,
         target_ms=150,
     ),
-    Kind(
+    RequestKind(
         name="lookup",
         route="r-lookup",
         host=HOST,
@@ -107,9 +107,11 @@
         body_bytes=3000,
     ),
 )
-RUSH_KIND = attrs.evolve(KINDS[0], name="rush", rate_per_s=10, retries=0, tenant="koshi-cast", owed=False)
-"""One tenant asks for five times what its quota allows."""
-ADDED_KIND = Kind(
+OVER_QUOTA_KIND = attrs.evolve(
+    KINDS[0], name="rush", rate_per_s=10, retries=0, tenant="koshi-cast", within_quota=False
+)
+"""Load of one tenant at five times its quota."""
+ADDED_KIND = RequestKind(
     name="search",
     route="r-search",
     host=HOST,
@@ -124,8 +126,10 @@
 
 
 def nodes(prefix: str) -> tuple[NodeSpec, ...]:
-    """Three nodes with a disk, one in each zone, and two without; `prefix` is the first three parts of their
-    addresses."""
+    """Returns three nodes with a disk, one per zone, and two without.
+
+    `prefix`: the first three octets of their addresses.
+    """
     with_disk = [NodeSpec(f"edge-{zone}-1", f"{prefix}.{n}", zone, True) for n, zone in enumerate(ZONES, 1)]
     without = [
         NodeSpec(f"edge-{zone}-2", f"{prefix}.{n}", zone, False) for n, zone in enumerate(ZONES[:2], 4)
@@ -133,8 +137,8 @@
     return (*with_disk, *without)
 
 
-def drawn_prefix(seed: int, folder: Path) -> str:
-    """The first three parts of loopback addresses for a play in this folder."""
+def choose_loopback_prefix(seed: int, folder: Path) -> str:
+    """Returns the first three octets of the loopback addresses of a run in this folder."""
     return "127.{}.{}".format(*Random(f"{seed} {folder}").sample(range(20, 250), 2))
 
 
@@ -144,7 +148,7 @@
 
 
 def server(service: str, number: int, prefix: str) -> ServerSpec:
-    """The server of this number, unlike any other: a new incarnation takes a new number."""
+    """Returns the server with this number. Each incarnation needs a number of its own."""
     instance = f"i-{service}-{number}"
     address = f"{prefix}.{100 + number}:{SERVER_PORT}"
     zone = ZONES[number % len(ZONES)]
@@ -155,13 +159,13 @@
 
 
 def services_at_start(prefix: str) -> list[ServerSpec]:
-    """Four model servers and three desks."""
+    """Returns four model servers and three plain application servers."""
     models = [server(MODEL_SERVICE, number, prefix) for number in range(1, 5)]
     return [*models, *(server(DESK_SERVICE, number, prefix) for number in range(5, 8))]
 
 
-def route(kind: Kind) -> dict[str, Any]:
-    """A kind's route as the configuration has it."""
+def route(kind: RequestKind) -> dict[str, Any]:
+    """Returns the configuration's route for a kind of request."""
     route_type = "streaming" if kind.streaming else "idempotent" if kind.idempotent else "non_idempotent"
     item: dict[str, Any] = {
         "name": kind.route,
@@ -172,10 +176,10 @@
         "target-latency-ms": kind.target_ms,
         "priority": 1,
         "backend": min(kind.backends),
-        "attempt-limit": 2 if kind.idempotent or kind.resumable else 1,
+        "attempt-limit": 2 if kind.idempotent or kind.is_resumable else 1,
         "anonymous-access": False,
         "session-affinity": kind.streaming,
-        "stream-resumption": kind.resumable,
+        "stream-resumption": kind.is_resumable,
     }
     if kind.streaming:
         item["gap_aim_ms"] = 200
@@ -233,11 +237,11 @@
 
 
 def quota_rule() -> QuotaRule:
-    """What the judge holds the tenants' runs against."""
+    """Returns the quotas that the judge checks."""
     limits = {t.name: (t.rate_per_s, t.burst_size) for t in TENANTS if t.rate_per_s}
     return QuotaRule(limits, BOUNDS["quota-period-s"], BOUNDS["quota-overshoot"], BOUNDS["quota-tolerance"])
 
 
 def added_route(version: int) -> dict[str, Any]:
-    """A change that adds one route."""
+    """Returns a patch that adds one route."""
     return {"version": version, "upsert": {"route-table": [route(ADDED_KIND)]}}
--- a/cloverrouter/lab/fleet/engine.py
+++ b/cloverrouter/lab/fleet/engine.py
@@ -1,8 +1,9 @@
-"""A model server's inside, without clock or sockets: batches, prefill in pieces, a cache of prompt parts.
+"""Simulated inference engine, without clock or sockets: batching, chunked prefill, prefix cache.
 
-The engine works in steps. In a step each running request whose prompt has been read makes `tokens_per_step`
-tokens, and up to `prefill_tokens_per_step` prompt tokens of others are read beside them. Memory is shared by
-the running requests and the cached parts; of the parts that no one uses the one unused for longest gives way.
+The engine works in steps. In a step each running request whose prefill is complete generates
+`tokens_per_step` tokens, and up to `prefill_tokens_per_step` prompt tokens of other requests are processed.
+Running requests and cached prompt parts share the memory; the least recently used of the unused parts is
+evicted first.
 """
 
 from __future__ import annotations
@@ -14,7 +15,7 @@
 
 @attrs.frozen(slots=True)
 class EngineShape:
-    """What an engine can do. Times in milliseconds."""
+    """The capacity and speed of an engine. Times in milliseconds."""
 
     capacity: int = 8
     queue_limit: int = 8
@@ -35,12 +36,12 @@
 
 @attrs.frozen(slots=True)
 class GenerationRequest:
-    """A prompt by its parts, and how many tokens are to be made from which on."""
+    """A prompt by its parts, the number of tokens to generate, and how many a resumed stream already has."""
 
     request_id: str
     parts: tuple[PromptPart, ...]
     output_tokens: int
-    already_made: int = 0
+    already_generated: int = 0
     priority: int = 5
 
     @property
@@ -57,9 +58,9 @@
 class _Running:
     request: GenerationRequest
     number: int
-    made: int
-    unread: int = 0
-    private_tokens: int = 0  # what it holds beside the cached parts that it uses
+    generated: int
+    unread_tokens: int = 0
+    private_tokens: int = 0  # memory of its own, beside the cached parts that it uses
     used: tuple[tuple[str, ...], ...] = ()
 
 
@@ -67,20 +68,20 @@
 class _Cached:
     tokens: int
     used_at: int
-    users: int = 0
+    user_count: int = 0
 
 
 @attrs.frozen(slots=True)
 class Progress:
-    """A request has made this many tokens by now, counted from its very first; done if it has them all."""
+    """The tokens that a request has generated so far, including those before a resumption."""
 
     request_id: str
-    made: int
+    generated: int
     done: bool
 
 
 class Engine:
-    """One model server's engine. The caller ends a step `step_duration_ms` after it was begun."""
+    """One model server's engine. Call `end_step` after the duration that `begin_step` returned."""
 
     def __init__(self, shape: EngineShape) -> None:
         self.shape = shape
@@ -93,17 +94,17 @@
         self.reused_tokens = 0
 
     def submit(self, request: GenerationRequest) -> Admission:
-        """Takes a request, or refuses it: too many wait, or it is larger than the memory."""
+        """Queues a request, or refuses it if the queue is full or the request exceeds the memory."""
         if request.prompt_tokens + request.output_tokens > self.shape.kv_cache_tokens:
             return Admission.FULL
         if len(self._running) + len(self._waiting) >= self.shape.capacity + self.shape.queue_limit:
             return Admission.FULL
         self._submitted += 1
-        self._waiting.append(_Running(request, self._submitted, request.already_made))
+        self._waiting.append(_Running(request, self._submitted, request.already_generated))
         return Admission.ACCEPTED
 
     def cancel(self, request_id: str) -> None:
-        """Drops a request, wherever it is."""
+        """Drops a waiting or running request."""
         self._waiting = [item for item in self._waiting if item.request.request_id != request_id]
         for item in [item for item in self._running if item.request.request_id == request_id]:
             self._release(item)
@@ -121,14 +122,14 @@
         return len(self._running)
 
     @property
-    def busy_tokens(self) -> int:
-        """Memory that can't give way."""
-        return sum(c.tokens for c in self._cache.values() if c.users) + sum(
+    def pinned_tokens(self) -> int:
+        """Returns the tokens of memory that can't be evicted."""
+        return sum(c.tokens for c in self._cache.values() if c.user_count) + sum(
             item.private_tokens for item in self._running
         )
 
     def begin_step(self) -> float:
-        """Lets in who waits, and says how long the step takes, in milliseconds."""
+        """Admits waiting requests, and returns the duration of the step in milliseconds."""
         self._steps += 1
         self._waiting.sort(key=lambda item: (item.request.priority, item.number))
         while self._waiting and len(self._running) < self.shape.capacity:
@@ -138,104 +139,106 @@
         return self.shape.step_ms + self.shape.step_ms_per_running * len(self._running)
 
     def end_step(self) -> list[Progress]:
-        """What each running request has made; those that are done are gone."""
+        """Returns the progress of each running request, and releases those that are done."""
         self._prefill()
         progress = []
         for item in list(self._running):
-            if item not in self._running or item.unread:
+            if item not in self._running or item.unread_tokens:
                 continue
-            if not self._room(self.shape.tokens_per_step, keep=item):
+            if not self._make_room(self.shape.tokens_per_step, keep=item):
                 continue
-            item.made = min(item.request.output_tokens, item.made + self.shape.tokens_per_step)
+            item.generated = min(item.request.output_tokens, item.generated + self.shape.tokens_per_step)
             item.private_tokens += self.shape.tokens_per_step
-            done = item.made >= item.request.output_tokens
-            progress.append(Progress(item.request.request_id, item.made, done))
+            done = item.generated >= item.request.output_tokens
+            progress.append(Progress(item.request.request_id, item.generated, done))
             if done:
                 self._release(item)
         return progress
 
     def _start(self, item: _Running) -> bool:
-        """Takes the parts that are kept, and memory for the rest; False if there is none."""
+        """Pins the cached parts and reserves memory for the rest. Returns False if there is too little."""
         keys = _keys(item.request.parts)
-        kept = 0
-        while kept < len(keys) and keys[kept] in self._cache:
-            kept += 1
-        self._use(keys[:kept])
-        unread = sum(part.tokens for part in item.request.parts[kept:])
-        if not self._free(unread + self.shape.tokens_per_step):
-            self._unuse(keys[:kept])
+        cached_count = 0
+        while cached_count < len(keys) and keys[cached_count] in self._cache:
+            cached_count += 1
+        self._pin(keys[:cached_count])
+        unread_tokens = sum(part.tokens for part in item.request.parts[cached_count:])
+        if not self._evict_until_fits(unread_tokens + self.shape.tokens_per_step):
+            self._unpin(keys[:cached_count])
             return False
-        for key, part in zip(keys[kept:], item.request.parts[kept:], strict=True):
+        for key, part in zip(keys[cached_count:], item.request.parts[cached_count:], strict=True):
             self._cache[key] = _Cached(part.tokens, self._steps, 1)
         item.used = keys
-        item.unread = unread
-        self.reused_tokens += item.request.prompt_tokens - unread
+        item.unread_tokens = unread_tokens
+        self.reused_tokens += item.request.prompt_tokens - unread_tokens
         return True
 
     def _prefill(self) -> None:
         budget = self.shape.prefill_tokens_per_step
         for item in self._running:
-            read = min(budget, item.unread)
-            item.unread -= read
+            read = min(budget, item.unread_tokens)
+            item.unread_tokens -= read
             budget -= read
             self.prefilled_tokens += read
 
-    def _room(self, tokens: int, keep: _Running) -> bool:
-        """Makes room for more tokens of a running request; the newest of the least urgent gives way to it."""
-        while not self._free(tokens):
+    def _make_room(self, tokens: int, keep: _Running) -> bool:
+        """Makes room for more tokens of a running request by preempting the newest of the lowest priority."""
+        while not self._evict_until_fits(tokens):
             last = max(self._running, key=lambda item: (item.request.priority, item.number))
             self._release(last)
-            self._waiting.append(_Running(last.request, last.number, last.made))
+            self._waiting.append(_Running(last.request, last.number, last.generated))
             if last is keep:
                 return False
         return True
 
-    def _free(self, tokens: int) -> bool:
-        """Whether so many tokens fit, after cached parts that no one uses have given way."""
-        held = sum(c.tokens for c in self._cache.values()) + sum(r.private_tokens for r in self._running)
-        while held + tokens > self.shape.kv_cache_tokens:
-            idle = [key for key, cached in self._cache.items() if not cached.users]
-            if not idle:
+    def _evict_until_fits(self, tokens: int) -> bool:
+        """Evicts unused cached parts as needed, and returns whether so many tokens fit."""
+        used_tokens = sum(c.tokens for c in self._cache.values()) + sum(
+            r.private_tokens for r in self._running
+        )
+        while used_tokens + tokens > self.shape.kv_cache_tokens:
+            unpinned = [key for key, cached in self._cache.items() if not cached.user_count]
+            if not unpinned:
                 return False
-            # Of those unused for longest the deepest part goes first: a part counts only with all before it.
-            oldest = min(idle, key=lambda key: (self._cache[key].used_at, -len(key)))
-            held -= self._cache.pop(oldest).tokens
+            # Among the least recently used the deepest part goes first: a part is useless without its prefix.
+            oldest = min(unpinned, key=lambda key: (self._cache[key].used_at, -len(key)))
+            used_tokens -= self._cache.pop(oldest).tokens
         return True
 
-    def _use(self, keys: tuple[tuple[str, ...], ...]) -> None:
+    def _pin(self, keys: tuple[tuple[str, ...], ...]) -> None:
         for key in keys:
-            self._cache[key].users += 1
+            self._cache[key].user_count += 1
             self._cache[key].used_at = self._steps
 
-    def _unuse(self, keys: tuple[tuple[str, ...], ...]) -> None:
+    def _unpin(self, keys: tuple[tuple[str, ...], ...]) -> None:
         for key in keys:
-            self._cache[key].users -= 1
+            self._cache[key].user_count -= 1
             self._cache[key].used_at = self._steps
 
     def _release(self, item: _Running) -> None:
         self._running.remove(item)
-        self._unuse(item.used)
-        if item.unread:
-            self._forget_unread(item)
+        self._unpin(item.used)
+        if item.unread_tokens:
+            self._evict_unread(item)
 
-    def _forget_unread(self, item: _Running) -> None:
-        """A prompt that was not read to its end leaves no part of its own behind."""
-        left = item.unread
+    def _evict_unread(self, item: _Running) -> None:
+        """Removes the parts of a prompt whose prefill is incomplete from the cache."""
+        remaining = item.unread_tokens
         for key in reversed(item.used):
-            if left <= 0:
+            if remaining <= 0:
                 return
-            if key in self._cache and not self._cache[key].users:
-                left -= self._cache.pop(key).tokens
+            if key in self._cache and not self._cache[key].user_count:
+                remaining -= self._cache.pop(key).tokens
 
 
 def _keys(parts: tuple[PromptPart, ...]) -> tuple[tuple[str, ...], ...]:
-    """For each part, the ids up to and with it: what has to be the same for it to be the same."""
+    """Returns the cache key of each part: the ids of all parts up to and including it."""
     ids = tuple(part.part_id for part in parts)
     return tuple(ids[: end + 1] for end in range(len(ids)))
 
 
 def parse_prefix(text: str) -> tuple[PromptPart, ...]:
-    """The parts in a `Cypresswinch-Prompt-Prefix` header. Raises ValueError."""
+    """Parses a `Cypresswinch-Prompt-Prefix` header. Raises ValueError."""
     parts = []
     for item in filter(None, text.split(",")):
         part_id, _, tokens = item.strip().partition(":")
--- a/cloverrouter/lab/fleet/exchange.py
+++ b/cloverrouter/lab/fleet/exchange.py
@@ -1,4 +1,4 @@
-"""One request at an emulated server and the answer to it, and what a server knows of itself."""
+"""One request at an emulated server with its answer, and the description of a server."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 @attrs.frozen(slots=True)
 class ServerSpec:
-    """One server of a service. Times in milliseconds; `engine` None for a plain application."""
+    """One server of a service. `engine` is None for a plain application."""
 
     instance_id: str
     backend: str
@@ -46,13 +46,13 @@
 
 @attrs.define(slots=True)
 class Exchange:
-    """A request that has come whole, and the connection that its answer goes to."""
+    """A complete request, and the connection for its answer."""
 
     head: Head
     body: bytes
     reader: asyncio.StreamReader
     writer: asyncio.StreamWriter
-    keeps: bool  # whether the connection goes on after the answer
+    keeps_alive: bool  # whether the connection stays open after the answer
 
     @property
     def attempt_id(self) -> str:
@@ -60,7 +60,7 @@
 
     @property
     def deadline_s(self) -> float:
-        """How long the client will wait, counted from the request's arrival."""
+        """Returns how long the client will wait, from the request's arrival."""
         return float(self.head.get("Cypresswinch-Deadline-Ms", NO_DEADLINE_MS)) / 1000
 
     @property
@@ -68,21 +68,24 @@
         return self.reader.at_eof() or self.writer.transport.is_closing()
 
     def connection_header(self) -> list[tuple[str, str]]:
-        return [] if self.keeps else [("Connection", "close")]
+        return [] if self.keeps_alive else [("Connection", "close")]
 
     async def reply(self, status: str, headers: list[tuple[str, str]], body: bytes = b"") -> None:
-        """A whole answer with a length."""
+        """Sends a complete answer with a Content-Length."""
         lines = [*headers, ("Content-Length", str(len(body))), *self.connection_header()]
         self.writer.write(render(f"HTTP/1.1 {status}", lines, body))
         await self.writer.drain()
 
     async def refuse(self, status: str) -> None:
-        """An answer that says: the request was not run here."""
+        """Sends an answer that says that the request was not executed."""
         await self.reply(status, [("Cypresswinch-Attempt-Id", self.attempt_id), NOT_EXECUTED])
 
 
-class RunBook:
-    """Makes a server's runs, each with its own stamp, and tells the judge of them. `clock` gives seconds."""
+class RunRecorder:
+    """Creates a server's runs, each with a unique signature, and reports them to the judge.
+
+    `clock` returns seconds.
+    """
 
     def __init__(self, spec: ServerSpec, judge: Judge, clock: Callable[[], float], seed: int) -> None:
         self.spec = spec
@@ -91,28 +94,28 @@
         self._judge = judge
         self._count = 0
 
-    def begin(self, exchange: Exchange, total_events: int = 0) -> Run:
-        """A run of this request begins now."""
+    def start_run(self, exchange: Exchange, total_events: int = 0) -> Run:
+        """Records the start of a run of this request."""
         self._count += 1
         method, path, _ = exchange.head.first
         run = Run(
             attempt_id=exchange.attempt_id,
             instance=self.spec.instance_id,
             backend=self.spec.backend,
-            stamp=f"{self.spec.instance_id}.{self._count:x}.{self.random.getrandbits(32):08x}",
+            signature=f"{self.spec.instance_id}.{self._count:x}.{self.random.getrandbits(32):08x}",
             tenant=exchange.head.get("Cypresswinch-Tenant"),
             subject=subject_of(method, path, exchange.body),
             began_at=self.clock(),
             carried_key=exchange.head.has("Authorization"),
             total_events=total_events,
         )
-        self._judge.run_begins(run)
+        self._judge.run_started(run)
         return run
 
     def headers(self, run: Run) -> list[tuple[str, str]]:
-        """What an answer of this run carries."""
+        """Returns the headers of this run's answer."""
         return [
             ("Cypresswinch-Attempt-Id", run.attempt_id),
-            ("Cypresswinch-Server-Signature", run.stamp),
+            ("Cypresswinch-Server-Signature", run.signature),
             ("Versions", str(self.spec.model_version)),
         ]
--- a/cloverrouter/lab/fleet/figures.py
+++ b/cloverrouter/lab/fleet/figures.py
@@ -1,4 +1,4 @@
-"""Figures of a play, from what its judge has been told."""
+"""Statistics of a run, from the judge's records."""
 
 from __future__ import annotations
 
@@ -6,12 +6,12 @@
 
 import attrs
 
-from cloverrouter.lab.fleet.judge import Ask, Judge
+from cloverrouter.lab.fleet.judge import Judge, Operation
 
 
 @attrs.frozen(slots=True)
 class KindFigures:
-    """Of one kind of request. Latencies in milliseconds, to the first event for streams."""
+    """Statistics of one kind of request. Latencies in milliseconds, to the first event for streams."""
 
     name: str
     asked: int
@@ -22,12 +22,12 @@
 
 @attrs.frozen(slots=True)
 class Figures:
-    """Of a whole play."""
+    """Statistics of a whole run."""
 
     asked: int
     served: int
-    owed: int
-    owed_served: int
+    within_quota: int
+    within_quota_served: int
     events: int
     tries: int
     runs: int
@@ -36,22 +36,22 @@
 
     @property
     def served_share(self) -> float:
-        """Of what was owed: without what went beyond a quota on purpose."""
-        return self.owed_served / self.owed if self.owed else 0.0
+        """Returns the served share of operations, without those that exceed a quota on purpose."""
+        return self.within_quota_served / self.within_quota if self.within_quota else 0.0
 
 
 class Tally:
-    """Counts for the live lines, and the figures at the end."""
+    """Counts for the progress lines, and the statistics at the end."""
 
     def __init__(self, judge: Judge) -> None:
         self._judge = judge
-        self._told: Counter[str] = Counter()
+        self._last_counts: Counter[str] = Counter()
 
-    def line(self) -> str:
-        """What has come since the last line."""
+    def progress_line(self) -> str:
+        """Returns the counts since the last call, as text."""
         now = self._counts()
-        new = now - self._told
-        self._told = now
+        new = now - self._last_counts
+        self._last_counts = now
         return (
             f"served {new['served']:3}  events {new['events']:4}  refused {new['refused']:2}  "
             f"failed {new['failed']:2}  cut {new['cut']:2}"
@@ -61,7 +61,7 @@
         counts: Counter[str] = Counter()
         for answer in self._judge.answers.values():
             counts["events"] += len(answer.events)
-            if answer.status is None or (answer.status < 300 and not answer.whole):
+            if answer.status is None or (answer.status < 300 and not answer.is_complete):
                 counts["cut"] += 1
             elif answer.status < 300:
                 counts["served"] += 1
@@ -72,26 +72,33 @@
         return counts
 
     def figures(self) -> Figures:
-        asks = list(self._judge.asks.values())
+        operations = list(self._judge.operations.values())
         statuses = Counter(str(a.status or "none") for a in self._judge.answers.values())
-        names = sorted({ask.route for ask in asks})
+        names = sorted({operation.route for operation in operations})
         return Figures(
-            asked=len(asks),
-            served=sum(ask.served_at is not None for ask in asks),
-            owed=sum(ask.owed for ask in asks),
-            owed_served=sum(ask.owed and ask.served_at is not None for ask in asks),
-            events=sum(ask.events for ask in asks),
+            asked=len(operations),
+            served=sum(operation.served_at is not None for operation in operations),
+            within_quota=sum(operation.within_quota for operation in operations),
+            within_quota_served=sum(
+                operation.within_quota and operation.served_at is not None for operation in operations
+            ),
+            events=sum(operation.events for operation in operations),
             tries=len(self._judge.requests),
             runs=sum(len(runs) for runs in self._judge.runs.values()),
             statuses=dict(sorted(statuses.items())),
-            kinds=tuple(_of_kind(name, [ask for ask in asks if ask.route == name]) for name in names),
+            kinds=tuple(
+                _kind_figures(name, [operation for operation in operations if operation.route == name])
+                for name in names
+            ),
         )
 
 
-def _of_kind(name: str, asks: list[Ask]) -> KindFigures:
-    latencies = sorted(ask.latency_ms for ask in asks if ask.served_at is not None)
-    return KindFigures(name, len(asks), len(latencies), _quantile(latencies, 0.5), _quantile(latencies, 0.99))
+def _kind_figures(name: str, operations: list[Operation]) -> KindFigures:
+    latencies = sorted(operation.latency_ms for operation in operations if operation.served_at is not None)
+    return KindFigures(
+        name, len(operations), len(latencies), _quantile(latencies, 0.5), _quantile(latencies, 0.99)
+    )
 
 
-def _quantile(ordered: list[float], part: float) -> float:
-    return ordered[min(len(ordered) - 1, int(part * len(ordered)))] if ordered else 0.0
+def _quantile(ordered: list[float], fraction: float) -> float:
+    return ordered[min(len(ordered) - 1, int(fraction * len(ordered)))] if ordered else 0.0
--- a/cloverrouter/lab/fleet/judge.py
+++ b/cloverrouter/lab/fleet/judge.py
@@ -1,8 +1,8 @@
-"""What clients, servers and operator have seen, and which rules it breaks. Pure: it is told everything.
+"""Checks what clients, servers and the operator observed against the contract. No I/O.
 
-One try of a client, with an attempt id of its own, is a *request*; the tries for one thing that a client
-wants make up an *ask*. Rules are named as in the contract: MIXED, UNASKED, TWICE, REFUSED, ROUTE, ORDER,
-CONFIG, DRAIN.
+A *request* is one attempt of a client, with an attempt id of its own; an *operation* is what a client wants
+done, over all its attempts. Rules are named as in the contract: MIXED, UNASKED, TWICE, REFUSED, ROUTE, ORDER,
+CONFIG, DRAIN; QUOTA checks the tenants' limits.
 """
 
 from __future__ import annotations
@@ -12,36 +12,36 @@
 
 import attrs
 
-from cloverrouter.lab.fleet.contract import PROMISES, Event
+from cloverrouter.lab.fleet.contract import NOT_EXECUTED_STATUSES, Event
 
-MOST_NAMED = 20  # findings of one rule that are kept in words; all are counted
+MAX_FINDINGS_PER_RULE = 20  # findings kept with their text; all are counted
 
 
 @attrs.frozen(slots=True)
 class Request:
-    """One try, as its client sent it. Times in seconds."""
+    """One attempt, as its client sent it. Times in seconds."""
 
     attempt_id: str
-    ask: str
+    operation_id: str
     route: str
     backends: frozenset[str]
     tenant: str
     idempotent: bool
     subject: str
     sent_at: float
-    first_event: int = 1  # the first that is wanted: above 1 where a stream is resumed
-    tokens: int = 0  # what it counts for its tenant's quota
-    zone: str = ""  # of its client
+    first_event: int = 1  # first expected event: above 1 when a stream is resumed
+    tokens: int = 0  # charged to its tenant's quota
+    zone: str = ""  # of the client
 
 
 @attrs.define(slots=True)
 class Run:
-    """A server's work on a request. `body` is what it sent, `total_events` how many a stream has in all."""
+    """One execution of a request at a server. `total_events`: the length of a complete stream."""
 
     attempt_id: str
     instance: str
     backend: str
-    stamp: str
+    signature: str
     tenant: str
     subject: str
     began_at: float
@@ -52,23 +52,25 @@
 
 
 @attrs.frozen(slots=True)
-class AnswerSeen:
-    """What a client got for a try: `status` None if no head came. `ended_at` in seconds. `was_cut`: the
-    connection ended before the answer did."""
+class ObservedAnswer:
+    """What a client received for an attempt. `status` is None if no head was received; `ended_at` in seconds.
+
+    `was_interrupted`: the connection ended before the answer did.
+    """
 
     status: int | None
-    stamp: str = ""
+    signature: str = ""
     body: bytes = b""
     events: tuple[Event, ...] = ()
-    whole: bool = False
+    is_complete: bool = False
     is_stream: bool = False
     ended_at: float = 0.0
-    was_cut: bool = False
+    was_interrupted: bool = False
 
 
 @attrs.frozen(slots=True)
 class Finding:
-    """One breach."""
+    """One violation of a rule."""
 
     rule: str
     text: str
@@ -76,28 +78,31 @@
 
 @attrs.frozen(slots=True)
 class QuotaRule:
-    """What the tenants with a limit (rate a second, burst) may run in any span of `period_s`."""
+    """The limits (tokens per second, burst) of tenants, checked over every span of `period_s` seconds."""
 
     limits: dict[str, tuple[float, float]]
     period_s: float
     overshoot: float
     tolerance: float
 
-    def most(self, tenant: str) -> float:
-        """Tokens in one span."""
+    def allowed_tokens(self, tenant: str) -> float:
+        """Returns the tokens allowed in one span."""
         rate, burst = self.limits[tenant]
         return (rate * self.period_s + burst) * (1 + self.overshoot) + self.tolerance
 
 
 @attrs.define(slots=True)
-class Ask:
-    """What one client wanted, over all its tries. Not `owed`: it may be refused for its tenant's quota."""
+class Operation:
+    """One logical request of a client, over all its attempts.
+
+    `within_quota` is False if it may be refused because of its tenant's quota.
+    """
 
     route: str
-    asked_at: float
-    resumable: bool
-    owed: bool = True
-    tries: int = 0
+    started_at: float
+    is_resumable: bool
+    within_quota: bool = True
+    attempts: int = 0
     served_at: float | None = None
     first_at: float | None = None
     last_status: int | None = None
@@ -105,104 +110,108 @@
 
     @property
     def latency_ms(self) -> float:
-        """Up to the whole answer, or to the first event of a stream."""
+        """Returns the time to the complete answer, or to the first event of a stream."""
         assert self.served_at is not None
-        return 1000 * ((self.first_at or self.served_at) - self.asked_at)
+        return 1000 * ((self.first_at or self.served_at) - self.started_at)
 
 
 class Judge:
-    """Collects what is seen, and says what is wrong with it."""
+    """Records observations, and reports violations of the contract."""
 
     def __init__(self) -> None:
         self.requests: dict[str, Request] = {}
         self.runs: dict[str, list[Run]] = defaultdict(list)
-        self.answers: dict[str, AnswerSeen] = {}
-        self.asks: dict[str, Ask] = {}
+        self.answers: dict[str, ObservedAnswer] = {}
+        self.operations: dict[str, Operation] = {}
         self.findings: list[Finding] = []
-        self.broken: Counter[str] = Counter()
+        self.violation_counts: Counter[str] = Counter()
         self.acknowledged: dict[int, dict[str, Any]] = {}
-        self.drained: dict[str, float] = {}  # instance: when its leaving was acknowledged
+        self.drained: dict[str, float] = {}  # by instance: when its drain was acknowledged, in seconds
         self.drain_grace_s = 2.0
         self.quota: QuotaRule | None = None
 
-    def _break(self, rule: str, text: str) -> None:
-        self.broken[rule] += 1
-        if self.broken[rule] <= MOST_NAMED:
+    def _record_violation(self, rule: str, text: str) -> None:
+        self.violation_counts[rule] += 1
+        if self.violation_counts[rule] <= MAX_FINDINGS_PER_RULE:
             self.findings.append(Finding(rule, text))
 
-    # What is seen
+    # Observations
 
-    def ask_begins(self, ask_id: str, ask: Ask) -> None:
-        self.asks[ask_id] = ask
+    def operation_started(self, operation_id: str, operation: Operation) -> None:
+        self.operations[operation_id] = operation
 
     def request_sent(self, request: Request) -> None:
         self.requests[request.attempt_id] = request
-        self.asks[request.ask].tries += 1
+        self.operations[request.operation_id].attempts += 1
 
-    def run_begins(self, run: Run) -> None:
-        """A server starts to work on a request."""
+    def run_started(self, run: Run) -> None:
+        """Records that a server starts to execute a request."""
         self.runs[run.attempt_id].append(run)
         request = self.requests.get(run.attempt_id)
         if request is None:
-            self._break("UNASKED", f"{run.instance} runs {run.attempt_id}, which no client sent")
+            self._record_violation("UNASKED", f"{run.instance} runs {run.attempt_id}, which no client sent")
             return
         self._check_run(run, request)
 
     def draining_acknowledged(self, instance: str, at: float) -> None:
         self.drained.setdefault(instance, at)
 
-    def answer_came(self, attempt_id: str, answer: AnswerSeen) -> None:
-        """The final answer to a try, or its end without one."""
+    def answer_received(self, attempt_id: str, answer: ObservedAnswer) -> None:
+        """Records the final answer to an attempt, or its end without one."""
         self.answers[attempt_id] = answer
         request = self.requests[attempt_id]
-        self.asks[request.ask].last_status = answer.status
+        self.operations[request.operation_id].last_status = answer.status
         if answer.status is not None and 200 <= answer.status < 300:
             self._check_success(request, answer)
-        elif answer.stamp:
+        elif answer.signature:
             self._check_failure(request, answer)
 
     def configuration_acknowledged(self, version: int, document: dict[str, Any]) -> None:
         if version in self.acknowledged and self.acknowledged[version] != document:
-            self._break("CONFIG", f"two changes to version {version} are acknowledged")
+            self._record_violation("CONFIG", f"two changes to version {version} are acknowledged")
         self.acknowledged[version] = document
 
     def configuration_read_back(self, document: dict[str, Any] | None) -> None:
-        """The newest configuration as the fleet tells it at the end; None if it did not come."""
+        """Checks the configuration read from the fleet at the end; None if no read succeeded."""
         newest = max(self.acknowledged, default=0)
         if document is None:
-            self._break("CONFIG", "the configuration can't be read back")
+            self._record_violation("CONFIG", "the configuration can't be read back")
         elif document.get("version", 0) < newest:
-            self._break("CONFIG", f"read back: version {document.get('version')}, acknowledged: {newest}")
+            self._record_violation(
+                "CONFIG", f"read back: version {document.get('version')}, acknowledged: {newest}"
+            )
         elif document.get("version") in self.acknowledged:
             different = differences(self.acknowledged[document["version"]], document)
             if different:
-                self._break("CONFIG", f"version {document['version']} differs in {', '.join(different)}")
+                self._record_violation(
+                    "CONFIG", f"version {document['version']} differs in {', '.join(different)}"
+                )
 
     def finish(self) -> None:
-        """What can be told only when all is over: promises that were not kept, quotas."""
+        """Runs the checks that need all observations: quotas, and answers that deny an execution."""
         for tenant in self.quota.limits if self.quota is not None else ():
             self._check_quota(tenant)
         for attempt_id, answer in self.answers.items():
             request = self.requests[attempt_id]
             runs = self.runs.get(attempt_id, ())
-            if answer.status in PROMISES and runs and not request.idempotent:
-                self._break(
+            if answer.status in NOT_EXECUTED_STATUSES and runs and not request.idempotent:
+                self._record_violation(
                     "REFUSED", f"{attempt_id} was answered {answer.status}, and ran on {runs[0].instance}"
                 )
 
     # Checks
 
     def _check_quota(self, tenant: str) -> None:
-        """The most that ran in any span, against what the tenant may run."""
+        """Checks the highest usage in any span against the tenant's limit."""
         assert self.quota is not None
-        most = max_in_span(self.runs_of(tenant), self.quota.period_s)
-        if most > self.quota.most(tenant):
-            allowed = self.quota.most(tenant)
+        used = max_in_span(self.runs_of(tenant), self.quota.period_s)
+        if used > self.quota.allowed_tokens(tenant):
+            allowed = self.quota.allowed_tokens(tenant)
             span_s = self.quota.period_s
-            self._break("QUOTA", f"{tenant} ran {most:.0f} in {span_s:g} s, allowed {allowed:.0f}")
+            self._record_violation("QUOTA", f"{tenant} ran {used:.0f} in {span_s:g} s, allowed {allowed:.0f}")
 
     def runs_of(self, tenant: str) -> list[tuple[float, int]]:
-        """When a tenant's requests ran, and what each counts for its quota, in order of time."""
+        """Returns the start time and the charged tokens of each of a tenant's runs, in order of time."""
         return sorted(
             (run.began_at, self.requests[run.attempt_id].tokens)
             for runs in self.runs.values()
@@ -212,77 +221,90 @@
 
     def _check_run(self, run: Run, request: Request) -> None:
         if run.backend not in request.backends:
-            self._break("ROUTE", f"{run.backend} runs {run.attempt_id}, sent to {request.route}")
+            self._record_violation("ROUTE", f"{run.backend} runs {run.attempt_id}, sent to {request.route}")
         if run.tenant != request.tenant:
-            self._break(
+            self._record_violation(
                 "UNASKED", f"{run.attempt_id} runs as tenant {run.tenant!r}, sent by {request.tenant!r}"
             )
         if run.carried_key:
-            self._break("UNASKED", f"{run.attempt_id} reached {run.instance} with the client's key")
+            self._record_violation(
+                "UNASKED", f"{run.attempt_id} reached {run.instance} with the client's key"
+            )
         if run.subject != request.subject:
-            self._break("UNASKED", f"{run.attempt_id} runs with another body, method or path")
+            self._record_violation("UNASKED", f"{run.attempt_id} runs with another body, method or path")
         if len(self.runs[run.attempt_id]) > 1 and not request.idempotent:
             first, *_, last = self.runs[run.attempt_id]
-            self._break("TWICE", f"{run.attempt_id} runs on {first.instance} and on {last.instance}")
+            self._record_violation(
+                "TWICE", f"{run.attempt_id} runs on {first.instance} and on {last.instance}"
+            )
         left_at = self.drained.get(run.instance)
         if left_at is not None and request.sent_at > left_at + self.drain_grace_s:
-            self._break("DRAIN", f"{run.attempt_id} reaches {run.instance} long after it left")
+            self._record_violation("DRAIN", f"{run.attempt_id} reaches {run.instance} long after it left")
 
-    def _check_success(self, request: Request, answer: AnswerSeen) -> None:
-        runs = {run.stamp: run for run in self.runs.get(request.attempt_id, ())}
-        run = runs.get(answer.stamp)
+    def _check_success(self, request: Request, answer: ObservedAnswer) -> None:
+        runs = {run.signature: run for run in self.runs.get(request.attempt_id, ())}
+        run = runs.get(answer.signature)
         if run is None:
-            self._break(
-                "MIXED", f"{request.attempt_id}: success with the stamp {answer.stamp!r} of no run of it"
+            self._record_violation(
+                "MIXED",
+                f"{request.attempt_id}: success with the signature {answer.signature!r} of none of its runs",
             )
         elif run.status >= 300:
-            self._break("MIXED", f"{request.attempt_id}: success, where the server answered {run.status}")
+            self._record_violation(
+                "MIXED", f"{request.attempt_id}: success, where the server answered {run.status}"
+            )
         elif answer.is_stream:
             self._check_stream(request, answer, runs)
-        elif answer.whole and answer.body != run.body:
-            self._break("MIXED", f"{request.attempt_id}: another body than the server's")
-        elif answer.whole:
-            self._served(request, answer)
+        elif answer.is_complete and answer.body != run.body:
+            self._record_violation("MIXED", f"{request.attempt_id}: another body than the server's")
+        elif answer.is_complete:
+            self._mark_served(request, answer)
 
-    def _check_stream(self, request: Request, answer: AnswerSeen, runs: dict[str, Run]) -> None:
-        ask = self.asks[request.ask]
+    def _check_stream(self, request: Request, answer: ObservedAnswer, runs: dict[str, Run]) -> None:
+        operation = self.operations[request.operation_id]
         ids = [event.event_id for event in answer.events]
         wanted = list(range(request.first_event, request.first_event + len(ids)))
         if ids != wanted:
-            self._break(
+            self._record_violation(
                 "ORDER", f"{request.attempt_id}: events {ids[:8]}..., wanted from {request.first_event}"
             )
-        stamps: list[str] = []
+        signatures: list[str] = []
         for event in answer.events:
-            subject, _, stamp = event.data.rpartition(" ")
-            if subject != f"{request.subject} {event.event_id}" or stamp not in runs:
-                self._break("MIXED", f"{request.attempt_id}: event {event.event_id} is of another request")
+            subject, _, signature = event.data.rpartition(" ")
+            if subject != f"{request.subject} {event.event_id}" or signature not in runs:
+                self._record_violation(
+                    "MIXED", f"{request.attempt_id}: event {event.event_id} is of another request"
+                )
                 return
-            if not stamps or stamps[-1] != stamp:
-                stamps.append(stamp)
-        if len(stamps) > 1 and not ask.resumable:
-            self._break("ORDER", f"{request.attempt_id}: pieces of {len(stamps)} runs are joined")
-        ask.events += len(ids)
-        total = runs[answer.stamp].total_events
-        if answer.whole and request.first_event + len(ids) - 1 != total:
-            self._break(
+            if not signatures or signatures[-1] != signature:
+                signatures.append(signature)
+        if len(signatures) > 1 and not operation.is_resumable:
+            self._record_violation(
+                "ORDER", f"{request.attempt_id}: pieces of {len(signatures)} runs are joined"
+            )
+        operation.events += len(ids)
+        total = runs[answer.signature].total_events
+        if answer.is_complete and request.first_event + len(ids) - 1 != total:
+            self._record_violation(
                 "ORDER", f"{request.attempt_id}: ended as complete after {ids[-1:]} of {total} events"
             )
-        elif answer.whole:
-            self._served(request, answer)
+        elif answer.is_complete:
+            self._mark_served(request, answer)
 
-    def _check_failure(self, request: Request, answer: AnswerSeen) -> None:
-        runs = {run.stamp: run for run in self.runs.get(request.attempt_id, ())}
-        run = runs.get(answer.stamp)
+    def _check_failure(self, request: Request, answer: ObservedAnswer) -> None:
+        runs = {run.signature: run for run in self.runs.get(request.attempt_id, ())}
+        run = runs.get(answer.signature)
         if run is not None and run.status != answer.status:
-            self._break("MIXED", f"{request.attempt_id}: {answer.status} with the stamp of a {run.status}")
+            self._record_violation(
+                "MIXED", f"{request.attempt_id}: {answer.status} with the signature of a {run.status}"
+            )
 
-    def _served(self, request: Request, answer: AnswerSeen) -> None:
-        self.asks[request.ask].served_at = answer.ended_at
+    def _mark_served(self, request: Request, answer: ObservedAnswer) -> None:
+        self.operations[request.operation_id].served_at = answer.ended_at
 
 
 def max_in_span(amounts: list[tuple[float, int]], span_s: float) -> float:
-    """The largest sum of amounts whose times, which rise, lie within any span of this length."""
+    """Returns the largest sum of amounts within any span of this length. Times must not decrease."""
     largest = total = first = 0
     for at, amount in amounts:
         total += amount
@@ -294,11 +316,11 @@
 
 
 def differences(one: dict[str, Any], other: dict[str, Any]) -> list[str]:
-    """The sections of two configurations that are not the same; the order of named items does not count."""
-    return [key for key in sorted({*one, *other}) if _plain(one.get(key)) != _plain(other.get(key))]
+    """Returns the sections that differ between two configurations, regardless of the order of named items."""
+    return [key for key in sorted({*one, *other}) if _normalized(one.get(key)) != _normalized(other.get(key))]
 
 
-def _plain(value: Any) -> Any:
+def _normalized(value: Any) -> Any:
     if isinstance(value, list) and all(isinstance(item, dict) and "name" in item for item in value):
         return sorted(value, key=lambda item: str(item["name"]))
     return value
--- a/cloverrouter/lab/fleet/load.py
+++ b/cloverrouter/lab/fleet/load.py
@@ -1,4 +1,4 @@
-"""What clients ask for: kinds of requests, their prompts, and the routes that they go to."""
+"""The generated load: kinds of requests, tenants, prompts and routes."""
 
 from __future__ import annotations
 
@@ -8,8 +8,8 @@
 
 
 @attrs.frozen(slots=True)
-class Kind:
-    """One kind of request. Times in seconds unless the name says otherwise; rate over all clients."""
+class RequestKind:
+    """One kind of request. `rate_per_s` is over all clients."""
 
     name: str
     route: str
@@ -21,19 +21,19 @@
     target_ms: float
     idempotent: bool = False
     streaming: bool = False
-    resumable: bool = False
+    is_resumable: bool = False
     retries: int = 1
     shared_tokens: int = 0
     own_tokens: int = 0
     output_tokens: int = 0
     body_bytes: int = 200
-    tenant: str = ""  # the only one that asks for it; empty for all that share the load
-    owed: bool = True  # False for what goes beyond a tenant's quota on purpose
+    tenant: str = ""  # the only tenant that sends it; empty: all tenants, by share
+    within_quota: bool = True  # False: exceeds a tenant's quota on purpose
 
 
 @attrs.frozen(slots=True)
 class Tenant:
-    """Who asks: a name, keys, its share of the load, and its quota in tokens (a rate of 0: none)."""
+    """A tenant: its API keys, its share of the load, and its quota in tokens (a rate of 0: no quota)."""
 
     name: str
     keys: tuple[str, ...]
@@ -43,28 +43,28 @@
 
 
 @attrs.frozen(slots=True)
-class Wish:
-    """One thing that a client wants; each of its tries carries this."""
+class RequestTemplate:
+    """One drawn request; all its attempts carry the same content."""
 
-    kind: Kind
+    kind: RequestKind
     tenant: Tenant
     key: str
     path: str
     body: bytes
     prefix: str
     tokens: tuple[int, int]
-    in_chunks: bool
+    is_chunked: bool
 
 
-class Draws:
-    """Draws wishes: sessions keep to few shared prompts, so that servers' caches can help."""
+class LoadGenerator:
+    """Draws requests. They share a few prompt prefixes, so that the servers' caches have hits."""
 
     def __init__(self, tenants: tuple[Tenant, ...], seed: int, subjects: int = 12) -> None:
         self._tenants = tenants
         self._random = random.Random(seed)
         self._subjects = [f"{self._random.getrandbits(32):08x}" for _ in range(subjects)]
 
-    def wish(self, kind: Kind) -> Wish:
+    def draw_request(self, kind: RequestKind) -> RequestTemplate:
         draw = self._random
         tenant = self._tenant(kind)
         body = f"{draw.getrandbits(64):016x}".encode()
@@ -75,7 +75,7 @@
             shared = draw.choice(self._subjects)
             prefix = f"{shared}:{kind.shared_tokens},{draw.getrandbits(32):08x}:{own}"
             tokens = (kind.shared_tokens + own, output)
-        return Wish(
+        return RequestTemplate(
             kind=kind,
             tenant=tenant,
             key=draw.choice(tenant.keys),
@@ -83,10 +83,10 @@
             body=body * max(1, kind.body_bytes // len(body)),
             prefix=prefix,
             tokens=tokens,
-            in_chunks=draw.random() < 0.2,
+            is_chunked=draw.random() < 0.2,
         )
 
-    def _tenant(self, kind: Kind) -> Tenant:
+    def _tenant(self, kind: RequestKind) -> Tenant:
         asking = [tenant for tenant in self._tenants if not kind.tenant or tenant.name == kind.tenant]
         weights = [tenant.share if not kind.tenant else 1.0 for tenant in asking]
         return self._random.choices(asking, weights)[0]
@@ -95,5 +95,5 @@
         return f"{self._random.getrandbits(64):016x}"
 
     def pause_s(self, rate_per_s: float) -> float:
-        """Until the next request of a kind."""
+        """Returns the exponentially distributed pause before the next request of a kind."""
         return self._random.expovariate(rate_per_s)
--- a/cloverrouter/lab/fleet/model_server.py
+++ b/cloverrouter/lab/fleet/model_server.py
@@ -1,4 +1,4 @@
-"""An emulated server of a service: it speaks the server's side of the contract on a loopback address."""
+"""An emulated server that implements the server's side of the contract on a loopback address."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 import struct
 from collections.abc import Callable
 
-from cloverrouter.lab.fleet.exchange import Exchange, RunBook, ServerSpec, State
+from cloverrouter.lab.fleet.exchange import Exchange, RunRecorder, ServerSpec, State
 from cloverrouter.lab.fleet.judge import Judge
 from cloverrouter.lab.fleet.wire import HEAD_LIMIT_BYTES, Head, WireError, read_body, read_head
 from cloverrouter.lab.fleet.work import Application, Generation
@@ -18,30 +18,30 @@
 
 
 class ModelServer:
-    """One incarnation. Tells the judge each run; `clock` gives seconds."""
+    """One incarnation of a server. Reports each run to the judge; `clock` returns seconds."""
 
     def __init__(self, spec: ServerSpec, judge: Judge, clock: Callable[[], float], seed: int) -> None:
         self.spec = spec
         self.clock = clock
         self.state = State.READY
-        self._book = RunBook(spec, judge, clock, seed)
+        self._recorder = RunRecorder(spec, judge, clock, seed)
         self._work: Application | Generation = (
-            Application(self._book) if spec.engine is None else Generation(self._book, spec.engine)
+            Application(self._recorder) if spec.engine is None else Generation(self._recorder, spec.engine)
         )
         self._connections: set[asyncio.StreamWriter] = set()
         self._server: asyncio.Server | None = None
 
     async def start(self) -> None:
-        """Listens. Raises OSError if the address is taken."""
+        """Starts listening. Raises OSError if the address is taken."""
         host, _, port = self.spec.address.rpartition(":")
         self._server = await asyncio.start_server(self._serve, host, int(port), limit=HEAD_LIMIT_BYTES)
 
     def drain(self) -> None:
-        """From now on answers carry `Connection: close`, and the health check says 503."""
+        """Starts draining: answers carry `Connection: close`, and the health check returns 503."""
         self.state = State.DRAINING
 
     def end(self) -> None:
-        """Ends at once: the listener is gone and all connections are reset."""
+        """Stops at once: closes the listener and resets all connections."""
         if self._server is not None:
             self._server.close()
         if isinstance(self._work, Generation):
@@ -51,7 +51,7 @@
 
     @property
     def active_requests(self) -> int:
-        return self._work.held if isinstance(self._work, Application) else self._work.engine.active
+        return self._work.request_count if isinstance(self._work, Application) else self._work.engine.active
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         if len(self._connections) >= self.spec.connection_limit:
@@ -61,13 +61,13 @@
         try:
             while (head := await read_head(reader)) is not None:
                 body = await read_body(reader, head, is_answer=False)
-                keeps = not head.closes and self.state is State.READY
-                exchange = Exchange(head, body, reader, writer, keeps)
+                keeps_alive = not head.closes and self.state is State.READY
+                exchange = Exchange(head, body, reader, writer, keeps_alive)
                 await self._answer(exchange)
-                if not keeps:
+                if not keeps_alive:
                     break
         except (WireError, OSError):
-            pass  # the caller's end of it is gone, or it does not speak HTTP
+            pass  # the peer closed the connection, or does not speak HTTP
         finally:
             self._connections.discard(writer)
             writer.close()
@@ -84,7 +84,7 @@
             await self._work.serve(exchange)
 
     def _refusal(self, head: Head) -> str | None:
-        """Why a request is not run at all, as its status line says it."""
+        """Returns the status line of a request that must not be executed, or None."""
         if not head.get("Cypresswinch-Attempt-Id"):
             return "400 Bad Request"
         if head.get("Cypresswinch-Expected-Instance", self.spec.instance_id) != self.spec.instance_id:
@@ -106,7 +106,7 @@
             "sequence-number": 0,
             "queued-requests": engine.queued if engine is not None else 0,
             "active-requests": self.active_requests,
-            "kv-cache-used": engine.busy_tokens if engine is not None else 0,
+            "kv-cache-used": engine.pinned_tokens if engine is not None else 0,
             "kv-cache-capacity": engine.shape.kv_cache_tokens if engine is not None else 0,
             "cache-handles": 0,
         }
@@ -114,14 +114,14 @@
 
 
 def models(spec: ServerSpec) -> list[dict[str, object]]:
-    """The models that a server has loaded, as reports and registrations tell them."""
+    """Returns the loaded models, as in reports and registrations."""
     if spec.engine is None:
         return []
     return [{"name": spec.model, "version": spec.model_version, "lora-adapters": []}]
 
 
 def _reset(writer: asyncio.StreamWriter) -> None:
-    """Closes with a reset instead of an orderly end."""
+    """Closes a connection with a TCP reset."""
     sock = writer.get_extra_info("socket")
     if sock is not None:
         with contextlib.suppress(OSError):
--- a/cloverrouter/lab/fleet/nodes.py
+++ b/cloverrouter/lab/fleet/nodes.py
@@ -1,6 +1,6 @@
-"""The fleet's own processes on one machine: their settings files, their starts and ends.
+"""The fleet's processes on one machine: settings files, start and stop.
 
-Each node has a loopback address of its own; all use the same ports, as on machines.
+Each node has a loopback address of its own; all use the same ports, as on separate machines.
 """
 
 from __future__ import annotations
@@ -22,12 +22,16 @@
 FRONTEND_PORT, READINESS_PORT, CONTROL_PORT = 8662, 8663, 8665
 INTERNAL_PORTS = (7680, 7695)
 DAEMON = ("-m", "cloverrouter.daemon")
-PASSED_ON = ("PATH", "HOME", "LANG")  # the only variables of the caller that a node gets
-END_S = 10.0
+PASSED_ENVIRONMENT_VARIABLES = (
+    "PATH",
+    "HOME",
+    "LANG",
+)  # the only variables of the caller that a node inherits
+STOP_TIMEOUT_S = 10.0
 
 
 class NodeEnded(CypresswinchError):
-    """A node's process has ended by itself."""
+    """A node's process exited unexpectedly."""
 
 
 @attrs.frozen(slots=True)
@@ -54,7 +58,7 @@
 
 @attrs.frozen(slots=True)
 class FleetSettings:
-    """What is the same in the settings of all nodes. Bounds as in the settings file, by its own keys."""
+    """The settings that all nodes share. `timing_bounds` uses the keys of the settings file."""
 
     region: str
     zones: tuple[str, ...]
@@ -66,7 +70,7 @@
 
 
 def settings(spec: NodeSpec, fleet: FleetSettings, folder: Path, bootstrap: bool) -> dict[str, Any]:
-    """The settings file of a node, as a table; `folder` holds its disk, if it has one."""
+    """Returns the settings file of a node as a table; `folder` contains its disk, if it has one."""
     table: dict[str, Any] = {
         "node-name": spec.name,
         "role": "router",
@@ -109,23 +113,25 @@
 
 
 def toml(table: Mapping[str, Any]) -> str:
-    """A table as TOML: values first, then the tables in it (one level is enough here)."""
-    values = [f"{key} = {_value(value)}" for key, value in table.items() if not isinstance(value, Mapping)]
+    """Returns a table as TOML: values first, then its subtables. Supports one level of nesting."""
+    values = [
+        f"{key} = {_toml_value(value)}" for key, value in table.items() if not isinstance(value, Mapping)
+    ]
     tables = []
     for key, inner in table.items():
         if isinstance(inner, Mapping):
             tables.append(f"\n[{key}]")
-            tables.extend(f"{name} = {_value(value)}" for name, value in inner.items())
+            tables.extend(f"{name} = {_toml_value(value)}" for name, value in inner.items())
     return "\n".join([*values, *tables]) + "\n"
 
 
-def _value(value: Any) -> str:
-    # JSON's strings, numbers, booleans and lists of them are TOML's as well.
+def _toml_value(value: Any) -> str:
+    # JSON strings, numbers, booleans and lists of them are valid TOML.
     return json.dumps(value)
 
 
 class Node:
-    """One node's process; it can be killed and started again."""
+    """One node's process; it can be killed and restarted."""
 
     def __init__(self, spec: NodeSpec, fleet: FleetSettings, folder: Path) -> None:
         self.spec = spec
@@ -136,7 +142,7 @@
 
     @property
     def log_path(self) -> Path:
-        """Where what it writes is kept, over all its lives."""
+        """Returns the path of its log, which all its processes append to."""
         return self._folder / self.spec.name / "log"
 
     @property
@@ -149,20 +155,20 @@
 
     @property
     def pid(self) -> int | None:
-        """Of its process, if it was started."""
+        """Returns the id of its process, if it was started."""
         return self._process.pid if self._process is not None else None
 
     def signal(self, number: signal.Signals) -> None:
-        """Sends its process a signal, if it runs."""
+        """Sends a signal to its process, if it is running."""
         if self.is_running and self._process is not None:
             self._process.send_signal(number)
 
     def start(self, bootstrap: bool = False) -> None:
-        """Writes its settings and starts it."""
-        own = self._folder / self.spec.name
-        (own / "disk" if self.spec.has_disk else own).mkdir(parents=True, exist_ok=True)
+        """Writes its settings file and starts its process."""
+        node_folder = self._folder / self.spec.name
+        (node_folder / "disk" if self.spec.has_disk else node_folder).mkdir(parents=True, exist_ok=True)
         self.write_settings(bootstrap)
-        environment = {name: os.environ[name] for name in PASSED_ON if name in os.environ}
+        environment = {name: os.environ[name] for name in PASSED_ENVIRONMENT_VARIABLES if name in os.environ}
         environment["CYPRESSWINCH_BOOT"] = str(self.settings_path)
         if self._output is None:
             self._output = self.log_path.open("ab")
@@ -176,37 +182,37 @@
         )
 
     def write_settings(self, bootstrap: bool = False, seeds: Sequence[str] = ()) -> None:
-        """Writes its settings file over the one that is there; `seeds`: others than the fleet's."""
+        """Overwrites its settings file; `seeds` replace the fleet's seeds."""
         fleet = attrs.evolve(self._fleet, seeds=tuple(seeds)) if seeds else self._fleet
         self.settings_path.write_text(toml(settings(self.spec, fleet, self._folder, bootstrap)))
 
     def check(self) -> None:
-        """Raises NodeEnded with the last of what it wrote, if it has ended by itself."""
+        """Raises NodeEnded with the end of its log, if its process exited unexpectedly."""
         if self._process is not None and self._process.poll() is not None:
             raise NodeEnded(f"{self.spec.name} ended with {self._process.returncode}\n{self.last_words()}")
 
     def last_words(self, lines: int = 12) -> str:
-        """The end of its log."""
+        """Returns the last lines of its log."""
         text = self.log_path.read_text(errors="replace") if self.log_path.exists() else ""
         return "\n".join(text.splitlines()[-lines:])
 
     def kill(self) -> None:
-        """Ends it without notice."""
+        """Sends SIGKILL and waits for the end of the process."""
         if self._process is not None:
             self._process.kill()
             self._process.wait()
             self._process = None
 
     def terminate(self) -> None:
-        """Tells it to end; `wait` for it."""
+        """Sends SIGTERM; `wait` waits for the end."""
         self.signal(signal.SIGTERM)
 
     def wait(self) -> int | None:
-        """Its exit code, after a kill if it does not end in time; None if it was not running."""
+        """Returns its exit code, after SIGKILL if it does not exit in time; None if it was not running."""
         if self._process is None:
             return None
         try:
-            code = self._process.wait(END_S)
+            code = self._process.wait(STOP_TIMEOUT_S)
         except subprocess.TimeoutExpired:
             self._process.kill()
             code = self._process.wait()
@@ -214,7 +220,7 @@
         return code
 
     def close(self) -> None:
-        """Ends what is left of it."""
+        """Kills its process if it still runs, and closes its log."""
         self.kill()
         if self._output is not None:
             self._output.close()
@@ -222,7 +228,7 @@
 
 
 def stop_all(nodes: Sequence[Node]) -> dict[str, int | None]:
-    """Tells all to end at once, and gives each one's exit code."""
+    """Sends SIGTERM to all nodes at once, and returns the exit code of each."""
     for node in nodes:
         node.terminate()
     codes = {node.spec.name: node.wait() for node in nodes}
--- a/cloverrouter/lab/fleet/operator.py
+++ b/cloverrouter/lab/fleet/operator.py
@@ -1,4 +1,4 @@
-"""The operator: brings the first configuration, changes it, and reads it back."""
+"""The operator: submits the first configuration, changes it, and reads it back."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from typing import Any
 
 from cloverrouter.errors import CypresswinchError
-from cloverrouter.lab.fleet.control_calls import ControlCaller, NoAnswer
+from cloverrouter.lab.fleet.control_calls import ControlCaller, NoDefinitiveAnswer
 from cloverrouter.lab.fleet.judge import Judge
 from cloverrouter.lab.fleet.wire import WireError
 
@@ -16,12 +16,12 @@
 READ_BACK_PAUSE_S = 0.3
 
 
-class Refused(CypresswinchError):
-    """A valid order was refused."""
+class OrderRefused(CypresswinchError):
+    """A valid change of the configuration was refused."""
 
 
 class Operator:
-    """Knows the configuration that it has brought into force."""
+    """Submits changes and keeps the newest acknowledged configuration."""
 
     def __init__(self, control_planes: Sequence[str], judge: Judge, seed: int) -> None:
         self.caller = ControlCaller(control_planes, seed)
@@ -29,36 +29,36 @@
         self._judge = judge
 
     async def put(self, document: dict[str, Any], within_s: float = 20.0) -> None:
-        """Brings a whole configuration. Raises Refused or NoAnswer."""
-        await self._order("PUT", document, within_s)
-        self._taken(document)
+        """Submits a whole configuration. Raises OrderRefused or NoDefinitiveAnswer."""
+        await self._submit("PUT", document, within_s)
+        self._record_acknowledged(document)
 
     async def patch(self, change: dict[str, Any], within_s: float = 20.0) -> None:
-        """Changes items by name. Raises Refused or NoAnswer."""
-        await self._order("PATCH", change, within_s)
-        self._taken(patched(self.current, change))
+        """Patches items by name. Raises OrderRefused or NoDefinitiveAnswer."""
+        await self._submit("PATCH", change, within_s)
+        self._record_acknowledged(patched(self.current, change))
 
-    async def _order(self, method: str, body: dict[str, Any], within_s: float) -> None:
+    async def _submit(self, method: str, body: dict[str, Any], within_s: float) -> None:
         headers = {"If-Match": str(self.current["version"])}
-        answer = await self.caller.until_clear(method, PATH, body, headers, within_s)
+        answer = await self.caller.call_until_definitive(method, PATH, body, headers, within_s)
         if answer.status >= 300:
             text = answer.body[:300].decode("utf-8", "replace")
-            raise Refused(f"{method} of version {body['version']}: {answer.status} {text}")
+            raise OrderRefused(f"{method} of version {body['version']}: {answer.status} {text}")
 
-    def _taken(self, document: dict[str, Any]) -> None:
+    def _record_acknowledged(self, document: dict[str, Any]) -> None:
         self.current = document
         self._judge.configuration_acknowledged(document["version"], document)
 
     async def read_back(self, within_s: float = 5.0) -> None:
-        """Asks for the newest configuration, again while it is older than what was acknowledged."""
+        """Reads the configuration until it is as new as the acknowledged one, and passes it to the judge."""
         loop = asyncio.get_running_loop()
-        until = loop.time() + within_s
+        deadline = loop.time() + within_s
         found: dict[str, Any] | None = None
-        while loop.time() < until:
+        while loop.time() < deadline:
             try:
-                answer = await self.caller.until_clear("GET", PATH, within_s=until - loop.time())
+                answer = await self.caller.call_until_definitive("GET", PATH, within_s=deadline - loop.time())
                 found = answer.json() if answer.status == 200 else found
-            except (NoAnswer, WireError):
+            except (NoDefinitiveAnswer, WireError):
                 pass
             if found is not None and found.get("version", 0) >= self.current["version"]:
                 break
@@ -67,13 +67,13 @@
 
 
 def patched(document: dict[str, Any], change: dict[str, Any]) -> dict[str, Any]:
-    """A configuration with a change of items by name, as a stand-in understands it."""
+    """Returns a copy of a configuration with a patch applied, independently of the fleet's code."""
     result = copy.deepcopy(document)
     result["version"] = change["version"]
     for section, names in change.get("delete", {}).items():
         result[section] = [item for item in result.get(section, []) if item["name"] not in names]
     for section, items in change.get("upsert", {}).items():
-        fresh = {item["name"]: item for item in items}
-        kept = [fresh.pop(item["name"], item) for item in result.get(section, [])]
-        result[section] = [*kept, *fresh.values()]
+        new_items = {item["name"]: item for item in items}
+        merged = [new_items.pop(item["name"], item) for item in result.get(section, [])]
+        result[section] = [*merged, *new_items.values()]
     return result
--- a/cloverrouter/lab/fleet/platform.py
+++ b/cloverrouter/lab/fleet/platform.py
@@ -1,4 +1,4 @@
-"""The platform before the fleet: asks each node for its readiness, and hands out clients' connections."""
+"""The platform's load balancer: probes the readiness of each node, and assigns clients' connections."""
 
 from __future__ import annotations
 
@@ -9,70 +9,70 @@
 
 import attrs
 
-from cloverrouter.lab.fleet.asking import AskingOn
+from cloverrouter.lab.fleet.asking import Poller
 from cloverrouter.lab.fleet.wire import WireError, call
 
-ASK_EVERY_S = 1.0
-MISSES = 2
+CHECK_INTERVAL_S = 1.0
+FAILED_CHECKS_LIMIT = 2
 
 
 @attrs.define(slots=True)
 class Door:
-    """One node as the platform sees it."""
+    """One node as seen by the platform."""
 
     name: str
     zone: str
     frontend: str
     readiness: str
     is_in: bool = False
-    misses: int = 0
+    failed_checks: int = 0
 
 
 class Platform:
-    """Chooses, for each new connection, a node that takes clients."""
+    """Selects a ready node for each new connection."""
 
-    def __init__(self, doors: Sequence[Door], seed: int, ask_every_s: float = ASK_EVERY_S) -> None:
+    def __init__(self, doors: Sequence[Door], seed: int, ask_every_s: float = CHECK_INTERVAL_S) -> None:
         self.doors = list(doors)
         self._changed = asyncio.Event()
         self._random = random.Random(seed)
-        self._asking = AskingOn(self.doors, self._ask, ask_every_s)
+        self._poller = Poller(self.doors, self._check_readiness, ask_every_s)
 
     def begin(self) -> None:
-        self._asking.begin()
+        self._poller.start()
 
     def stop(self) -> None:
-        self._asking.stop()
+        self._poller.stop()
 
     @property
     def ready(self) -> int:
-        """How many nodes are in."""
+        """Returns the number of ready nodes."""
         return sum(door.is_in for door in self.doors)
 
-    async def until_ready(self, count: int) -> None:
-        """Returns when at least so many nodes are in."""
+    async def wait_until_ready(self, count: int) -> None:
+        """Waits until at least `count` nodes are ready."""
         while self.ready < count:
             self._changed.clear()
             await self._changed.wait()
 
     def frontend(self, zone: str) -> str:
-        """Where a new connection from this zone goes."""
+        """Returns the frontend for a new connection from this zone."""
         own = [door for door in self.doors if door.zone == zone]
-        choice = self._of(own) or self._of(self.doors) or self.doors
+        choice = self._eligible(own) or self._eligible(self.doors) or self.doors
         return self._random.choice(choice).frontend
 
     @staticmethod
-    def _of(doors: Sequence[Door]) -> list[Door]:
-        """Those that are in; all if it is fewer than half of them; none if none is in."""
-        inside = [door for door in doors if door.is_in]
-        return list(doors) if inside and 2 * len(inside) < len(doors) else inside
+    def _eligible(doors: Sequence[Door]) -> list[Door]:
+        """Returns the ready nodes; all nodes if fewer than half are ready; none if none is ready."""
+        ready_endpoints = [door for door in doors if door.is_in]
+        return list(doors) if ready_endpoints and 2 * len(ready_endpoints) < len(doors) else ready_endpoints
 
-    async def _ask(self, door: Door) -> None:
+    async def _check_readiness(self, door: Door) -> None:
         ok = False
         with contextlib.suppress(OSError, WireError, TimeoutError):
-            ok = (await call(door.readiness, "GET", "/-/readiness", timeout_s=ASK_EVERY_S)).status == 200
-        door.misses = 0 if ok else door.misses + 1
+            ok = (await call(door.readiness, "GET", "/-/readiness", timeout_s=CHECK_INTERVAL_S)).status == 200
+        door.failed_checks = 0 if ok else door.failed_checks + 1
         self._changed.set()
         if ok:
             door.is_in = True
-        elif door.misses >= MISSES:
+        elif door.failed_checks >= FAILED_CHECKS_LIMIT:
             door.is_in = False
--- a/cloverrouter/lab/fleet/registration.py
+++ b/cloverrouter/lab/fleet/registration.py
@@ -1,4 +1,4 @@
-"""How an emulated server makes itself known: heartbeats to any node, and its leave."""
+"""Registration of an emulated server: heartbeats to any node, and deregistration."""
 
 from __future__ import annotations
 
@@ -13,8 +13,8 @@
 from cloverrouter.lab.fleet.model_server import ModelServer, models
 from cloverrouter.lab.fleet.wire import WireError, call
 
-TIMEOUT_S = 1.0
-PAUSE_S = 0.1
+CALL_TIMEOUT_S = 1.0
+RETRY_PAUSE_S = 0.1
 
 
 async def start_server(
@@ -25,7 +25,7 @@
     clock: Callable[[], float],
     seed: int,
 ) -> Registration:
-    """Starts an emulated server that announces itself. Raises OSError if its address is taken."""
+    """Starts an emulated server and its registration. Raises OSError if its address is taken."""
     server = ModelServer(spec, judge, clock, seed)
     await server.start()
     registration = Registration(server, control_planes, heartbeat_s, judge, seed)
@@ -34,7 +34,7 @@
 
 
 class Registration:
-    """Announces one server, from `begin` until `leave` or `stop`."""
+    """Sends the heartbeats of one server, from `start` until `leave` or `stop`."""
 
     def __init__(
         self, server: ModelServer, control_planes: Sequence[str], heartbeat_s: float, judge: Judge, seed: int
@@ -46,18 +46,21 @@
         self._random = random.Random(f"{seed} {server.spec.instance_id}")
         self._sequence = 0
         self._endpoint: str | None = None
-        self._beating: asyncio.Task[None] | None = None
+        self._heartbeat_task: asyncio.Task[None] | None = None
 
     def begin(self) -> None:
-        self._beating = asyncio.create_task(self._beat())
+        self._heartbeat_task = asyncio.create_task(self._send_heartbeats())
 
     def stop(self) -> None:
-        """Says nothing more, as a server that crashes."""
-        if self._beating is not None:
-            self._beating.cancel()
+        """Stops the heartbeats without deregistration, as in a crash."""
+        if self._heartbeat_task is not None:
+            self._heartbeat_task.cancel()
 
     async def leave(self, drain_timeout_s: float) -> bool:
-        """The planned end: draining, serving on for a while, removal. False if the drain got no answer."""
+        """Drains the server, serves on for a while and deregisters it.
+
+        Returns whether the drain was acknowledged.
+        """
         self.stop()
         self.server.drain()
         acknowledged = await self._announce(within_s=2 * drain_timeout_s)
@@ -70,7 +73,7 @@
         return acknowledged
 
     def announcement(self) -> dict[str, Any]:
-        """The next heartbeat's body."""
+        """Returns the body of the next heartbeat."""
         self._sequence += 1
         spec = self.server.spec
         return {
@@ -86,7 +89,7 @@
             "sequence-number": self._sequence,
         }
 
-    async def _beat(self) -> None:
+    async def _send_heartbeats(self) -> None:
         while True:
             await self._announce(within_s=self._heartbeat_s)
             await asyncio.sleep(self._heartbeat_s * self._random.uniform(0.9, 1.1))
@@ -96,22 +99,22 @@
         return await self._send("PUT", path, self.announcement(), within_s)
 
     async def _send(self, method: str, path: str, body: Any, within_s: float) -> bool:
-        """The same call to one node after the other until one acknowledges it."""
+        """Repeats a call at one node after the other until one acknowledges it or the time is up."""
         loop = asyncio.get_running_loop()
-        until = loop.time() + within_s
+        deadline = loop.time() + within_s
         while True:
             address = self._endpoint or self._random.choice(self._control_planes)
             self._endpoint = None
             with contextlib.suppress(OSError, WireError, TimeoutError):
-                answer = await call(address, method, path, body, timeout_s=TIMEOUT_S)
+                answer = await call(address, method, path, body, timeout_s=CALL_TIMEOUT_S)
                 if 200 <= answer.status < 300:
                     self._endpoint = _endpoint(answer.body and answer.json())
                     return True
-            if loop.time() >= until:
+            if loop.time() >= deadline:
                 return False
-            await asyncio.sleep(PAUSE_S)
+            await asyncio.sleep(RETRY_PAUSE_S)
 
 
-def _endpoint(told: Any) -> str | None:
-    endpoint = told.get("heartbeat-endpoint") if isinstance(told, dict) else None
+def _endpoint(answer_body: Any) -> str | None:
+    endpoint = answer_body.get("heartbeat-endpoint") if isinstance(answer_body, dict) else None
     return endpoint if isinstance(endpoint, str) and ":" in endpoint else None
--- a/cloverrouter/lab/fleet/wire.py
+++ b/cloverrouter/lab/fleet/wire.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 as the stand-ins need it: heads, bodies and event streams over asyncio's streams."""
+"""Minimal HTTP/1.1 for the test doubles: heads, bodies and event streams over asyncio streams."""
 
 from __future__ import annotations
 
@@ -17,22 +17,22 @@
 
 
 class WireError(CypresswinchError):
-    """What came is not HTTP/1.1."""
+    """The peer sent malformed HTTP/1.1 or a malformed body."""
 
 
 class ConnectionCut(WireError):
-    """The connection ended inside a message."""
+    """The connection closed inside a message."""
 
 
 @attrs.frozen(slots=True)
 class Head:
-    """First line and headers of a request or an answer. Header names are compared without case."""
+    """First line and headers of a request or an answer. Header names are case-insensitive."""
 
     first: tuple[str, str, str]
     headers: tuple[tuple[str, str], ...]
 
     def get(self, name: str, default: str = "") -> str:
-        """The first value of a header, or the default."""
+        """Returns the first value of a header, or the default."""
         lower = name.lower()
         return next((value for key, value in self.headers if key.lower() == lower), default)
 
@@ -41,28 +41,28 @@
 
     @property
     def status(self) -> int:
-        """Of an answer."""
+        """Returns the status code of an answer."""
         return int(self.first[1])
 
     @property
     def closes(self) -> bool:
-        """Whether the sender closes the connection after this message."""
+        """Returns whether the sender closes the connection after this message."""
         return "close" in self.get("Connection").lower()
 
 
 def render(first: str, headers: Iterable[tuple[str, str]], body: bytes = b"") -> bytes:
-    """A whole message; the headers already say how long its body is."""
+    """Returns a whole message. The caller adds the headers that delimit the body."""
     lines = [first, *(f"{name}: {value}" for name, value in headers)]
     return "\r\n".join(lines).encode("latin-1") + b"\r\n\r\n" + body
 
 
 def render_chunk(data: bytes) -> bytes:
-    """One chunk of a body in chunks; empty data is its end."""
+    """Returns one chunk of a chunked body; empty data gives the last chunk."""
     return b"%x\r\n%s\r\n" % (len(data), data)
 
 
 async def read_head(reader: asyncio.StreamReader) -> Head | None:
-    """The next head, or None if the connection ended before its first byte. Raises WireError."""
+    """Returns the next head, or None if the connection closed before its first byte. Raises WireError."""
     try:
         raw = await reader.readuntil(b"\r\n\r\n")
     except asyncio.IncompleteReadError as error:
@@ -70,22 +70,22 @@
             return None
         raise ConnectionCut("the connection ended inside a head") from error
     except asyncio.LimitOverrunError as error:
-        raise WireError("a head is too long") from error
+        raise WireError("a message head is too long") from error
     lines = raw[:-4].decode("latin-1").split("\r\n")
     words = lines[0].split(" ", 2)
     if len(words) < 2:
-        raise WireError(f"no first line: {lines[0][:80]!r}")
+        raise WireError(f"invalid start line: {lines[0][:80]!r}")
     headers = []
     for line in lines[1:]:
         name, colon, value = line.partition(":")
         if not colon:
-            raise WireError(f"no header: {line[:80]!r}")
+            raise WireError(f"invalid header line: {line[:80]!r}")
         headers.append((name, value.strip()))
     return Head((words[0], words[1], words[2] if len(words) > 2 else ""), tuple(headers))
 
 
 async def body_parts(reader: asyncio.StreamReader, head: Head, is_answer: bool) -> AsyncIterator[bytes]:
-    """The body in the pieces in which it comes. Raises ConnectionCut if it does not come whole."""
+    """Yields the body in pieces, as received. Raises ConnectionCut if it is incomplete."""
     try:
         if "chunked" in head.get("Transfer-Encoding").lower():
             async for part in _chunks(reader):
@@ -99,7 +99,7 @@
     except (asyncio.IncompleteReadError, OSError) as error:
         raise ConnectionCut("the connection ended inside a body") from error
     except (ValueError, asyncio.LimitOverrunError) as error:
-        raise WireError(f"no body: {error}") from error
+        raise WireError(f"malformed body: {error}") from error
 
 
 async def _chunks(reader: asyncio.StreamReader) -> AsyncIterator[bytes]:
@@ -110,25 +110,25 @@
         size = int(line.split(b";")[0], 16)
         if size == 0:
             while await reader.readuntil(b"\r\n") != b"\r\n":
-                pass  # trailers are of no interest
+                pass  # trailers are ignored
             return
         yield await reader.readexactly(size)
         if await reader.readexactly(2) != b"\r\n":
-            raise WireError("a chunk does not end where it should")
+            raise WireError("a chunk is not followed by CRLF")
 
 
 async def _counted(reader: asyncio.StreamReader, length: int) -> AsyncIterator[bytes]:
-    left = length
-    while left:
-        part = await reader.read(min(left, 64 * 1024))
+    remaining = length
+    while remaining:
+        part = await reader.read(min(remaining, 64 * 1024))
         if not part:
             raise ConnectionCut("the connection ended inside a body")
-        left -= len(part)
+        remaining -= len(part)
         yield part
 
 
 async def read_body(reader: asyncio.StreamReader, head: Head, is_answer: bool) -> bytes:
-    """The whole body. Raises ConnectionCut."""
+    """Returns the whole body. Raises ConnectionCut or WireError."""
     return b"".join([part async for part in body_parts(reader, head, is_answer)])
 
 
@@ -137,20 +137,20 @@
 
 
 class EventParser:
-    """Events from the bytes of a `text/event-stream` body, split anywhere."""
+    """Parses events from the bytes of a `text/event-stream` body, split anywhere."""
 
     def __init__(self) -> None:
-        self._held = b""
+        self._pending = b""
 
     def feed(self, data: bytes) -> list[Event]:
-        """The events that are whole by now."""
-        *blocks, self._held = (self._held + data).split(b"\n\n")
+        """Returns the events completed by this data."""
+        *blocks, self._pending = (self._pending + data).split(b"\n\n")
         return [self._event(block) for block in blocks if block.strip()]
 
     @property
-    def holds_part(self) -> bool:
-        """Whether part of an event has come that is not whole."""
-        return bool(self._held.strip())
+    def has_partial_event(self) -> bool:
+        """Returns whether an incomplete event is pending."""
+        return bool(self._pending.strip())
 
     @staticmethod
     def _event(block: bytes) -> Event:
@@ -166,22 +166,22 @@
 
 @attrs.frozen(slots=True)
 class Answer:
-    """A whole answer to a control call."""
+    """A complete answer to a control call."""
 
     status: int
     head: Head
     body: bytes
 
     def json(self) -> Any:
-        """The body as JSON. Raises WireError."""
+        """Returns the body parsed as JSON. Raises WireError."""
         try:
             return json.loads(self.body)
         except ValueError as error:
-            raise WireError(f"no JSON: {self.body[:80]!r}") from error
+            raise WireError(f"invalid JSON body: {self.body[:80]!r}") from error
 
 
 async def connect(address: str) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
-    """A connection to `host:port`. Raises OSError."""
+    """Opens a connection to `host:port`. Raises OSError."""
     host, _, port = address.rpartition(":")
     return await asyncio.open_connection(host, int(port), limit=HEAD_LIMIT_BYTES)
 
@@ -194,8 +194,9 @@
     headers: Mapping[str, str] | None = None,
     timeout_s: float = 1.0,
 ) -> Answer:
-    """One call over a connection of its own; a body is sent as JSON, bytes as they are. Raises OSError,
-    WireError or TimeoutError.
+    """Makes one call over a new connection. `body` is sent as JSON, bytes unchanged.
+
+    Raises OSError, WireError or TimeoutError.
     """
     async with asyncio.timeout(timeout_s):
         reader, writer = await connect(address)
@@ -208,7 +209,7 @@
             writer.write(render(f"{method} {path} HTTP/1.1", lines, raw))
             head = await read_head(reader)
             if head is None:
-                raise ConnectionCut("closed without an answer")
+                raise ConnectionCut("the connection closed without an answer")
             return Answer(head.status, head, await read_body(reader, head, is_answer=True))
         finally:
             writer.close()
--- a/cloverrouter/lab/soak/__init__.py
+++ b/cloverrouter/lab/soak/__init__.py
@@ -1,1 +1,1 @@
-"""Soak runs of the fleet: real processes, with signals, restarts and changes in series that overlap."""
+"""Soak tests of the fleet: real processes under overlapping series of signals, restarts and changes."""
--- a/cloverrouter/lab/soak/checks.py
+++ b/cloverrouter/lab/soak/checks.py
@@ -1,4 +1,4 @@
-"""What is wrong with a soak run: the contract's rules CONFIG, FAULT and LOST, from what was seen. Pure."""
+"""Checks a soak run's observations against the contract's rules CONFIG, FAULT and LOST. No I/O."""
 
 from __future__ import annotations
 
@@ -8,17 +8,17 @@
 import attrs
 
 from cloverrouter.lab.fleet.judge import Finding, Judge, Request, differences
-from cloverrouter.lab.soak.machines import Life
-from cloverrouter.lab.soak.orders import OTHER_VERSION, ReadBack, Sent
-from cloverrouter.lab.soak.watch import Sight
+from cloverrouter.lab.soak.machines import ProcessRecord
+from cloverrouter.lab.soak.orders import VERSION_CONFLICT, ObservedRead, SentOrder
+from cloverrouter.lab.soak.watch import Observation
 
 ENDED_BY_SIGTERM = -15
-MAY_CUT = 3  # requests that a machine may cut off after it passed them on
+MAX_CUT_REQUESTS = 3  # forwarded requests that a machine may interrupt
 
 
 @attrs.frozen(slots=True)
 class Bounds:
-    """Times of the contract, in seconds."""
+    """Time limits of the contract, in seconds."""
 
     propagation_s: float
     connectivity_s: float
@@ -28,52 +28,60 @@
 
 @attrs.frozen(slots=True)
 class History:
-    """The trouble of each machine as spans of time, and which machines are of the core."""
+    """Each machine's disturbances as spans of time, and the core: the machines with a disk."""
 
-    troubles: dict[str, list[tuple[float, float]]]
+    disturbances: dict[str, list[tuple[float, float]]]
     core: frozenset[str]
     bounds: Bounds
 
-    def in_touch(self, machine: str, at: float, for_s: float | None = None) -> bool:
-        """Whether the rules bound by time hold for a machine, or have held for so long."""
+    def was_undisturbed(self, machine: str, at: float, for_s: float | None = None) -> bool:
+        """Returns whether the machine and the core were undisturbed for `for_s` seconds before `at`.
+
+        Only then the rules with a time limit apply. Default: the contract's connectivity time.
+        """
         span = (at - (self.bounds.connectivity_s if for_s is None else for_s), at)
-        return not any(self._is_in(span, name) for name in {machine, *self.core})
+        return not any(self._overlaps_disturbance(span, name) for name in {machine, *self.core})
 
-    def _is_in(self, span: tuple[float, float], machine: str) -> bool:
-        return any(begun <= span[1] and ended >= span[0] for begun, ended in self.troubles[machine])
+    def _overlaps_disturbance(self, span: tuple[float, float], machine: str) -> bool:
+        return any(
+            started_at <= span[1] and ended_at >= span[0]
+            for started_at, ended_at in self.disturbances[machine]
+        )
 
 
-def check_orders(sent: Sequence[Sent]) -> Iterator[Finding]:
-    """Invalid orders that were confirmed, two confirmed on one version, and confirmed ones refused again."""
-    taken: dict[int, Sent] = {}
+def check_orders(sent: Sequence[SentOrder]) -> Iterator[Finding]:
+    """Finds confirmed invalid orders, two orders confirmed on one version, and wrongly refused orders."""
+    confirmed_by_base: dict[int, SentOrder] = {}
     for order in sorted((each for each in sent if each.is_acknowledged), key=attrgetter("sent_at")):
         if not order.is_valid:
-            yield Finding("CONFIG", f"an invalid order is confirmed ({order.what}): version {order.version}")
-        rival = taken.setdefault(order.base, order)
+            yield Finding(
+                "CONFIG", f"an invalid order is confirmed ({order.description}): version {order.version}"
+            )
+        rival = confirmed_by_base.setdefault(order.base, order)
         if rival.document != order.document:
             yield Finding(
                 "CONFIG", f"versions {rival.version} and {order.version} are both confirmed on {order.base}"
             )
     for order in sent:
-        if order.what == "again" and order.status is not None and order.status >= 400:
+        if order.description == "again" and order.status is not None and order.status >= 400:
             if not _may_have_changed(order, sent):
                 yield Finding("CONFIG", f"version {order.version}, confirmed, is refused: {order.status}")
         elif order.is_valid and order.status is not None and 400 <= order.status < 500:
-            if order.status != OTHER_VERSION:
-                yield Finding("CONFIG", f"a valid order ({order.what}) is refused: {order.status}")
+            if order.status != VERSION_CONFLICT:
+                yield Finding("CONFIG", f"a valid order ({order.description}) is refused: {order.status}")
             elif not _has_rival(order, sent):
                 yield Finding("CONFIG", f"version {order.version} on {order.base} is refused: 412")
 
 
-def _may_have_changed(order: Sent, sent: Sequence[Sent]) -> bool:
+def _may_have_changed(order: SentOrder, sent: Sequence[SentOrder]) -> bool:
     return any(
         each.may_be_in_force and each.version > order.version and each.sent_at < (order.answered_at or 0)
         for each in sent
     )
 
 
-def _has_rival(order: Sent, sent: Sequence[Sent]) -> bool:
-    """Whether another order may have come first."""
+def _has_rival(order: SentOrder, sent: Sequence[SentOrder]) -> bool:
+    """Returns whether another order may have been applied first."""
     return any(
         each is not order
         and each.may_be_in_force
@@ -84,11 +92,11 @@
     )
 
 
-def check_reads(reads: Sequence[ReadBack], sent: Sequence[Sent]) -> Iterator[Finding]:
-    """Reads that tell less than was confirmed before they were sent, or what was never ordered."""
+def check_reads(reads: Sequence[ObservedRead], sent: Sequence[SentOrder]) -> Iterator[Finding]:
+    """Finds reads older than what was confirmed before them, or of what was never ordered."""
     documents = {order.version: order for order in sent if order.may_be_in_force}
     for read in reads:
-        confirmed = _due(sent, read.sent_at)
+        confirmed = _newest_confirmed(sent, read.sent_at)
         if read.version < confirmed:
             text = f"{read.address} reads version {read.version}, {confirmed} was confirmed before"
             yield Finding("CONFIG", text)
@@ -99,34 +107,44 @@
             yield Finding("CONFIG", f"version {read.version} differs when read: {', '.join(different)}")
 
 
-def check_sights(sights: Sequence[Sight], sent: Sequence[Sent], history: History) -> Iterator[Finding]:
-    """Machines that do not have in time what was confirmed, or that go back within one life."""
+def check_observations(
+    observations: Sequence[Observation], sent: Sequence[SentOrder], history: History
+) -> Iterator[Finding]:
+    """Finds machines that apply a confirmed version late, or whose version decreases in one process."""
     newest: dict[tuple[str, int], int] = {}
-    for sight in sorted(sights, key=attrgetter("answered_at")):
-        key = (sight.machine, sight.pid)
-        if sight.version < newest.get(key, 0):
-            yield Finding("CONFIG", f"{sight.machine} goes back from {newest[key]} to {sight.version}")
-        newest[key] = max(sight.version, newest.get(key, 0))
-        due = _due(sent, sight.asked_at - history.bounds.propagation_s)
-        # Without any configuration it refuses, and promises that nothing has run: that may take its recovery.
-        for_s = history.bounds.recovery_s if sight.version == 0 else None
-        if sight.version < due and history.in_touch(sight.machine, sight.asked_at, for_s):
-            text = f"{sight.machine} has version {sight.version} at {sight.asked_at:.2f}, {due} is due"
+    for observation in sorted(observations, key=attrgetter("answered_at")):
+        key = (observation.machine, observation.pid)
+        if observation.version < newest.get(key, 0):
+            yield Finding(
+                "CONFIG",
+                f"{observation.machine} went back from version {newest[key]} to {observation.version}",
+            )
+        newest[key] = max(observation.version, newest.get(key, 0))
+        expected_version = _newest_confirmed(sent, observation.asked_at - history.bounds.propagation_s)
+        # Without a configuration it refuses requests without executing them, which the recovery time allows.
+        for_s = history.bounds.recovery_s if observation.version == 0 else None
+        if observation.version < expected_version and history.was_undisturbed(
+            observation.machine, observation.asked_at, for_s
+        ):
+            text = (
+                f"{observation.machine} has version {observation.version} at {observation.asked_at:.2f}, "
+                f"{expected_version} is due"
+            )
             yield Finding("CONFIG", text)
 
 
-def _due(sent: Sequence[Sent], at: float) -> int:
-    """The newest version that was confirmed by then."""
+def _newest_confirmed(sent: Sequence[SentOrder], at: float) -> int:
+    """Returns the newest version confirmed by then."""
     return max((o.version for o in sent if o.is_acknowledged and (o.answered_at or 0) <= at), default=0)
 
 
-def check_routes(judge: Judge, sent: Sequence[Sent], history: History) -> Iterator[Finding]:
-    """Requests that machines in touch have handled as no configuration that may be in force allows."""
+def check_routes(judge: Judge, sent: Sequence[SentOrder], history: History) -> Iterator[Finding]:
+    """Finds requests that undisturbed machines handled against every configuration that may be in force."""
     for request in judge.requests.values():
         answer = judge.answers.get(request.attempt_id)
         if answer is None or not request.route.startswith("r-soak-"):
             continue
-        if not history.in_touch(request.zone, answer.ended_at):
+        if not history.was_undisturbed(request.zone, answer.ended_at):
             continue
         allowed = _allowed(request, sent, request.sent_at - history.bounds.propagation_s, answer.ended_at)
         for run in judge.runs.get(request.attempt_id, ()):
@@ -134,17 +152,17 @@
                 text = f"{run.backend} runs {request.route} for {request.zone} at {request.sent_at:.2f}"
                 yield Finding("CONFIG", f"{text}, allowed: {sorted(map(str, allowed))}")
         is_unknown = answer.status == 404 and None not in allowed
-        if not answer.stamp and (is_unknown or answer.status == 401):
+        if not answer.signature and (is_unknown or answer.status == 401):
             text = f"{request.route}: {answer.status} of {request.zone} at {request.sent_at:.2f}"
             yield Finding("CONFIG", text)
 
 
-def _allowed(request: Request, sent: Sequence[Sent], from_s: float, until_s: float) -> set[str | None]:
-    """The services that a route may go to; None among them: there may be no such route."""
-    least = _due(sent, from_s)
+def _allowed(request: Request, sent: Sequence[SentOrder], from_s: float, until_s: float) -> set[str | None]:
+    """Returns the services that a route may lead to. None among them: the route may not exist."""
+    oldest_version = _newest_confirmed(sent, from_s)
     found: set[str | None] = set()
     for order in sent:
-        if order.may_be_in_force and order.version >= least and order.sent_at <= until_s:
+        if order.may_be_in_force and order.version >= oldest_version and order.sent_at <= until_s:
             items = [item for item in order.document["route-table"] if item["name"] == request.route]
             found.update(_services(items[0]) if items else {None})
     return found
@@ -157,73 +175,83 @@
     return {str(item["backend"])}
 
 
-def check_lives(name: str, lives: Sequence[Life], grace_s: float) -> Iterator[Finding]:
-    """Processes that ended by themselves, with another code than 0 when told to end, or too late."""
-    for number, life in enumerate(lives):
-        if life.ended_at is None or life.was_sent("KILL"):
+def check_processes(name: str, processes: Sequence[ProcessRecord], grace_s: float) -> Iterator[Finding]:
+    """Finds processes that exited unexpectedly, or after SIGTERM with a code other than 0 or too late."""
+    for number, process in enumerate(processes):
+        if process.ended_at is None or process.was_sent("KILL"):
             continue
-        told_at = life.first("TERM")
-        age_s = life.ended_at - life.started_at
-        signals = ", ".join(f"{sent} at {at - life.started_at:.3f} s" for at, sent in life.signals) or "none"
-        text = f"{name}, process {number}, ended with {life.code} after {age_s:.2f} s; signals: {signals}"
-        if told_at is None:
+        sigterm_at = process.first_sent_at("TERM")
+        age_s = process.ended_at - process.started_at
+        signals = (
+            ", ".join(f"{sent} at {at - process.started_at:.3f} s" for at, sent in process.signals) or "none"
+        )
+        text = f"{name}, process {number}, ended with {process.code} after {age_s:.2f} s; signals: {signals}"
+        if sigterm_at is None:
             yield Finding("FAULT", text)
-        elif life.code == ENDED_BY_SIGTERM and life.too_soon:
+        elif process.code == ENDED_BY_SIGTERM and process.too_soon:
             continue
-        elif life.code != 0:
-            yield Finding("FAULT", f"{text}; it was told to end")
-        elif life.ended_at - told_at > grace_s + 0.5:
-            yield Finding("FAULT", f"{text}; {life.ended_at - told_at:.2f} s after SIGTERM")
+        elif process.code != 0:
+            yield Finding("FAULT", f"{text}; it was sent SIGTERM")
+        elif process.ended_at - sigterm_at > grace_s + 0.5:
+            yield Finding("FAULT", f"{text}; {process.ended_at - sigterm_at:.2f} s after SIGTERM")
 
 
-def check_cuts(judge: Judge, lives: Mapping[str, Sequence[Life]], grace_s: float) -> Iterator[Finding]:
-    """Requests that were passed on, and whose connection ended without an answer. All servers are sound."""
-    cuts: dict[str, list[str]] = {}
+def check_cuts(
+    judge: Judge, processes: Mapping[str, Sequence[ProcessRecord]], grace_s: float
+) -> Iterator[Finding]:
+    """Finds forwarded requests whose connection ended without an answer. All servers are healthy."""
+    cut_requests: dict[str, list[str]] = {}
     for request in judge.requests.values():
         answer = judge.answers.get(request.attempt_id)
-        if answer is None or not answer.was_cut:
+        if answer is None or not answer.was_interrupted:
             continue
         if not judge.runs.get(request.attempt_id):
             continue
-        own, sent_at, ended_at = lives[request.zone], request.sent_at, answer.ended_at
-        if _was_killed(own, sent_at, ended_at) or _was_late(own, sent_at, ended_at, grace_s):
+        machine_processes, sent_at, ended_at = processes[request.zone], request.sent_at, answer.ended_at
+        if _was_disturbed(machine_processes, sent_at, ended_at) or _outlasted_grace(
+            machine_processes, sent_at, ended_at, grace_s
+        ):
             continue
         lasted = answer.ended_at - request.sent_at
-        cuts.setdefault(request.zone, []).append(
+        cut_requests.setdefault(request.zone, []).append(
             f"{request.attempt_id} ({request.route}) sent at {request.sent_at:.2f}, cut after {lasted:.2f} s"
         )
-    for name, texts in cuts.items():
-        told = any(life.was_sent("TERM") for life in lives[name])
-        if told or len(texts) > MAY_CUT:
+    for name, texts in cut_requests.items():
+        was_terminated = any(process.was_sent("TERM") for process in processes[name])
+        if was_terminated or len(texts) > MAX_CUT_REQUESTS:
             yield from (Finding("LOST", f"{name}: {text}") for text in texts)
 
 
-def _was_killed(lives: Iterable[Life], begun: float, ended: float) -> bool:
-    """Whether a process was killed or frozen meanwhile, or ended by itself."""
-    for life in lives:
-        blows = [at for at, sent in life.signals if sent in ("KILL", "STOP")]
-        if any(begun - 0.1 <= at <= ended + 0.1 for at in blows):
+def _was_disturbed(processes: Iterable[ProcessRecord], started_at: float, ended_at: float) -> bool:
+    """Returns whether a process was killed or stopped meanwhile, or exited unexpectedly."""
+    for process in processes:
+        signal_times = [at for at, sent in process.signals if sent in ("KILL", "STOP")]
+        if any(started_at - 0.1 <= at <= ended_at + 0.1 for at in signal_times):
             return True
-        if life.code and life.ended_at is not None and begun - 0.1 <= life.ended_at <= ended + 0.3:
+        if (
+            process.code
+            and process.ended_at is not None
+            and started_at - 0.1 <= process.ended_at <= ended_at + 0.3
+        ):
             return True
     return False
 
 
-def _was_late(lives: Iterable[Life], sent: float, ended: float, grace_s: float) -> bool:
-    """Whether the server was at work in the last sixth of the grace period, on a request sent early in it."""
-    for life in lives:
-        told_at = life.first("TERM")
-        if told_at is not None and told_at <= ended <= told_at + grace_s + 1.0:
-            return sent <= told_at + 3.0 and ended >= told_at + grace_s * 5 / 6
+def _outlasted_grace(
+    processes: Iterable[ProcessRecord], sent: float, ended_at: float, grace_s: float
+) -> bool:
+    """Returns whether a request sent early in the grace period was still running in its last sixth."""
+    for process in processes:
+        sigterm_at = process.first_sent_at("TERM")
+        if sigterm_at is not None and sigterm_at <= ended_at <= sigterm_at + grace_s + 1.0:
+            return sent <= sigterm_at + 3.0 and ended_at >= sigterm_at + grace_s * 5 / 6
     return False
 
 
 def check_log(name: str, text: str) -> Iterator[Finding]:
-    """Errors that a process did not handle."""
+    """Finds unhandled errors in a process's log."""
     lines = text.splitlines()
     for number, line in enumerate(lines):
         if line.startswith("Traceback ") or "Exception in callback" in line or "never retrieved" in line:
             last = next((each for each in lines[number + 1 :] if each and not each.startswith(" ")), "")
-            yield Finding(
-                "FAULT", f"{name} logs an error that it did not handle: {line[:80]} ... {last[:160]}"
-            )
+            yield Finding("FAULT", f"{name} logged an unhandled error: {line[:80]} ... {last[:160]}")
--- a/cloverrouter/lab/soak/run.py
+++ b/cloverrouter/lab/soak/run.py
@@ -1,4 +1,4 @@
-"""One soak run: a fleet of real processes, clients that never let go, an operator, and strikes."""
+"""One soak run: a fleet of processes under faults, with clients on persistent connections and an operator."""
 
 from __future__ import annotations
 
@@ -13,71 +13,71 @@
 
 from cloverrouter.lab.fleet import deployment
 from cloverrouter.lab.fleet.client import Client
-from cloverrouter.lab.fleet.control_calls import NoAnswer
+from cloverrouter.lab.fleet.control_calls import NoDefinitiveAnswer
 from cloverrouter.lab.fleet.exchange import ServerSpec
-from cloverrouter.lab.fleet.judge import AnswerSeen, Finding, Judge
-from cloverrouter.lab.fleet.load import Draws, Kind
+from cloverrouter.lab.fleet.judge import Finding, Judge, ObservedAnswer
+from cloverrouter.lab.fleet.load import LoadGenerator, RequestKind
 from cloverrouter.lab.fleet.nodes import NodeSpec
 from cloverrouter.lab.fleet.registration import Registration, start_server
 from cloverrouter.lab.soak import checks
 from cloverrouter.lab.soak.machines import Machine, now
-from cloverrouter.lab.soak.orders import BRANCH_SERVICE, Operator, first_document
-from cloverrouter.lab.soak.plan import Act, Plan, Strike
+from cloverrouter.lab.soak.orders import BRANCH_SERVICE, Operator, initial_document
+from cloverrouter.lab.soak.plan import Act, Fault, Plan
 from cloverrouter.lab.soak.watch import Watch
 
-FIRST_WITHIN_S = 30.0
+READY_TIMEOUT_S = 30.0
 RECOVERY_S = 12.0
 ORDER_GAP_S = 0.7
-CLIENTS_A_MACHINE = 3
-REQUESTS_A_SECOND = 80.0  # over all clients at most
-LAG_LOOK_S = 0.05
-CALM_ASKS = 6  # of each added route at each machine, in the end
-LEAST_SERVED = 0.25  # of what the first routes get
+CLIENTS_PER_MACHINE = 3
+MAX_REQUESTS_PER_S = 80.0  # maximum over all clients
+LAG_SAMPLE_S = 0.05
+FINAL_REQUESTS_PER_ROUTE = 6  # per chosen machine, at the end
+MIN_SERVED_RATIO = 0.25  # of the served share of the first routes
 MOST_NAMED = 12
 
 
 @attrs.define(slots=True)
 class Report:
-    """How a run went. `findings` are the rules that were broken, with words for each."""
+    """The result of a run. `findings` are the violations of rules."""
 
     seed: int
     machines: int
     findings: list[Finding] = attrs.field(factory=list)
     lives: int = 0
-    too_soon: int = 0  # signals that met an interpreter which had not begun with the program
+    too_soon: int = 0  # signals to an interpreter that had not yet started the program
     orders: int = 0
     confirmed: int = 0
     requests: int = 0
     served: int = 0
     statuses: dict[str, int] = attrs.field(factory=dict)
-    lag_s: float = 0.0  # the longest time by which this process itself was late
+    lag_s: float = 0.0  # the longest scheduling delay of this process
 
     @property
     def passed(self) -> bool:
-        """Whether no rule was broken."""
+        """Returns whether no rule was violated."""
         return not self.findings
 
 
 @attrs.frozen(slots=True)
-class Pinned:
-    """Where the clients of one machine go: there, always."""
+class PinnedFrontend:
+    """Sends all connections of a client to one machine."""
 
     address: str
 
     def frontend(self, zone: str) -> str:
-        """That machine's frontend."""
+        """Returns that machine's frontend."""
         return self.address
 
 
 class Soak:
-    """One run. `say` is handed lines of progress."""
+    """One run. `write_line` receives each line of progress."""
 
-    def __init__(self, plan: Plan, folder: Path, say: Callable[[str], None]) -> None:
+    def __init__(self, plan: Plan, folder: Path, write_line: Callable[[str], None]) -> None:
         self._plan = plan
         self._folder = folder
-        self._say = say
+        self._write_line = write_line
         self._random = random.Random(f"run {plan.seed}")
-        self._prefix = deployment.drawn_prefix(plan.seed, folder)
+        self._prefix = deployment.choose_loopback_prefix(plan.seed, folder)
         specs = _specs(self._prefix, plan)
         seeds = tuple(spec.control_plane for spec in specs if spec.has_disk)[:3]
         fleet = attrs.evolve(
@@ -92,25 +92,25 @@
         self._controls = controls
         self.operator = Operator(controls, plan.seed, now)
         self.watch = Watch(self.machines, 0.25 if plan.shape.size < 20 else 2.0, now)
-        self._draws = Draws(deployment.TENANTS[:2], plan.seed)
+        self._generator = LoadGenerator(deployment.TENANTS[:2], plan.seed)
         self._registrations: list[Registration] = []
         self._tasks: list[asyncio.Task[None]] = []
         self._began_at = now()
         self._lag_s = 0.0
-        self._extra: list[Finding] = []
+        self._extra_findings: list[Finding] = []
 
     async def play(self) -> Report:
-        """The whole run."""
+        """Runs everything and returns the report."""
         self._began_at = now()
         try:
             if await self._bring_up():
-                await self._be_struck()
-                await self._end_calmly()
+                await self._inject_faults()
+                await self._check_final_state()
         finally:
             await self._stop()
         return self._report()
 
-    # The way up
+    # Start
 
     async def _bring_up(self) -> bool:
         for machine in self.machines:
@@ -123,123 +123,127 @@
                 await start_server(spec, self._controls, heartbeat_s, self.judge, now, self._plan.seed)
             )
         try:
-            await self.operator.first(first_document(), FIRST_WITHIN_S)
-        except NoAnswer as error:
-            self._extra.append(Finding("FAULT", f"no first configuration: {error}"))
+            await self.operator.submit_initial(initial_document(), READY_TIMEOUT_S)
+        except NoDefinitiveAnswer as error:
+            self._extra_findings.append(Finding("FAULT", f"no first configuration: {error}"))
             return False
         if not self.operator.sent[0].is_acknowledged:
-            self._extra.append(Finding("FAULT", "the first configuration is not confirmed"))
+            self._extra_findings.append(Finding("FAULT", "the first configuration is not confirmed"))
             return False
-        self.watch.asking.begin()
-        if not await self._all_ready(FIRST_WITHIN_S):
+        self.watch.poller.start()
+        if not await self._all_ready(READY_TIMEOUT_S):
             return False
-        self._say(f"{self._at():6.1f} s  {len(self.machines)} machines are ready")
+        self._write_line(f"{self._elapsed_s():6.1f} s  {len(self.machines)} machines are ready")
         return True
 
     async def _all_ready(self, within_s: float) -> bool:
-        """Waits until all machines say that they are ready, and have what is in force."""
+        """Waits until all machines are ready with the current configuration, else records a finding."""
         until = now() + within_s
         while now() < until:
-            late = [machine.spec.name for machine in self.machines if not self._is_well(machine)]
-            if not late:
+            not_ready = [machine.spec.name for machine in self.machines if not self._is_up_to_date(machine)]
+            if not not_ready:
                 return True
             await asyncio.sleep(0.1)
-        self._extra.append(Finding("FAULT", f"not ready within {within_s:g} s: {', '.join(late[:8])}"))
+        self._extra_findings.append(
+            Finding("FAULT", f"not ready within {within_s:g} s: {', '.join(not_ready[:8])}")
+        )
         return False
 
-    def _is_well(self, machine: Machine) -> bool:
-        sight = self.watch.newest.get(machine.spec.name)
-        if sight is None or not machine.is_up or sight.pid != machine.life.pid:
+    def _is_up_to_date(self, machine: Machine) -> bool:
+        observation = self.watch.newest.get(machine.spec.name)
+        if observation is None or not machine.is_up or observation.pid != machine.process.pid:
             return False
-        return sight.is_ready and sight.version >= self.operator.current["version"]
-
-    # Trouble
-
-    async def _be_struck(self) -> None:
-        calling = [asyncio.create_task(self._call_on(machine)) for machine in self._callers()]
-        ordering = asyncio.create_task(self.operator.go_on(ORDER_GAP_S))
-        begun = now()
-        for strike in self._plan.strikes:
-            await asyncio.sleep(max(0.0, begun + strike.at_s - now()))
-            struck = self.machines[: self._plan.shape.disks]
-            for machine in struck if strike.act is Act.KILL_ALL else [self.machines[strike.place]]:
-                machine.strike(strike)
-        await asyncio.sleep(max(0.0, begun + self._plan.seconds - now()))
-        ordering.cancel()
+        return observation.is_ready and observation.version >= self.operator.current["version"]
+
+    # Faults
+
+    async def _inject_faults(self) -> None:
+        client_tasks = [asyncio.create_task(self._run_client(machine)) for machine in self._client_machines()]
+        operator_task = asyncio.create_task(self.operator.run(ORDER_GAP_S))
+        started_at = now()
+        for fault in self._plan.faults:
+            await asyncio.sleep(max(0.0, started_at + fault.at_s - now()))
+            targets = self.machines[: self._plan.shape.disks]
+            for machine in targets if fault.act is Act.KILL_ALL else [self.machines[fault.place]]:
+                machine.inject(fault)
+        await asyncio.sleep(max(0.0, started_at + self._plan.seconds - now()))
+        operator_task.cancel()
         with contextlib.suppress(asyncio.CancelledError):
-            await ordering
-        if self._plan.ends_with_loss:
-            await self._lose_all()
-        await self._all_ready(self._longest_trouble_s() + RECOVERY_S)
-        for task in calling:
+            await operator_task
+        if self._plan.ends_with_kill_all:
+            await self._kill_all()
+        await self._all_ready(self._longest_disturbance_s() + RECOVERY_S)
+        for task in client_tasks:
             task.cancel()
-        await asyncio.gather(*calling, return_exceptions=True)
+        await asyncio.gather(*client_tasks, return_exceptions=True)
 
-    def _longest_trouble_s(self) -> float:
-        """A process that was told to end goes on for so long, and is then started again."""
+    def _longest_disturbance_s(self) -> float:
+        """Returns the longest time from SIGTERM to the restart: the grace period and the pause."""
         return float(deployment.BOUNDS["grace-period-s"]) + self._plan.pause_s
 
-    async def _lose_all(self) -> None:
-        """Every machine's process is killed right after a change was confirmed."""
-        self._say(f"{self._at():6.1f} s  a last change, then all are killed")
-        with contextlib.suppress(NoAnswer):
+    async def _kill_all(self) -> None:
+        """Kills every machine's process right after a confirmed change."""
+        self._write_line(f"{self._elapsed_s():6.1f} s  last change, then all processes are killed")
+        with contextlib.suppress(NoDefinitiveAnswer):
             await asyncio.wait_for(self.operator.change(), RECOVERY_S)
         for machine in self.machines:
-            machine.strike(Strike(0.0, Act.KILL, 0))
+            machine.inject(Fault(0.0, Act.KILL, 0))
 
-    def _callers(self) -> list[Machine]:
-        return [machine for machine in self.machines for _ in range(CLIENTS_A_MACHINE)]
+    def _client_machines(self) -> list[Machine]:
+        return [machine for machine in self.machines for _ in range(CLIENTS_PER_MACHINE)]
 
-    async def _call_on(self, machine: Machine) -> None:
-        """One client that asks one machine, on connections that it never lets go by itself."""
+    async def _run_client(self, machine: Machine) -> None:
+        """Runs one client against one machine, on connections that it never closes by itself."""
         client = self._client(machine)
-        pause_s = max(0.05, CLIENTS_A_MACHINE * len(self.machines) / REQUESTS_A_SECOND)
+        pause_s = max(0.05, CLIENTS_PER_MACHINE * len(self.machines) / MAX_REQUESTS_PER_S)
         try:
             while True:
-                await client.ask(self._any_kind())
+                await client.perform(self._draw_kind())
                 await asyncio.sleep(self._random.uniform(0.0, 2 * pause_s))
         finally:
             client.close()
 
     def _client(self, machine: Machine) -> Client:
-        pinned = Pinned(machine.spec.frontend)
-        return Client(machine.spec.name, pinned, self._draws, self.judge, now, is_stubborn=True)
+        pinned = PinnedFrontend(machine.spec.frontend)
+        return Client(machine.spec.name, pinned, self._generator, self.judge, now, ignores_close=True)
 
-    def _any_kind(self) -> Kind:
-        held = [item["name"] for item in self.operator.current["route-table"]]
-        names = [name for name in held if name.startswith("r-soak-")]
+    def _draw_kind(self) -> RequestKind:
+        route_names = [item["name"] for item in self.operator.current["route-table"]]
+        names = [name for name in route_names if name.startswith("r-soak-")]
         if names and self._random.random() < 0.4:
             return _soak_kind(self._random.choice(names))
         return self._random.choice(deployment.KINDS)
 
-    # The end
+    # Final checks
 
-    async def _end_calmly(self) -> None:
-        """A change is made, in force in time and served at all machines, and read back."""
+    async def _check_final_state(self) -> None:
+        """Checks that after all faults a change is confirmed, applied in time, served, and read back."""
         await asyncio.sleep(float(deployment.BOUNDS["connectivity-ms"]) / 1000)
-        await self.operator.find_out()
+        await self.operator.refresh()
         for kind in ("add", "move"):
             order = await self.operator.change(kind)
             if not order.is_acknowledged:
-                self._extra.append(Finding("CONFIG", f"a last change is not confirmed: {order.status}"))
+                self._extra_findings.append(
+                    Finding("CONFIG", f"a last change is not confirmed: {order.status}")
+                )
                 return
         await asyncio.sleep(float(deployment.BOUNDS["propagation-ms"]) / 1000 + 0.2)
-        await self._ask_all_routes()
+        await self._request_all_routes()
         found = None
         for _ in range(10):
             found = found or await self.operator.read()
         if found is None:
-            self._extra.append(Finding("CONFIG", "the configuration can't be read back"))
+            self._extra_findings.append(Finding("CONFIG", "the configuration can't be read back"))
 
-    async def _ask_all_routes(self) -> None:
-        """Added routes are served as well as the first ones, at every machine."""
+    async def _request_all_routes(self) -> None:
+        """Checks that added routes are served about as well as the first ones, at up to 12 machines."""
         names = [item["name"] for item in self.operator.current["route-table"]]
         added = [name for name in names if name.startswith("r-soak-")]
         chosen = self._random.sample(self.machines, min(len(self.machines), 12))
         shares = {name: [0, 0] for name in ("first", *added)}
         for machine in chosen:
             client = self._client(machine)
-            for _ in range(CALM_ASKS):
+            for _ in range(FINAL_REQUESTS_PER_ROUTE):
                 for name in shares:
                     kind = deployment.KINDS[3] if name == "first" else _soak_kind(name)
                     shares[name][0] += await self._is_served(client, kind)
@@ -248,80 +252,82 @@
         first = shares["first"][0] / max(1, shares["first"][1])
         for name in added:
             share = shares[name][0] / max(1, shares[name][1])
-            if share < LEAST_SERVED * first or first < 0.9:
+            if share < MIN_SERVED_RATIO * first or first < 0.9:
                 text = f"{name} is served {share:.2f}, the first routes {first:.2f}"
-                self._extra.append(Finding("CONFIG", text))
+                self._extra_findings.append(Finding("CONFIG", text))
 
-    async def _is_served(self, client: Client, kind: Kind) -> bool:
-        before = set(self.judge.asks)
-        await client.ask(kind)
-        return any(self.judge.asks[each].served_at is not None for each in set(self.judge.asks) - before)
+    async def _is_served(self, client: Client, kind: RequestKind) -> bool:
+        before = set(self.judge.operations)
+        await client.perform(kind)
+        return any(
+            self.judge.operations[each].served_at is not None for each in set(self.judge.operations) - before
+        )
 
     async def _stop(self) -> None:
-        self.watch.asking.stop()
+        self.watch.poller.stop()
         for task in self._tasks:
             task.cancel()
         for machine in self.machines:
-            machine.end()
+            machine.stop()
         for machine in self.machines:
-            await asyncio.to_thread(machine.ended)
+            await asyncio.to_thread(machine.wait_stopped)
         for registration in self._registrations:
             registration.stop()
             registration.server.end()
 
     async def _measure_lag(self) -> None:
         while True:
-            begun = now()
-            await asyncio.sleep(LAG_LOOK_S)
-            self._lag_s = max(self._lag_s, now() - begun - LAG_LOOK_S)
+            started_at = now()
+            await asyncio.sleep(LAG_SAMPLE_S)
+            self._lag_s = max(self._lag_s, now() - started_at - LAG_SAMPLE_S)
 
-    def _at(self) -> float:
+    def _elapsed_s(self) -> float:
         return now() - self._began_at
 
-    # The verdict
+    # Report
 
     def _report(self) -> Report:
         self.judge.finish()
         answers = self.judge.answers.values()
         report = Report(self._plan.seed, len(self.machines), lag_s=self._lag_s)
-        report.findings = [*self._extra, *self.judge.findings, *self._checked()]
-        report.lives = sum(len(machine.lives) for machine in self.machines)
-        report.too_soon = sum(life.too_soon for machine in self.machines for life in machine.lives)
+        report.findings = [*self._extra_findings, *self.judge.findings, *self._run_checks()]
+        report.lives = sum(len(machine.processes) for machine in self.machines)
+        report.too_soon = sum(process.too_soon for machine in self.machines for process in machine.processes)
         report.orders = len(self.operator.sent)
         report.confirmed = sum(sent.is_acknowledged for sent in self.operator.sent)
         report.requests = len(self.judge.requests)
-        report.served = sum(answer.whole and answer.status == 200 for answer in answers)
+        report.served = sum(answer.is_complete and answer.status == 200 for answer in answers)
         report.statuses = dict(Counter(_outcome(answer) for answer in answers).most_common())
         return report
 
-    def _checked(self) -> Iterator[Finding]:
-        told = deployment.BOUNDS
+    def _run_checks(self) -> Iterator[Finding]:
+        timing_bounds = deployment.BOUNDS
         bounds = checks.Bounds(
-            propagation_s=told["propagation-ms"] / 1000,
+            propagation_s=timing_bounds["propagation-ms"] / 1000,
             recovery_s=RECOVERY_S,
-            connectivity_s=told["connectivity-ms"] / 1000,
-            grace_s=told["grace-period-s"],
+            connectivity_s=timing_bounds["connectivity-ms"] / 1000,
+            grace_s=timing_bounds["grace-period-s"],
         )
-        troubles = {machine.spec.name: machine.troubles() for machine in self.machines}
+        disturbances = {machine.spec.name: machine.disturbances() for machine in self.machines}
         core = frozenset(machine.spec.name for machine in self.machines if machine.spec.has_disk)
-        history = checks.History(troubles, core, bounds)
-        lives = {machine.spec.name: machine.lives for machine in self.machines}
+        history = checks.History(disturbances, core, bounds)
+        processes = {machine.spec.name: machine.processes for machine in self.machines}
         sent = self.operator.sent
         yield from checks.check_orders(sent)
         yield from checks.check_reads(self.operator.reads, sent)
-        yield from checks.check_sights(self.watch.sights, sent, history)
+        yield from checks.check_observations(self.watch.observations, sent, history)
         yield from checks.check_routes(self.judge, sent, history)
-        yield from checks.check_cuts(self.judge, lives, bounds.grace_s)
+        yield from checks.check_cuts(self.judge, processes, bounds.grace_s)
         for machine in self.machines:
-            yield from checks.check_lives(machine.spec.name, machine.lives, bounds.grace_s)
+            yield from checks.check_processes(machine.spec.name, machine.processes, bounds.grace_s)
             yield from checks.check_log(machine.spec.name, machine.node.log_path.read_text(errors="replace"))
 
 
-def _outcome(answer: AnswerSeen) -> str:
-    """One word for how a try ended."""
+def _outcome(answer: ObservedAnswer) -> str:
+    """Returns a label for the outcome of an attempt."""
     if answer.status is None:
-        return "cut" if answer.was_cut else "none"
-    return str(answer.status) if answer.whole else f"{answer.status}-part"
+        return "cut" if answer.was_interrupted else "none"
+    return str(answer.status) if answer.is_complete else f"{answer.status}-part"
 
 
 def _specs(prefix: str, plan: Plan) -> list[NodeSpec]:
@@ -335,7 +341,7 @@
 
 
 def _servers(prefix: str) -> list[ServerSpec]:
-    """Model servers and desks at addresses after those of the machines."""
+    """Returns the servers, at addresses in another network than the machines."""
     own = f"127.{int(prefix.split('.')[1]) + 1}.{prefix.split('.')[2]}"
     found = deployment.services_at_start(own)
     branch = [deployment.server(deployment.DESK_SERVICE, number, own) for number in (8, 9, 10)]
@@ -346,8 +352,8 @@
     return [*found, *renamed]
 
 
-def _soak_kind(name: str) -> Kind:
-    return Kind(
+def _soak_kind(name: str) -> RequestKind:
+    return RequestKind(
         name=name,
         route=name,
         host=deployment.HOST,
--- a/cloverrouter/lab/soak/watch.py
+++ b/cloverrouter/lab/soak/watch.py
@@ -1,4 +1,4 @@
-"""What a soak run sees of each machine from outside, again and again: its own word on its state."""
+"""Periodic status reads from each machine of a soak run."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 import attrs
 
-from cloverrouter.lab.fleet.asking import AskingOn
+from cloverrouter.lab.fleet.asking import Poller
 from cloverrouter.lab.fleet.wire import WireError, call
 from cloverrouter.lab.soak.machines import Machine
 
@@ -15,8 +15,8 @@
 
 
 @attrs.frozen(slots=True)
-class Sight:
-    """One answer of a machine on its state. Times in seconds; `pid` is of the process that answered."""
+class Observation:
+    """One status answer of a machine. Times in seconds; `pid` is the process that answered."""
 
     machine: str
     asked_at: float
@@ -27,26 +27,26 @@
 
 
 class Watch:
-    """Asks every machine for its state, each after a pause."""
+    """Reads the status of every machine, with a pause after each read."""
 
     def __init__(self, machines: list[Machine], pause_s: float, clock: Callable[[], float]) -> None:
-        self.sights: list[Sight] = []
-        self.newest: dict[str, Sight] = {}
+        self.observations: list[Observation] = []
+        self.newest: dict[str, Observation] = {}
         self._clock = clock
-        self.asking = AskingOn(machines, self._ask, pause_s)
+        self.poller = Poller(machines, self._read_status, pause_s)
 
-    async def _ask(self, machine: Machine) -> None:
+    async def _read_status(self, machine: Machine) -> None:
         asked_at = self._clock()
         try:
             answer = await call(machine.spec.control_plane, "GET", STATUS_PATH, timeout_s=STATUS_TIMEOUT_S)
-            told = answer.json()
+            status = answer.json()
         except (OSError, WireError, TimeoutError):
             return
         if answer.status != 200:
             return
-        sight = Sight(
-            machine.spec.name, asked_at, self._clock(), told["process"], told["configuration-version"],
-            told["ready"],
+        observation = Observation(
+            machine.spec.name, asked_at, self._clock(), status["process"], status["configuration-version"],
+            status["ready"],
         )  # fmt: skip
-        self.sights.append(sight)
-        self.newest[sight.machine] = sight
+        self.observations.append(observation)
+        self.newest[observation.machine] = observation
--- a/tests/system/test_engine.py
+++ b/tests/system/test_engine.py
@@ -1,4 +1,4 @@
-"""An emulated engine: batches, prefill in pieces, what its cache keeps, who gives way. Steps, no clock."""
+"""The emulated engine: batching, chunked prefill, prefix cache, eviction and preemption. Steps, no clock."""
 
 from __future__ import annotations
 
@@ -23,7 +23,9 @@
 )
 
 
-def ask(name: str, *parts: tuple[str, int], output: int = 20, priority: int = 5) -> GenerationRequest:
+def generation_request(
+    name: str, *parts: tuple[str, int], output: int = 20, priority: int = 5
+) -> GenerationRequest:
     return GenerationRequest(name, tuple(PromptPart(*part) for part in parts), output, priority=priority)
 
 
@@ -36,7 +38,7 @@
     for number in range(1, 100):
         if any(progress.request_id == name for progress in step(engine)):
             return number
-    raise AssertionError(f"{name} never began")
+    raise AssertionError(f"{name} never generated a token")
 
 
 def finish(engine: Engine) -> None:
@@ -44,74 +46,74 @@
         step(engine)
 
 
-def test_a_prompt_is_read_in_pieces_and_a_kept_part_is_not_read_again() -> None:
+def test_prefill_is_chunked_and_a_cached_part_is_not_processed_again() -> None:
     engine = Engine(SHAPE)
-    engine.submit(ask("a", ("shared", 300), ("own-a", 50)))
+    engine.submit(generation_request("a", ("shared", 300), ("own-a", 50)))
     assert steps_to_first(engine, "a") == 4
     finish(engine)
-    engine.submit(ask("b", ("shared", 300), ("own-b", 50)))
+    engine.submit(generation_request("b", ("shared", 300), ("own-b", 50)))
     assert steps_to_first(engine, "b") == 1
     assert engine.reused_tokens == 300
 
 
 def test_a_part_counts_only_with_all_parts_before_it() -> None:
     engine = Engine(SHAPE)
-    engine.submit(ask("a", ("x", 100), ("y", 200)))
+    engine.submit(generation_request("a", ("x", 100), ("y", 200)))
     finish(engine)
-    engine.submit(ask("b", ("other", 100), ("y", 200)))
+    engine.submit(generation_request("b", ("other", 100), ("y", 200)))
     assert steps_to_first(engine, "b") == 3
 
 
-def test_the_part_unused_for_longest_gives_way() -> None:
+def test_the_least_recently_used_part_is_evicted() -> None:
     engine = Engine(SHAPE)
     for name in ("old", "new"):
-        engine.submit(ask(name, (name, 400)))
+        engine.submit(generation_request(name, (name, 400)))
         finish(engine)
-    engine.submit(ask("third", ("third", 400)))
+    engine.submit(generation_request("third", ("third", 400)))
     finish(engine)
-    engine.submit(ask("again", ("new", 400)))
+    engine.submit(generation_request("again", ("new", 400)))
     assert steps_to_first(engine, "again") == 1
     finish(engine)
-    engine.submit(ask("gone", ("old", 400)))
+    engine.submit(generation_request("gone", ("old", 400)))
     assert steps_to_first(engine, "gone") == 4
 
 
-def test_more_than_it_can_hold_is_refused() -> None:
+def test_requests_beyond_memory_or_queue_are_refused() -> None:
     engine = Engine(SHAPE)
-    assert engine.submit(ask("huge", ("p", 990))) is Admission.FULL
-    taken = [engine.submit(ask(f"r{n}", (f"p{n}", 10))) for n in range(4)]
-    assert taken == [Admission.ACCEPTED] * 3 + [Admission.FULL]
+    assert engine.submit(generation_request("huge", ("p", 990))) is Admission.FULL
+    admissions = [engine.submit(generation_request(f"r{n}", (f"p{n}", 10))) for n in range(4)]
+    assert admissions == [Admission.ACCEPTED] * 3 + [Admission.FULL]
 
 
-def test_the_urgent_go_first_and_the_newest_gives_way_when_memory_ends() -> None:
+def test_urgent_requests_run_first_and_the_newest_is_preempted_when_memory_is_full() -> None:
     engine = Engine(SHAPE)
-    engine.submit(ask("first", ("a", 450), output=100))
-    engine.submit(ask("second", ("b", 450), output=100))
-    made: dict[str, int] = {}
+    engine.submit(generation_request("first", ("a", 450), output=100))
+    engine.submit(generation_request("second", ("b", 450), output=100))
+    generated: dict[str, int] = {}
     order = []
     while not engine.is_idle:
         for progress in step(engine):
-            assert progress.made >= made.get(progress.request_id, 0)
-            made[progress.request_id] = progress.made
+            assert progress.generated >= generated.get(progress.request_id, 0)
+            generated[progress.request_id] = progress.generated
             if progress.done:
                 order.append(progress.request_id)
-    assert order == ["first", "second"] and made == {"first": 100, "second": 100}
+    assert order == ["first", "second"] and generated == {"first": 100, "second": 100}
 
 
 def test_a_resumed_stream_goes_on_where_it_was() -> None:
     engine = Engine(SHAPE)
-    engine.submit(GenerationRequest("r", (PromptPart("p", 10),), 40, already_made=20))
-    assert [progress.made for progress in step(engine)] == [30]
+    engine.submit(GenerationRequest("r", (PromptPart("p", 10),), 40, already_generated=20))
+    assert [progress.generated for progress in step(engine)] == [30]
 
 
-def test_what_is_cancelled_is_gone() -> None:
+def test_a_cancelled_request_releases_its_memory() -> None:
     engine = Engine(SHAPE)
-    engine.submit(ask("a", ("p", 300)))
+    engine.submit(generation_request("a", ("p", 300)))
     step(engine)
     engine.cancel("a")
-    assert engine.is_idle and engine.busy_tokens == 0
-    engine.submit(ask("b", ("p", 300)))
-    assert steps_to_first(engine, "b") == 3  # half a prompt that was read is not kept
+    assert engine.is_idle and engine.pinned_tokens == 0
+    engine.submit(generation_request("b", ("p", 300)))
+    assert steps_to_first(engine, "b") == 3  # a partly processed prompt is not cached
 
 
 def test_prefix_header() -> None:
--- a/tests/system/test_stand_in_calls.py
+++ b/tests/system/test_stand_in_calls.py
@@ -1,4 +1,4 @@
-"""How stand-ins call a fleet: moves between nodes, redirects, endpoints of heartbeats, whom clients meet."""
+"""Calls of the test doubles to a fleet: failover, redirects, heartbeat endpoints, choice of a frontend."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 import pytest
 
 from cloverrouter.lab.fleet import deployment, registration
-from cloverrouter.lab.fleet.control_calls import ControlCaller, NoAnswer
+from cloverrouter.lab.fleet.control_calls import ControlCaller, NoDefinitiveAnswer
 from cloverrouter.lab.fleet.judge import Judge
 from cloverrouter.lab.fleet.model_server import ModelServer
 from cloverrouter.lab.fleet.platform import Door, Platform
@@ -29,7 +29,7 @@
 
 
 class ScriptedNode:
-    """Answers each call with the next of its script, then with 200."""
+    """Answers each call with the next reply of its script, and with 200 after the last."""
 
     def __init__(self, *script: Reply) -> None:
         self.script = list(script)
@@ -58,58 +58,58 @@
         writer.close()
 
 
-def play(story: Callable[..., Awaitable[None]], *nodes: ScriptedNode) -> None:
+def run_scenario(scenario: Callable[..., Awaitable[None]], *nodes: ScriptedNode) -> None:
     async def go() -> None:
         async with contextlib.AsyncExitStack() as stack:
             for node in nodes:
                 await stack.enter_async_context(node)
-            await story(*nodes)
+            await scenario(*nodes)
 
     asyncio.run(go())
 
 
-def test_an_order_moves_on_until_the_answer_is_clear() -> None:
-    async def story(one: ScriptedNode, other: ScriptedNode) -> None:
+def test_an_order_is_retried_until_a_definitive_answer() -> None:
+    async def scenario(one: ScriptedNode, other: ScriptedNode) -> None:
         caller = ControlCaller([one.address, other.address], 1)
-        answer = await caller.until_clear("PUT", "/-/configuration", {"version": 1})
+        answer = await caller.call_until_definitive("PUT", "/-/configuration", {"version": 1})
         assert answer.status == 200
-        assert sorted((len(one.bodies), len(other.bodies))) == [2, 3]  # four unclear answers, in turn
+        assert sorted((len(one.bodies), len(other.bodies))) == [2, 3]  # four retryable answers, alternating
         assert {json.dumps(body) for body in (*one.bodies, *other.bodies)} == {'{"version": 1}'}
 
-    play(story, ScriptedNode((503, []), (500, [])), ScriptedNode((429, []), (408, [])))
+    run_scenario(scenario, ScriptedNode((503, []), (500, [])), ScriptedNode((429, []), (408, [])))
 
 
 @pytest.mark.parametrize(("status", "calls"), [(400, 1), (409, 1), (412, 1), (413, 1), (422, 1), (404, 3)])
 def test_what_ends_an_order(status: int, calls: int) -> None:
-    async def story(node: ScriptedNode) -> None:
-        answer = await ControlCaller([node.address], 1).until_clear("PUT", "/x", {})
+    async def scenario(node: ScriptedNode) -> None:
+        answer = await ControlCaller([node.address], 1).call_until_definitive("PUT", "/x", {})
         assert answer.status == status and len(node.bodies) == calls
 
-    play(story, ScriptedNode(*[(status, [])] * 5))
+    run_scenario(scenario, ScriptedNode(*[(status, [])] * 5))
 
 
 def test_two_redirects_are_followed() -> None:
-    async def story(one: ScriptedNode, other: ScriptedNode) -> None:
+    async def scenario(one: ScriptedNode, other: ScriptedNode) -> None:
         one.script = [(307, [("Location", f"http://{other.address}/y")])] * 2
         other.script = [(307, [("Location", f"http://{other.address}/z")])]
-        answer = await ControlCaller([one.address], 1).until_clear("PUT", "/x", {"a": 1})
+        answer = await ControlCaller([one.address], 1).call_until_definitive("PUT", "/x", {"a": 1})
         assert answer.status == 200 and other.bodies == [{"a": 1}] * 2
 
-    play(story, ScriptedNode(), ScriptedNode())
+    run_scenario(scenario, ScriptedNode(), ScriptedNode())
 
 
-def test_no_clear_answer_is_told_with_the_last() -> None:
-    async def story(node: ScriptedNode) -> None:
-        with pytest.raises(NoAnswer, match=r"no clear answer within 0\.2 s; last: .* 503"):
-            await ControlCaller([node.address], 1).until_clear("GET", "/x", within_s=0.2)
+def test_a_missing_definitive_answer_reports_the_last_failure() -> None:
+    async def scenario(node: ScriptedNode) -> None:
+        with pytest.raises(NoDefinitiveAnswer, match=r"no definitive answer within 0\.2 s; last: .* 503"):
+            await ControlCaller([node.address], 1).call_until_definitive("GET", "/x", within_s=0.2)
 
-    play(story, ScriptedNode(*[(503, [])] * 99))
+    run_scenario(scenario, ScriptedNode(*[(503, [])] * 99))
 
 
 def test_heartbeats_keep_to_the_endpoint_until_it_fails(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(registration, "PAUSE_S", 0.0)
+    monkeypatch.setattr(registration, "RETRY_PAUSE_S", 0.0)
 
-    async def story(one: ScriptedNode, other: ScriptedNode) -> None:
+    async def scenario(one: ScriptedNode, other: ScriptedNode) -> None:
         one.script = [(200, [("body", json.dumps({"heartbeat-endpoint": other.address}))])]
         other.script = [(200, [("body", json.dumps({"heartbeat-endpoint": other.address}))]), (503, [])]
         server = ModelServer(deployment.server(deployment.DESK_SERVICE, 9, "127.31.9"), Judge(), float, 1)
@@ -120,7 +120,7 @@
         assert [body["sequence-number"] for body in other.bodies] == [2, 3]
         assert one.bodies[0]["lifecycle-state"] == "ready" and one.bodies[0]["capacity"] == 6
 
-    play(story, ScriptedNode(), ScriptedNode())
+    run_scenario(scenario, ScriptedNode(), ScriptedNode())
 
 
 def doors(*inside: bool) -> Platform:
@@ -133,15 +133,15 @@
     ("inside", "wanted"),
     [
         ((True, True, False, True), {"f0", "f1"}),
-        ((False, True, False, True), {"f0", "f1", "f2"}),  # fewer than half of the zone
+        ((False, True, False, True), {"f0", "f1", "f2"}),  # fewer than half of the zone are ready
         (
             (False, False, False, True),
             {"f0", "f1", "f2", "f3"},
-        ),  # none in it, fewer than half of all
+        ),  # none in the zone, fewer than half of all
         ((False, False, False, False), {"f0", "f1", "f2", "f3"}),
     ],
 )
-def test_whom_a_client_meets(inside: tuple[bool, ...], wanted: set[str]) -> None:
+def test_choice_of_the_frontend(inside: tuple[bool, ...], wanted: set[str]) -> None:
     platform = doors(*inside)
     assert {platform.frontend("a") for _ in range(99)} == wanted
 
@@ -152,7 +152,7 @@
         parser = EventParser()
         events = [*parser.feed(raw[:cut]), *parser.feed(raw[cut:])]
         assert [(event.event_id, event.data) for event in events] == [(1, "x y"), (2, "z")]
-        assert not parser.holds_part
+        assert not parser.has_partial_event
     with pytest.raises(WireError, match="no event"):
         EventParser().feed(b"data: x\n\n")
 
@@ -167,7 +167,7 @@
         (b"nonsense\r\n\r\n", WireError),
     ],
 )
-def test_what_is_cut_never_looks_whole(raw: bytes, error: type[WireError]) -> None:
+def test_a_truncated_message_is_an_error(raw: bytes, error: type[WireError]) -> None:
     async def go() -> None:
         reader = asyncio.StreamReader()
         reader.feed_data(raw)
--- a/tests/system/test_stand_ins.py
+++ b/tests/system/test_stand_ins.py
@@ -1,4 +1,4 @@
-"""The fleet's stand-ins against each other, through a plain proxy: the judge speaks when it should."""
+"""The fleet's test doubles with each other, through a plain proxy: the judge finds the injected faults."""
 
 from __future__ import annotations
 
@@ -11,9 +11,9 @@
 from cloverrouter.lab.fleet.client import Client
 from cloverrouter.lab.fleet.figures import Tally
 from cloverrouter.lab.fleet.judge import Judge
-from cloverrouter.lab.fleet.load import Draws
+from cloverrouter.lab.fleet.load import LoadGenerator
 from cloverrouter.lab.fleet.model_server import ModelServer
-from cloverrouter.lab.fleet.operator import Operator, Refused
+from cloverrouter.lab.fleet.operator import Operator, OrderRefused
 from cloverrouter.lab.fleet.platform import Door, Platform
 from cloverrouter.lab.fleet.registration import Registration
 from cloverrouter.lab.fleet.wire import call
@@ -22,8 +22,8 @@
 PORTS = (8662, 8663, 8665)
 
 
-class Play:
-    """One proxy, all servers of the demo, an operator and a client, on a loopback net of their own."""
+class ProxyEnvironment:
+    """One proxy, all servers of the demo, an operator and a client, in a loopback network of their own."""
 
     def __init__(self, prefix: str, faults: frozenset[str] = frozenset()) -> None:
         host = f"{prefix}.1"
@@ -35,12 +35,12 @@
         zone = deployment.ZONES[0]
         door = Door("n1", zone, f"{host}:{PORTS[0]}", f"{host}:{PORTS[1]}")
         self.platform = Platform([door], 1, ask_every_s=0.02)
-        draws = Draws(deployment.TENANTS, 1)
-        self.client = Client(zone, self.platform, draws, self.judge, time.monotonic)
+        generator = LoadGenerator(deployment.TENANTS, 1)
+        self.client = Client(zone, self.platform, generator, self.judge, time.monotonic)
         self.servers = [ModelServer(spec, self.judge, time.monotonic, 1) for spec in specs]
         self.registrations = [Registration(s, self.control, 0.2, self.judge, 1) for s in self.servers]
 
-    async def __aenter__(self) -> Play:
+    async def __aenter__(self) -> ProxyEnvironment:
         await self.proxy.start(*PORTS)
         for server, registration in zip(self.servers, self.registrations, strict=True):
             await server.start()
@@ -48,7 +48,7 @@
         self.platform.begin()
         await self.operator.put(deployment.first_configuration())
         async with asyncio.timeout(10):
-            await self.platform.until_ready(1)
+            await self.platform.wait_until_ready(1)
         return self
 
     async def __aexit__(self, *_: object) -> None:
@@ -60,24 +60,26 @@
         self.proxy.close()
 
 
-async def ask_all(play: Play, times: int = 4) -> None:
-    await asyncio.gather(*(play.client.ask(kind) for kind in deployment.KINDS for _ in range(times)))
+async def perform_all(environment: ProxyEnvironment, times: int = 4) -> None:
+    await asyncio.gather(
+        *(environment.client.perform(kind) for kind in deployment.KINDS for _ in range(times))
+    )
 
 
 def test_a_plain_proxy_keeps_the_rules() -> None:
-    async def go() -> Play:
-        async with Play("127.31.9") as play:
-            await ask_all(play)
-            await play.operator.patch(deployment.added_route(8))
-            await play.client.ask(deployment.ADDED_KIND)
-            await play.operator.read_back()
-        play.judge.finish()
-        return play
-
-    play = asyncio.run(go())
-    assert play.judge.findings == []
-    figures = Tally(play.judge).figures()
-    assert figures.served == figures.asked == figures.owed == 17 and figures.served_share == 1.0
+    async def go() -> ProxyEnvironment:
+        async with ProxyEnvironment("127.31.9") as environment:
+            await perform_all(environment)
+            await environment.operator.patch(deployment.added_route(8))
+            await environment.client.perform(deployment.ADDED_KIND)
+            await environment.operator.read_back()
+        environment.judge.finish()
+        return environment
+
+    environment = asyncio.run(go())
+    assert environment.judge.findings == []
+    figures = Tally(environment.judge).figures()
+    assert figures.served == figures.asked == figures.within_quota == 17 and figures.served_share == 1.0
     assert {kind.name: kind.served for kind in figures.kinds}["caption"] == 4
     assert figures.events > 4 * 30
 
@@ -93,21 +95,23 @@
         ("forgets", "CONFIG"),
     ],
 )
-def test_what_is_broken_on_purpose_is_found(fault: str, rule: str) -> None:
+def test_injected_faults_are_found(fault: str, rule: str) -> None:
     async def go() -> Judge:
         net = "127.31." + str(10 + sum(map(ord, fault)) % 200)
-        async with Play(net, frozenset() if fault == "forgets" else frozenset({fault})) as play:
-            play.proxy.faults = frozenset({fault})
+        async with ProxyEnvironment(
+            net, frozenset() if fault == "forgets" else frozenset({fault})
+        ) as environment:
+            environment.proxy.faults = frozenset({fault})
             if fault == "forgets":
-                await play.operator.patch(deployment.added_route(8))
-                await play.operator.read_back(within_s=0.5)
+                await environment.operator.patch(deployment.added_route(8))
+                await environment.operator.read_back(within_s=0.5)
             else:
-                await ask_all(play, 2)
-        play.judge.finish()
-        return play.judge
+                await perform_all(environment, 2)
+        environment.judge.finish()
+        return environment.judge
 
     judge = asyncio.run(go())
-    assert rule in judge.broken, judge.broken
+    assert rule in judge.violation_counts, judge.violation_counts
 
 
 def test_a_server_refuses_what_is_not_its_own() -> None:
@@ -117,12 +121,12 @@
         server = ModelServer(spec, judge, time.monotonic, 1)
         await server.start()
         try:
-            told = {"Cypresswinch-Attempt-Id": "a1", "Cypresswinch-Expected-Instance": "i-other"}
-            answer = await call(spec.address, "POST", "/x/", headers=told)
+            headers = {"Cypresswinch-Attempt-Id": "a1", "Cypresswinch-Expected-Instance": "i-other"}
+            answer = await call(spec.address, "POST", "/x/", headers=headers)
             assert answer.status == 421 and answer.head.has("Cypresswinch-Not-Executed")
             answer = await call(spec.address, "POST", "/x/")
             assert answer.status == 400 and answer.head.has("Cypresswinch-Not-Executed")
-            answer = await call(spec.address, "POST", "/x/", headers={**told, "Expect-Version": "9"})
+            answer = await call(spec.address, "POST", "/x/", headers={**headers, "Expect-Version": "9"})
             assert answer.status == 421
             answer = await call(spec.address, "GET", "/health")
             assert answer.status == 200 and answer.head.get("Cypresswinch-Instance-Id") == spec.instance_id
@@ -138,11 +142,11 @@
     asyncio.run(go())
 
 
-def test_a_refused_order_is_told() -> None:
+def test_a_refused_order_raises() -> None:
     async def go() -> None:
-        async with Play("127.31.241") as play:
-            play.operator.current = {"version": 1}
-            with pytest.raises(Refused, match="412"):
-                await play.operator.put(deployment.first_configuration(), within_s=2)
+        async with ProxyEnvironment("127.31.241") as environment:
+            environment.operator.current = {"version": 1}
+            with pytest.raises(OrderRefused, match="412"):
+                await environment.operator.put(deployment.first_configuration(), within_s=2)
 
     asyncio.run(go())
