--- a/cloverrouter/lab/fleet/client.py
+++ b/cloverrouter/lab/fleet/client.py
@@ -53,10 +53,12 @@
 
     @property
     def served(self) -> bool:
+        """Returns whether a complete 2xx answer was received."""
         return self.is_complete and self.status is not None and 200 <= self.status < 300
 
     @property
     def retry_after_s(self) -> float:
+        """Returns the answer's Retry-After in seconds, or 0."""
         text = self.head.get("Retry-After") if self.head is not None else ""
         try:
             return max(0.0, float(text)) if text else 0.0
@@ -107,6 +109,7 @@
             await asyncio.sleep(min(remaining_s / 3, max(RETRY_PAUSE_S, attempt.retry_after_s)))
 
     def close(self) -> None:
+        """Closes all idle connections."""
         for _, writer in self._idle_connections:
             writer.close()
         self._idle_connections.clear()
--- a/cloverrouter/lab/fleet/demo.py
+++ b/cloverrouter/lab/fleet/demo.py
@@ -47,6 +47,7 @@
 
     @property
     def passed(self) -> bool:
+        """Returns whether nothing failed."""
         return not self.reasons
 
 
@@ -76,7 +77,7 @@
         self._generator = LoadGenerator(deployment.TENANTS, seed)
         self._registrations: dict[str, Registration] = {}
         self._tasks: set[asyncio.Task[None]] = set()
-        self._began_at = 0.0
+        self._load_started_at = 0.0
 
     async def play(self) -> Verdict:
         """Runs the demo. Raises FleetNotReady, NodeEnded, or an operator's error if the start fails."""
@@ -86,7 +87,7 @@
             clients = self._clients()
             await self._load(clients)
             await self.operator.read_back()
-            everyone_ready = self.platform.ready == len(self.nodes)
+            everyone_ready = self.platform.ready_count == len(self.nodes)
         finally:
             self.platform.stop()
             for client in clients:
@@ -94,7 +95,7 @@
             codes = await asyncio.to_thread(stop_all, self.nodes)
             for registration in self._registrations.values():
                 registration.stop()
-                registration.server.end()
+                registration.server.abort()
         self.judge.finish()
         return self._verdict(everyone_ready, codes)
 
@@ -108,7 +109,7 @@
         await self.operator.put(deployment.first_configuration(), within_s=READY_TIMEOUT_S)
         version = self.operator.current["version"]
         self._write_line(f"configuration {version} is acknowledged after {self._clock() - started_at:.1f} s")
-        while self.platform.ready < len(self.nodes):
+        while self.platform.ready_count < len(self.nodes):
             for node in self.nodes:
                 node.check()
             if self._clock() - started_at > READY_TIMEOUT_S:
@@ -133,7 +134,7 @@
         ]
 
     async def _load(self, clients: list[Client]) -> None:
-        self._began_at = self._clock()
+        self._load_started_at = self._clock()
         kinds = (*deployment.KINDS, deployment.OVER_QUOTA_KIND)
         tasks = [asyncio.create_task(self._generate_load(kind, clients)) for kind in kinds]
         tasks.append(asyncio.create_task(self._report_progress()))
@@ -164,11 +165,11 @@
             progress_line = self.tally.progress_line()
             self._write_line(
                 f"{self._elapsed_s():5.1f} s  {progress_line}  "
-                f"nodes {running} running, {self.platform.ready} ready"
+                f"nodes {running} running, {self.platform.ready_count} ready"
             )
 
     def _elapsed_s(self) -> float:
-        return self._clock() - self._began_at
+        return self._clock() - self._load_started_at
 
     # Faults
 
--- a/cloverrouter/lab/fleet/deployment.py
+++ b/cloverrouter/lab/fleet/deployment.py
@@ -143,6 +143,7 @@
 
 
 def fleet_settings(specs: tuple[NodeSpec, ...], log_level: str = "changes") -> FleetSettings:
+    """Returns the settings that the nodes share; the nodes with a disk are the seeds."""
     seeds = tuple(spec.control_plane for spec in specs if spec.has_disk)
     return FleetSettings(REGION, ZONES, seeds, HEARTBEAT_MS, 1, BOUNDS, log_level)
 
@@ -187,6 +188,7 @@
 
 
 def first_configuration() -> dict[str, Any]:
+    """Returns the demo's first configuration."""
     engine = EngineShape(capacity=12)
     return {
         "version": 3,
--- a/cloverrouter/lab/fleet/engine.py
+++ b/cloverrouter/lab/fleet/engine.py
@@ -46,10 +46,13 @@
 
     @property
     def prompt_tokens(self) -> int:
+        """Returns the length of the prompt in tokens."""
         return sum(part.tokens for part in self.parts)
 
 
 class Admission(Enum):
+    """The result of a submission."""
+
     ACCEPTED = "accepted"
     FULL = "full"
 
@@ -59,9 +62,9 @@
     request: GenerationRequest
     number: int
     generated: int
-    unread_tokens: int = 0
+    pending_prefill_tokens: int = 0
     private_tokens: int = 0  # memory of its own, beside the cached parts that it uses
-    used: tuple[tuple[str, ...], ...] = ()
+    pinned_keys: tuple[tuple[str, ...], ...] = ()
 
 
 @attrs.define(slots=True)
@@ -111,14 +114,17 @@
 
     @property
     def is_idle(self) -> bool:
+        """Returns whether no request is running or waiting."""
         return not self._running and not self._waiting
 
     @property
     def queued(self) -> int:
+        """Returns the number of waiting requests."""
         return len(self._waiting)
 
     @property
     def active(self) -> int:
+        """Returns the number of running requests."""
         return len(self._running)
 
     @property
@@ -143,9 +149,9 @@
         self._prefill()
         progress = []
         for item in list(self._running):
-            if item not in self._running or item.unread_tokens:
+            if item not in self._running or item.pending_prefill_tokens:
                 continue
-            if not self._make_room(self.shape.tokens_per_step, keep=item):
+            if not self._make_room(self.shape.tokens_per_step, requester=item):
                 continue
             item.generated = min(item.request.output_tokens, item.generated + self.shape.tokens_per_step)
             item.private_tokens += self.shape.tokens_per_step
@@ -162,32 +168,32 @@
         while cached_count < len(keys) and keys[cached_count] in self._cache:
             cached_count += 1
         self._pin(keys[:cached_count])
-        unread_tokens = sum(part.tokens for part in item.request.parts[cached_count:])
-        if not self._evict_until_fits(unread_tokens + self.shape.tokens_per_step):
+        pending_prefill_tokens = sum(part.tokens for part in item.request.parts[cached_count:])
+        if not self._evict_until_fits(pending_prefill_tokens + self.shape.tokens_per_step):
             self._unpin(keys[:cached_count])
             return False
         for key, part in zip(keys[cached_count:], item.request.parts[cached_count:], strict=True):
             self._cache[key] = _Cached(part.tokens, self._steps, 1)
-        item.used = keys
-        item.unread_tokens = unread_tokens
-        self.reused_tokens += item.request.prompt_tokens - unread_tokens
+        item.pinned_keys = keys
+        item.pending_prefill_tokens = pending_prefill_tokens
+        self.reused_tokens += item.request.prompt_tokens - pending_prefill_tokens
         return True
 
     def _prefill(self) -> None:
         budget = self.shape.prefill_tokens_per_step
         for item in self._running:
-            read = min(budget, item.unread_tokens)
-            item.unread_tokens -= read
-            budget -= read
-            self.prefilled_tokens += read
+            processed = min(budget, item.pending_prefill_tokens)
+            item.pending_prefill_tokens -= processed
+            budget -= processed
+            self.prefilled_tokens += processed
 
-    def _make_room(self, tokens: int, keep: _Running) -> bool:
+    def _make_room(self, tokens: int, requester: _Running) -> bool:
         """Makes room for more tokens of a running request by preempting the newest of the lowest priority."""
         while not self._evict_until_fits(tokens):
             last = max(self._running, key=lambda item: (item.request.priority, item.number))
             self._release(last)
             self._waiting.append(_Running(last.request, last.number, last.generated))
-            if last is keep:
+            if last is requester:
                 return False
         return True
 
@@ -217,14 +223,14 @@
 
     def _release(self, item: _Running) -> None:
         self._running.remove(item)
-        self._unpin(item.used)
-        if item.unread_tokens:
-            self._evict_unread(item)
+        self._unpin(item.pinned_keys)
+        if item.pending_prefill_tokens:
+            self._evict_unprocessed_parts(item)
 
-    def _evict_unread(self, item: _Running) -> None:
+    def _evict_unprocessed_parts(self, item: _Running) -> None:
         """Removes the parts of a prompt whose prefill is incomplete from the cache."""
-        remaining = item.unread_tokens
-        for key in reversed(item.used):
+        remaining = item.pending_prefill_tokens
+        for key in reversed(item.pinned_keys):
             if remaining <= 0:
                 return
             if key in self._cache and not self._cache[key].user_count:
--- a/cloverrouter/lab/fleet/exchange.py
+++ b/cloverrouter/lab/fleet/exchange.py
@@ -20,6 +20,8 @@
 
 
 class State(Enum):
+    """The lifecycle state of an emulated server."""
+
     READY = "ready"
     DRAINING = "draining"
 
@@ -56,6 +58,7 @@
 
     @property
     def attempt_id(self) -> str:
+        """Returns the attempt id of the request."""
         return self.head.get("Cypresswinch-Attempt-Id")
 
     @property
@@ -64,10 +67,12 @@
         return float(self.head.get("Cypresswinch-Deadline-Ms", NO_DEADLINE_MS)) / 1000
 
     @property
-    def caller_is_gone(self) -> bool:
+    def caller_disconnected(self) -> bool:
+        """Returns whether the caller closed the connection."""
         return self.reader.at_eof() or self.writer.transport.is_closing()
 
     def connection_header(self) -> list[tuple[str, str]]:
+        """Returns the header that announces the end of the connection, if any."""
         return [] if self.keeps_alive else [("Connection", "close")]
 
     async def reply(self, status: str, headers: list[tuple[str, str]], body: bytes = b"") -> None:
@@ -105,8 +110,8 @@
             signature=f"{self.spec.instance_id}.{self._count:x}.{self.random.getrandbits(32):08x}",
             tenant=exchange.head.get("Cypresswinch-Tenant"),
             subject=subject_of(method, path, exchange.body),
-            began_at=self.clock(),
-            carried_key=exchange.head.has("Authorization"),
+            started_at=self.clock(),
+            carried_api_key=exchange.head.has("Authorization"),
             total_events=total_events,
         )
         self._judge.run_started(run)
--- a/cloverrouter/lab/fleet/figures.py
+++ b/cloverrouter/lab/fleet/figures.py
@@ -72,6 +72,7 @@
         return counts
 
     def figures(self) -> Figures:
+        """Returns the statistics of everything recorded so far."""
         operations = list(self._judge.operations.values())
         statuses = Counter(str(a.status or "none") for a in self._judge.answers.values())
         names = sorted({operation.route for operation in operations})
--- a/cloverrouter/lab/fleet/judge.py
+++ b/cloverrouter/lab/fleet/judge.py
@@ -44,8 +44,8 @@
     signature: str
     tenant: str
     subject: str
-    began_at: float
-    carried_key: bool = False
+    started_at: float
+    carried_api_key: bool = False
     status: int = 200
     body: bytes | None = None
     total_events: int = 0
@@ -138,9 +138,11 @@
     # Observations
 
     def operation_started(self, operation_id: str, operation: Operation) -> None:
+        """Records the start of an operation."""
         self.operations[operation_id] = operation
 
     def request_sent(self, request: Request) -> None:
+        """Records an attempt of a client."""
         self.requests[request.attempt_id] = request
         self.operations[request.operation_id].attempts += 1
 
@@ -154,6 +156,7 @@
         self._check_run(run, request)
 
     def draining_acknowledged(self, instance: str, at: float) -> None:
+        """Records the time of the first acknowledged drain of a server."""
         self.drained.setdefault(instance, at)
 
     def answer_received(self, attempt_id: str, answer: ObservedAnswer) -> None:
@@ -167,6 +170,7 @@
             self._check_failure(request, answer)
 
     def configuration_acknowledged(self, version: int, document: dict[str, Any]) -> None:
+        """Records an acknowledged configuration; each version may have only one content."""
         if version in self.acknowledged and self.acknowledged[version] != document:
             self._record_violation("CONFIG", f"two changes to version {version} are acknowledged")
         self.acknowledged[version] = document
@@ -213,7 +217,7 @@
     def runs_of(self, tenant: str) -> list[tuple[float, int]]:
         """Returns the start time and the charged tokens of each of a tenant's runs, in order of time."""
         return sorted(
-            (run.began_at, self.requests[run.attempt_id].tokens)
+            (run.started_at, self.requests[run.attempt_id].tokens)
             for runs in self.runs.values()
             for run in runs
             if run.tenant == tenant and run.attempt_id in self.requests
@@ -226,7 +230,7 @@
             self._record_violation(
                 "UNASKED", f"{run.attempt_id} runs as tenant {run.tenant!r}, sent by {request.tenant!r}"
             )
-        if run.carried_key:
+        if run.carried_api_key:
             self._record_violation(
                 "UNASKED", f"{run.attempt_id} reached {run.instance} with the client's key"
             )
--- a/cloverrouter/lab/fleet/load.py
+++ b/cloverrouter/lab/fleet/load.py
@@ -92,6 +92,7 @@
         return self._random.choices(asking, weights)[0]
 
     def attempt_id(self) -> str:
+        """Returns a random id for an attempt or an operation."""
         return f"{self._random.getrandbits(64):016x}"
 
     def pause_s(self, rate_per_s: float) -> float:
--- a/cloverrouter/lab/fleet/model_server.py
+++ b/cloverrouter/lab/fleet/model_server.py
@@ -40,7 +40,7 @@
         """Starts draining: answers carry `Connection: close`, and the health check returns 503."""
         self.state = State.DRAINING
 
-    def end(self) -> None:
+    def abort(self) -> None:
         """Stops at once: closes the listener and resets all connections."""
         if self._server is not None:
             self._server.close()
@@ -51,6 +51,7 @@
 
     @property
     def active_requests(self) -> int:
+        """Returns the number of requests in progress."""
         return self._work.request_count if isinstance(self._work, Application) else self._work.engine.active
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
--- a/cloverrouter/lab/fleet/nodes.py
+++ b/cloverrouter/lab/fleet/nodes.py
@@ -45,14 +45,17 @@
 
     @property
     def frontend(self) -> str:
+        """Returns the address for clients."""
         return f"{self.ip}:{FRONTEND_PORT}"
 
     @property
     def readiness(self) -> str:
+        """Returns the address of the readiness check."""
         return f"{self.ip}:{READINESS_PORT}"
 
     @property
     def control_plane(self) -> str:
+        """Returns the address of the control plane."""
         return f"{self.ip}:{CONTROL_PORT}"
 
 
@@ -147,10 +150,12 @@
 
     @property
     def settings_path(self) -> Path:
+        """Returns the path of its settings file."""
         return self._folder / self.spec.name / "node.toml"
 
     @property
     def is_running(self) -> bool:
+        """Returns whether its process is running."""
         return self._process is not None and self._process.poll() is None
 
     @property
--- a/cloverrouter/lab/fleet/platform.py
+++ b/cloverrouter/lab/fleet/platform.py
@@ -38,19 +38,21 @@
         self._poller = Poller(self.doors, self._check_readiness, ask_every_s)
 
     def begin(self) -> None:
+        """Starts the readiness checks."""
         self._poller.start()
 
     def stop(self) -> None:
+        """Stops the readiness checks."""
         self._poller.stop()
 
     @property
-    def ready(self) -> int:
+    def ready_count(self) -> int:
         """Returns the number of ready nodes."""
         return sum(door.is_in for door in self.doors)
 
     async def wait_until_ready(self, count: int) -> None:
         """Waits until at least `count` nodes are ready."""
-        while self.ready < count:
+        while self.ready_count < count:
             self._changed.clear()
             await self._changed.wait()
 
--- a/cloverrouter/lab/fleet/registration.py
+++ b/cloverrouter/lab/fleet/registration.py
@@ -49,6 +49,7 @@
         self._heartbeat_task: asyncio.Task[None] | None = None
 
     def begin(self) -> None:
+        """Starts the heartbeats."""
         self._heartbeat_task = asyncio.create_task(self._send_heartbeats())
 
     def stop(self) -> None:
@@ -69,7 +70,7 @@
         await asyncio.sleep(drain_timeout_s * self._random.uniform(1.1, 1.4))
         path = f"/-/instances/{self.server.spec.instance_id}"
         await self._send("DELETE", path, None, within_s=drain_timeout_s)
-        self.server.end()
+        self.server.abort()
         return acknowledged
 
     def announcement(self) -> dict[str, Any]:
--- a/cloverrouter/lab/fleet/wire.py
+++ b/cloverrouter/lab/fleet/wire.py
@@ -37,6 +37,7 @@
         return next((value for key, value in self.headers if key.lower() == lower), default)
 
     def has(self, name: str) -> bool:
+        """Returns whether the header is present."""
         return any(key.lower() == name.lower() for key, _ in self.headers)
 
     @property
@@ -133,6 +134,7 @@
 
 
 def render_event(event: Event) -> bytes:
+    """Returns an event in `text/event-stream` format."""
     return f"id: {event.event_id}\ndata: {event.data}\n\n".encode()
 
 
--- a/cloverrouter/lab/fleet/work.py
+++ b/cloverrouter/lab/fleet/work.py
@@ -27,6 +27,7 @@
         self.request_count = 0
 
     async def serve(self, exchange: Exchange) -> None:
+        """Answers a request, or refuses it if the queue is full or its deadline has passed."""
         spec = self._recorder.spec
         if self.request_count >= spec.capacity + spec.queue_limit:
             await exchange.refuse(FULL)
@@ -38,7 +39,7 @@
                 if self._recorder.clock() >= deadline:
                     await exchange.refuse(FULL)
                     return
-                if exchange.caller_is_gone:
+                if exchange.caller_disconnected:
                     return
                 run = self._recorder.start_run(exchange)
                 await asyncio.sleep(spec.work_ms / 1000 * self._recorder.random.uniform(0.7, 1.4))
@@ -62,6 +63,7 @@
         self._step_task: asyncio.Task[None] | None = None
 
     async def serve(self, exchange: Exchange) -> None:
+        """Streams the tokens of a request, or refuses it if the engine is full or the request malformed."""
         try:
             request = self._request(exchange)
         except ValueError:
@@ -83,6 +85,7 @@
             del self._progress[attempt_id]
 
     def stop(self) -> None:
+        """Stops the engine."""
         if self._step_task is not None:
             self._step_task.cancel()
 
@@ -105,17 +108,17 @@
         done = False
         while not done:
             progress = await self._progress[request.request_id].get()
-            if exchange.caller_is_gone:
+            if exchange.caller_disconnected:
                 return
             if run is None:
                 run = self._recorder.start_run(exchange, total)
                 exchange.writer.write(self._head(run, exchange))
             done = progress.done
-            generated = total if done else progress.generated // tokens_per_event
-            for event_id in range(sent + 1, generated + 1):
+            event_count = total if done else progress.generated // tokens_per_event
+            for event_id in range(sent + 1, event_count + 1):
                 event = Event(event_id, event_data(run.subject, event_id, run.signature))
                 exchange.writer.write(render_chunk(render_event(event)))
-            sent = max(sent, generated)
+            sent = max(sent, event_count)
             if done:
                 exchange.writer.write(render_chunk(b""))
             await exchange.writer.drain()
--- a/cloverrouter/lab/soak/plan.py
+++ b/cloverrouter/lab/soak/plan.py
@@ -51,14 +51,14 @@
 
 @attrs.frozen(slots=True)
 class Fault:
-    """One scheduled fault. `place` is the index of the machine.
+    """One scheduled fault. `machine_index` counts the machines with a disk first.
 
     `amount`, in seconds: the length of a freeze, or the delay of SIGHUP after a restart.
     """
 
     at_s: float
     act: Act
-    place: int
+    machine_index: int
     amount: float = 0.0
 
 
@@ -96,8 +96,8 @@
         yield from _draw_series(random, shape, at_s, seconds)
         at_s += random.expovariate(1 / MEAN_SERIES_GAP_S)
     # A repair takes time, so a whole run loses no more disks than may be lost at once.
-    for place in random.sample(range(shape.disks), random.randint(0, shape.lost_at_once)):
-        yield Fault(random.uniform(0.0, seconds), Act.WIPE, place)
+    for machine_index in random.sample(range(shape.disks), random.randint(0, shape.lost_at_once)):
+        yield Fault(random.uniform(0.0, seconds), Act.WIPE, machine_index)
 
 
 def _draw_series(random: Random, shape: Shape, at_s: float, seconds: float) -> Iterator[Fault]:
@@ -105,12 +105,12 @@
     act = random.choice(SERIES)
     count = 1 if act is Act.KILL_ALL else random.randint(1, MAX_SERIES_LENGTH)
     gap_s = random.choice(SERIES_GAPS_S)
-    same = random.randrange(shape.size) if random.random() < 0.5 else None
+    fixed_index = random.randrange(shape.size) if random.random() < 0.5 else None
     for number in range(count):
         fault_at_s = at_s + number * gap_s
         if fault_at_s < seconds:
-            place = random.randrange(shape.size) if same is None else same
-            yield Fault(fault_at_s, act, place, _draw_amount(random, act))
+            machine_index = random.randrange(shape.size) if fixed_index is None else fixed_index
+            yield Fault(fault_at_s, act, machine_index, _draw_amount(random, act))
 
 
 def _draw_amount(random: Random, act: Act) -> float:
--- a/cloverrouter/lab/soak/run.py
+++ b/cloverrouter/lab/soak/run.py
@@ -95,13 +95,13 @@
         self._generator = LoadGenerator(deployment.TENANTS[:2], plan.seed)
         self._registrations: list[Registration] = []
         self._tasks: list[asyncio.Task[None]] = []
-        self._began_at = now()
+        self._run_started_at = now()
         self._lag_s = 0.0
         self._extra_findings: list[Finding] = []
 
     async def play(self) -> Report:
         """Runs everything and returns the report."""
-        self._began_at = now()
+        self._run_started_at = now()
         try:
             if await self._bring_up():
                 await self._inject_faults()
@@ -164,7 +164,7 @@
         for fault in self._plan.faults:
             await asyncio.sleep(max(0.0, started_at + fault.at_s - now()))
             targets = self.machines[: self._plan.shape.disks]
-            for machine in targets if fault.act is Act.KILL_ALL else [self.machines[fault.place]]:
+            for machine in targets if fault.act is Act.KILL_ALL else [self.machines[fault.machine_index]]:
                 machine.inject(fault)
         await asyncio.sleep(max(0.0, started_at + self._plan.seconds - now()))
         operator_task.cancel()
@@ -178,7 +178,7 @@
         await asyncio.gather(*client_tasks, return_exceptions=True)
 
     def _longest_disturbance_s(self) -> float:
-        """Returns the longest time from SIGTERM to the restart: the grace period and the pause."""
+        """Returns the longest time from SIGTERM to the restart: the grace period plus the restart pause."""
         return float(deployment.BOUNDS["grace-period-s"]) + self._plan.pause_s
 
     async def _kill_all(self) -> None:
@@ -273,7 +273,7 @@
             await asyncio.to_thread(machine.wait_stopped)
         for registration in self._registrations:
             registration.stop()
-            registration.server.end()
+            registration.server.abort()
 
     async def _measure_lag(self) -> None:
         while True:
@@ -282,7 +282,7 @@
             self._lag_s = max(self._lag_s, now() - started_at - LAG_SAMPLE_S)
 
     def _elapsed_s(self) -> float:
-        return now() - self._began_at
+        return now() - self._run_started_at
 
     # Report
 
@@ -334,9 +334,12 @@
     zones = deployment.ZONES
     return [
         NodeSpec(
-            f"edge-{place}", f"{prefix}.{place + 1}", zones[place % len(zones)], place < plan.shape.disks
+            f"edge-{machine_index}",
+            f"{prefix}.{machine_index + 1}",
+            zones[machine_index % len(zones)],
+            machine_index < plan.shape.disks,
         )
-        for place in range(plan.shape.size)
+        for machine_index in range(plan.shape.size)
     ]
 
 
--- a/tests/system/test_fleet_judge.py
+++ b/tests/system/test_fleet_judge.py
@@ -79,7 +79,7 @@
     assert scenario.broken == {"MIXED": 1} and scenario.judge.operations["ask"].served_at is None
 
 
-def test_an_answer_that_was_cut_is_no_breach_and_not_served() -> None:
+def test_an_interrupted_answer_is_no_violation_and_not_served() -> None:
     scenario = Scenario()
     scenario.sends("a")
     scenario.runs("a", "s").body = b"hello"
@@ -146,7 +146,7 @@
     assert scenario.broken == {"ORDER": 1}
 
 
-def test_pieces_of_two_runs() -> None:
+def test_a_stream_with_events_of_two_runs() -> None:
     for is_resumable, broken in ((False, {"TWICE": 1, "ORDER": 1}), (True, {})):
         scenario = Scenario(is_resumable=is_resumable)
         scenario.sends("a")
@@ -173,7 +173,7 @@
     )
 
 
-def test_a_server_that_left_gets_requests_only_for_a_while() -> None:
+def test_a_drained_server_gets_requests_only_for_the_grace_period() -> None:
     for left_at, broken in ((9.0, {}), (7.0, {"DRAIN": 1})):
         scenario = Scenario()
         scenario.judge.drain_grace_s = 2.0
@@ -198,7 +198,7 @@
     assert judge.findings[1].text == "version 3 differs in limits"
 
 
-def test_the_most_in_any_span() -> None:
+def test_the_highest_usage_in_any_span() -> None:
     amounts = [(0.0, 5), (1.0, 5), (2.0, 5), (10.0, 7), (12.5, 7)]
     assert max_in_span(amounts, 2.0) == 15
     assert max_in_span(amounts, 1.5) == 10
--- a/tests/system/test_soak.py
+++ b/tests/system/test_soak.py
@@ -31,16 +31,16 @@
 
 
 @pytest.mark.parametrize("seed", range(1, 60))
-def test_a_plan_is_the_same_each_time_and_loses_no_more_disks_than_may_be_lost(seed: int) -> None:
+def test_a_plan_is_deterministic_and_loses_no_more_disks_than_may_be_lost(seed: int) -> None:
     drawn = plan(seed, 25.0)
     assert drawn == plan(seed, 25.0)
-    wiped = {fault.place for fault in drawn.faults if fault.act is Act.WIPE}
+    wiped = {fault.machine_index for fault in drawn.faults if fault.act is Act.WIPE}
     assert len(wiped) <= drawn.shape.lost_at_once
-    assert all(0 <= fault.at_s < 25.0 and fault.place < drawn.shape.size for fault in drawn.faults)
+    assert all(0 <= fault.at_s < 25.0 and fault.machine_index < drawn.shape.size for fault in drawn.faults)
     assert [fault.at_s for fault in drawn.faults] == sorted(fault.at_s for fault in drawn.faults)
 
 
-def test_plans_strike_in_all_ways_and_may_be_large() -> None:
+def test_plans_contain_all_kinds_of_faults_and_may_be_large() -> None:
     plans = [plan(seed, 25.0) for seed in range(60)]
     assert {fault.act for drawn in plans for fault in drawn.faults} == set(Act)
     assert {drawn.ends_with_kill_all for drawn in plans} == {False, True}
@@ -130,7 +130,7 @@
         (ProcessRecord(0.0, 1), 0),
     ],
 )
-def test_ends_of_processes_are_judged(one: ProcessRecord, count: int) -> None:
+def test_unexpected_ends_of_processes_are_found(one: ProcessRecord, count: int) -> None:
     assert len(list(checks.check_processes("one", [one], 8.0))) == count
 
 
--- a/tests/system/test_stand_ins.py
+++ b/tests/system/test_stand_ins.py
@@ -56,7 +56,7 @@
         self.platform.stop()
         for registration in self.registrations:
             registration.stop()
-            registration.server.end()
+            registration.server.abort()
         self.proxy.close()
 
 
@@ -114,7 +114,7 @@
     assert rule in judge.violation_counts, judge.violation_counts
 
 
-def test_a_server_refuses_what_is_not_its_own() -> None:
+def test_a_server_refuses_requests_for_another_instance_or_version() -> None:
     async def go() -> None:
         judge = Judge()
         spec = deployment.server(deployment.MODEL_SERVICE, 1, "127.31.240")
@@ -137,7 +137,7 @@
             assert answer.status == 503 and answer.head.closes
             assert judge.runs == {}
         finally:
-            server.end()
+            server.abort()
 
     asyncio.run(go())
 
