--- a/benchmarks/idle_fleet.py
+++ b/benchmarks/idle_fleet.py
@@ -27,7 +27,7 @@
 from cloverrouter.lab.fleet.model_server import ModelServer
 from cloverrouter.lab.fleet.nodes import Node, NodeSpec, settings, toml
 from cloverrouter.lab.fleet.operator import Operator
-from cloverrouter.lab.fleet.platform import Door, Platform
+from cloverrouter.lab.fleet.platform import NodeEndpoint, Platform
 from cloverrouter.lab.fleet.registration import Registration
 from cloverrouter.lab.fleet.wire import call
 
@@ -56,8 +56,8 @@
         self.fleet = attrs.evolve(deployment.fleet_settings(tuple(self.specs)), log_level="errors")
         self.judge = Judge()
         self.operator = Operator([spec.control_plane for spec in self.specs], self.judge, 1)
-        doors = [Door(spec.name, spec.zone, spec.frontend, spec.readiness) for spec in self.specs]
-        self.platform = Platform(doors, 1, ask_every_s=0.2)
+        endpoints = [NodeEndpoint(spec.name, spec.zone, spec.frontend, spec.readiness) for spec in self.specs]
+        self.platform = Platform(endpoints, 1, check_interval_s=0.2)
         self.processes: dict[str, subprocess.Popen[bytes]] = {}
         self.ready_cpu: dict[str, float] = {}
 
@@ -81,19 +81,19 @@
     async def bring_up(self) -> None:
         for spec in self.specs:
             self.start(spec)
-        for server_spec in deployment.services_at_start(self.prefix):
+        for server_spec in deployment.initial_servers(self.prefix):
             server = ModelServer(server_spec, self.judge, time.monotonic, 1)
             await server.start()
             controls = [spec.control_plane for spec in self.specs]
-            Registration(server, controls, deployment.HEARTBEAT_MS / 1000, self.judge, 1).begin()
-        self.platform.begin()
+            Registration(server, controls, deployment.HEARTBEAT_MS / 1000, self.judge, 1).start()
+        self.platform.start()
         await self.operator.put(deployment.first_configuration(), within_s=READY_WITHIN_S)
         until = time.monotonic() + READY_WITHIN_S
         while len(self.ready_cpu) < len(self.specs):
             assert time.monotonic() < until, "not all nodes are ready"
-            for door in self.platform.doors:
-                if door.is_in and door.name not in self.ready_cpu:
-                    self.ready_cpu[door.name] = cpu_s(self.processes[door.name].pid)
+            for endpoint in self.platform.endpoints:
+                if endpoint.is_ready and endpoint.name not in self.ready_cpu:
+                    self.ready_cpu[endpoint.name] = cpu_s(self.processes[endpoint.name].pid)
             await asyncio.sleep(0.05)
         self.platform.stop()
 
--- a/cloverrouter/cli/demo.py
+++ b/cloverrouter/cli/demo.py
@@ -52,7 +52,7 @@
     folder = keep or Path(tempfile.mkdtemp(prefix="cypresswinch-demo-"))
     folder.mkdir(parents=True, exist_ok=True)
     try:
-        verdict = asyncio.run(Demo(folder.resolve(), seconds, seed, usage.say, log).play())
+        verdict = asyncio.run(Demo(folder.resolve(), seconds, seed, usage.say, log).run())
     except CypresswinchError as error:
         raise usage.CommandFailed(str(error)) from error
     finally:
@@ -68,9 +68,13 @@
     usage.say("")
     usage.say(f"{'kind':10}{'asked':>8}{'served':>8}{'p50 ms':>9}{'p99 ms':>9}")
     for kind in figures.kinds:
-        usage.say(f"{kind.name:10}{kind.asked:8}{kind.served:8}{kind.p50_ms:9.0f}{kind.p99_ms:9.0f}")
+        usage.say(
+            f"{kind.name:10}{kind.operation_count:8}{kind.served:8}{kind.p50_ms:9.0f}{kind.p99_ms:9.0f}"
+        )
     statuses = ", ".join(f"{status} x {count}" for status, count in figures.statuses.items())
-    usage.say(f"{figures.tries} tries, {figures.runs} runs, {figures.events} events; answers: {statuses}")
+    usage.say(
+        f"{figures.attempt_count} tries, {figures.runs} runs, {figures.events} events; answers: {statuses}"
+    )
     for reason in verdict.reasons:
         usage.say(reason)
     usage.say("PASSED: every rule kept" if verdict.passed else "FAILED")
--- a/cloverrouter/cli/soak.py
+++ b/cloverrouter/cli/soak.py
@@ -13,7 +13,7 @@
 
 from cloverrouter.cli import usage
 from cloverrouter.lab.soak.plan import plan
-from cloverrouter.lab.soak.run import MOST_NAMED, Report, Soak
+from cloverrouter.lab.soak.run import MAX_REPORTED_FINDINGS, Report, Soak
 
 
 def soak(
@@ -57,7 +57,7 @@
 def _played(seed: int, seconds: float, machines: int | None, keep: Path | None) -> Report:
     folder = Path(tempfile.mkdtemp(prefix=f"cypresswinch-soak-{seed}-"))
     try:
-        report = asyncio.run(Soak(plan(seed, seconds, machines), folder, usage.say).play())
+        report = asyncio.run(Soak(plan(seed, seconds, machines), folder, usage.say).run())
         if keep is not None and not report.passed:
             shutil.copytree(folder, keep / f"seed-{seed}", dirs_exist_ok=True)
     finally:
@@ -67,12 +67,12 @@
 
 def _tell(report: Report) -> None:
     usage.say(
-        f"seed {report.seed}: {report.machines} machines, {report.lives} processes, "
-        f"{report.too_soon} signals before the program's first line, "
+        f"seed {report.seed}: {report.machines} machines, {report.process_count} processes, "
+        f"{report.early_signals} signals before the program's first line, "
         f"{report.confirmed} of {report.orders} orders confirmed, "
         f"{report.served} of {report.requests} requests served, own lag {report.lag_s:.2f} s: "
         f"{'nothing found' if report.passed else f'{len(report.findings)} findings'}"
     )
     usage.say("  answers: " + ", ".join(f"{word} x {count}" for word, count in report.statuses.items()))
-    for finding in report.findings[:MOST_NAMED]:
+    for finding in report.findings[:MAX_REPORTED_FINDINGS]:
         usage.say(f"  {finding.rule}: {finding.text}")
--- a/cloverrouter/lab/fleet/demo.py
+++ b/cloverrouter/lab/fleet/demo.py
@@ -24,7 +24,7 @@
 from cloverrouter.lab.fleet.load import LoadGenerator, RequestKind
 from cloverrouter.lab.fleet.nodes import Node, stop_all
 from cloverrouter.lab.fleet.operator import Operator
-from cloverrouter.lab.fleet.platform import Door, Platform
+from cloverrouter.lab.fleet.platform import NodeEndpoint, Platform
 from cloverrouter.lab.fleet.registration import Registration, start_server
 
 READY_TIMEOUT_S = 20.0
@@ -71,15 +71,15 @@
         self.tally = Tally(self.judge)
         controls = [spec.control_plane for spec in specs]
         self.operator = Operator(controls, self.judge, seed)
-        doors = [Door(spec.name, spec.zone, spec.frontend, spec.readiness) for spec in specs]
-        self.platform = Platform(doors, seed)
+        endpoints = [NodeEndpoint(spec.name, spec.zone, spec.frontend, spec.readiness) for spec in specs]
+        self.platform = Platform(endpoints, seed)
         self._controls = controls
         self._generator = LoadGenerator(deployment.TENANTS, seed)
         self._registrations: dict[str, Registration] = {}
         self._tasks: set[asyncio.Task[None]] = set()
         self._load_started_at = 0.0
 
-    async def play(self) -> Verdict:
+    async def run(self) -> Verdict:
         """Runs the demo. Raises FleetNotReady, NodeEnded, or an operator's error if the start fails."""
         clients: list[Client] = []
         try:
@@ -102,9 +102,9 @@
     async def _bring_up(self) -> None:
         for node in self.nodes:
             node.start(bootstrap=True)
-        for spec in deployment.services_at_start(self._prefix):
+        for spec in deployment.initial_servers(self._prefix):
             await self._start_server(spec)
-        self.platform.begin()
+        self.platform.start()
         started_at = self._clock()
         await self.operator.put(deployment.first_configuration(), within_s=READY_TIMEOUT_S)
         version = self.operator.current["version"]
@@ -113,7 +113,7 @@
             for node in self.nodes:
                 node.check()
             if self._clock() - started_at > READY_TIMEOUT_S:
-                waiting = [door.name for door in self.platform.doors if not door.is_in]
+                waiting = [endpoint.name for endpoint in self.platform.endpoints if not endpoint.is_ready]
                 raise FleetNotReady(f"not ready within {READY_TIMEOUT_S:g} s: {', '.join(waiting)}")
             await asyncio.sleep(0.1)
         self._write_line(f"all {len(self.nodes)} nodes are ready after {self._clock() - started_at:.1f} s")
@@ -238,7 +238,7 @@
             )
         reasons += self._underserved_tenants()
         if not everyone_ready:
-            not_ready = [door.name for door in self.platform.doors if not door.is_in]
+            not_ready = [endpoint.name for endpoint in self.platform.endpoints if not endpoint.is_ready]
             reasons.append(f"not ready at the end: {', '.join(not_ready)}")
         reasons += [f"{name} ended with {code}" for name, code in codes.items() if code != 0]
         return Verdict(figures, tuple(reasons))
--- a/cloverrouter/lab/fleet/deployment.py
+++ b/cloverrouter/lab/fleet/deployment.py
@@ -159,7 +159,7 @@
     return ServerSpec(instance, service, address, zone, 6, 130)
 
 
-def services_at_start(prefix: str) -> list[ServerSpec]:
+def initial_servers(prefix: str) -> list[ServerSpec]:
     """Returns four model servers and three plain application servers."""
     models = [server(MODEL_SERVICE, number, prefix) for number in range(1, 5)]
     return [*models, *(server(DESK_SERVICE, number, prefix) for number in range(5, 8))]
--- a/cloverrouter/lab/fleet/figures.py
+++ b/cloverrouter/lab/fleet/figures.py
@@ -14,7 +14,7 @@
     """Statistics of one kind of request. Latencies in milliseconds, to the first event for streams."""
 
     name: str
-    asked: int
+    operation_count: int
     served: int
     p50_ms: float
     p99_ms: float
@@ -24,12 +24,12 @@
 class Figures:
     """Statistics of a whole run."""
 
-    asked: int
+    operation_count: int
     served: int
     within_quota: int
     within_quota_served: int
     events: int
-    tries: int
+    attempt_count: int
     runs: int
     statuses: dict[str, int]
     kinds: tuple[KindFigures, ...]
@@ -77,14 +77,14 @@
         statuses = Counter(str(a.status or "none") for a in self._judge.answers.values())
         names = sorted({operation.route for operation in operations})
         return Figures(
-            asked=len(operations),
+            operation_count=len(operations),
             served=sum(operation.served_at is not None for operation in operations),
             within_quota=sum(operation.within_quota for operation in operations),
             within_quota_served=sum(
                 operation.within_quota and operation.served_at is not None for operation in operations
             ),
             events=sum(operation.events for operation in operations),
-            tries=len(self._judge.requests),
+            attempt_count=len(self._judge.requests),
             runs=sum(len(runs) for runs in self._judge.runs.values()),
             statuses=dict(sorted(statuses.items())),
             kinds=tuple(
--- a/cloverrouter/lab/fleet/nodes.py
+++ b/cloverrouter/lab/fleet/nodes.py
@@ -194,9 +194,9 @@
     def check(self) -> None:
         """Raises NodeEnded with the end of its log, if its process exited unexpectedly."""
         if self._process is not None and self._process.poll() is not None:
-            raise NodeEnded(f"{self.spec.name} ended with {self._process.returncode}\n{self.last_words()}")
+            raise NodeEnded(f"{self.spec.name} ended with {self._process.returncode}\n{self.log_tail()}")
 
-    def last_words(self, lines: int = 12) -> str:
+    def log_tail(self, lines: int = 12) -> str:
         """Returns the last lines of its log."""
         text = self.log_path.read_text(errors="replace") if self.log_path.exists() else ""
         return "\n".join(text.splitlines()[-lines:])
--- a/cloverrouter/lab/fleet/operator.py
+++ b/cloverrouter/lab/fleet/operator.py
@@ -36,7 +36,7 @@
     async def patch(self, change: dict[str, Any], within_s: float = 20.0) -> None:
         """Patches items by name. Raises OrderRefused or NoDefinitiveAnswer."""
         await self._submit("PATCH", change, within_s)
-        self._record_acknowledged(patched(self.current, change))
+        self._record_acknowledged(apply_patch(self.current, change))
 
     async def _submit(self, method: str, body: dict[str, Any], within_s: float) -> None:
         headers = {"If-Match": str(self.current["version"])}
@@ -66,7 +66,7 @@
         self._judge.configuration_read_back(found)
 
 
-def patched(document: dict[str, Any], change: dict[str, Any]) -> dict[str, Any]:
+def apply_patch(document: dict[str, Any], change: dict[str, Any]) -> dict[str, Any]:
     """Returns a copy of a configuration with a patch applied, independently of the fleet's code."""
     result = copy.deepcopy(document)
     result["version"] = change["version"]
--- a/cloverrouter/lab/fleet/platform.py
+++ b/cloverrouter/lab/fleet/platform.py
@@ -9,7 +9,7 @@
 
 import attrs
 
-from cloverrouter.lab.fleet.asking import Poller
+from cloverrouter.lab.fleet.polling import Poller
 from cloverrouter.lab.fleet.wire import WireError, call
 
 CHECK_INTERVAL_S = 1.0
@@ -17,27 +17,29 @@
 
 
 @attrs.define(slots=True)
-class Door:
+class NodeEndpoint:
     """One node as seen by the platform."""
 
     name: str
     zone: str
     frontend: str
     readiness: str
-    is_in: bool = False
+    is_ready: bool = False
     failed_checks: int = 0
 
 
 class Platform:
     """Selects a ready node for each new connection."""
 
-    def __init__(self, doors: Sequence[Door], seed: int, ask_every_s: float = CHECK_INTERVAL_S) -> None:
-        self.doors = list(doors)
+    def __init__(
+        self, endpoints: Sequence[NodeEndpoint], seed: int, check_interval_s: float = CHECK_INTERVAL_S
+    ) -> None:
+        self.endpoints = list(endpoints)
         self._changed = asyncio.Event()
         self._random = random.Random(seed)
-        self._poller = Poller(self.doors, self._check_readiness, ask_every_s)
+        self._poller = Poller(self.endpoints, self._check_readiness, check_interval_s)
 
-    def begin(self) -> None:
+    def start(self) -> None:
         """Starts the readiness checks."""
         self._poller.start()
 
@@ -48,7 +50,7 @@
     @property
     def ready_count(self) -> int:
         """Returns the number of ready nodes."""
-        return sum(door.is_in for door in self.doors)
+        return sum(endpoint.is_ready for endpoint in self.endpoints)
 
     async def wait_until_ready(self, count: int) -> None:
         """Waits until at least `count` nodes are ready."""
@@ -58,23 +60,29 @@
 
     def frontend(self, zone: str) -> str:
         """Returns the frontend for a new connection from this zone."""
-        own = [door for door in self.doors if door.zone == zone]
-        choice = self._eligible(own) or self._eligible(self.doors) or self.doors
+        own = [endpoint for endpoint in self.endpoints if endpoint.zone == zone]
+        choice = self._eligible(own) or self._eligible(self.endpoints) or self.endpoints
         return self._random.choice(choice).frontend
 
     @staticmethod
-    def _eligible(doors: Sequence[Door]) -> list[Door]:
+    def _eligible(endpoints: Sequence[NodeEndpoint]) -> list[NodeEndpoint]:
         """Returns the ready nodes; all nodes if fewer than half are ready; none if none is ready."""
-        ready_endpoints = [door for door in doors if door.is_in]
-        return list(doors) if ready_endpoints and 2 * len(ready_endpoints) < len(doors) else ready_endpoints
-
-    async def _check_readiness(self, door: Door) -> None:
+        ready_endpoints = [endpoint for endpoint in endpoints if endpoint.is_ready]
+        return (
+            list(endpoints)
+            if ready_endpoints and 2 * len(ready_endpoints) < len(endpoints)
+            else ready_endpoints
+        )
+
+    async def _check_readiness(self, endpoint: NodeEndpoint) -> None:
         ok = False
         with contextlib.suppress(OSError, WireError, TimeoutError):
-            ok = (await call(door.readiness, "GET", "/-/readiness", timeout_s=CHECK_INTERVAL_S)).status == 200
-        door.failed_checks = 0 if ok else door.failed_checks + 1
+            ok = (
+                await call(endpoint.readiness, "GET", "/-/readiness", timeout_s=CHECK_INTERVAL_S)
+            ).status == 200
+        endpoint.failed_checks = 0 if ok else endpoint.failed_checks + 1
         self._changed.set()
         if ok:
-            door.is_in = True
-        elif door.failed_checks >= FAILED_CHECKS_LIMIT:
-            door.is_in = False
+            endpoint.is_ready = True
+        elif endpoint.failed_checks >= FAILED_CHECKS_LIMIT:
+            endpoint.is_ready = False
--- a/cloverrouter/lab/fleet/registration.py
+++ b/cloverrouter/lab/fleet/registration.py
@@ -29,7 +29,7 @@
     server = ModelServer(spec, judge, clock, seed)
     await server.start()
     registration = Registration(server, control_planes, heartbeat_s, judge, seed)
-    registration.begin()
+    registration.start()
     return registration
 
 
@@ -48,7 +48,7 @@
         self._endpoint: str | None = None
         self._heartbeat_task: asyncio.Task[None] | None = None
 
-    def begin(self) -> None:
+    def start(self) -> None:
         """Starts the heartbeats."""
         self._heartbeat_task = asyncio.create_task(self._send_heartbeats())
 
--- a/cloverrouter/lab/soak/checks.py
+++ b/cloverrouter/lab/soak/checks.py
@@ -188,7 +188,7 @@
         text = f"{name}, process {number}, ended with {process.code} after {age_s:.2f} s; signals: {signals}"
         if sigterm_at is None:
             yield Finding("FAULT", text)
-        elif process.code == ENDED_BY_SIGTERM and process.too_soon:
+        elif process.code == ENDED_BY_SIGTERM and process.early_signals:
             continue
         elif process.code != 0:
             yield Finding("FAULT", f"{text}; it was sent SIGTERM")
--- a/cloverrouter/lab/soak/machines.py
+++ b/cloverrouter/lab/soak/machines.py
@@ -28,7 +28,7 @@
     started_at: float
     pid: int
     signals: list[tuple[float, str]] = attrs.field(factory=list)
-    too_soon: int = 0  # signals before the program could handle them
+    early_signals: int = 0  # signals before the program could handle them
     ended_at: float | None = None
     code: int | None = None
 
@@ -140,7 +140,7 @@
         sent, because ending is its purpose.
         """
         if name in ("HUP", "TERM") and not _handles(self.process.pid, signal.SIGHUP):
-            self.process.too_soon += 1
+            self.process.early_signals += 1
             if name == "HUP":
                 return
         self.process.signals.append((self._clock(), name))
--- a/cloverrouter/lab/soak/orders.py
+++ b/cloverrouter/lab/soak/orders.py
@@ -16,7 +16,7 @@
 
 from cloverrouter.lab.fleet import deployment
 from cloverrouter.lab.fleet.control_calls import ControlCaller, NoDefinitiveAnswer
-from cloverrouter.lab.fleet.operator import PATH, patched
+from cloverrouter.lab.fleet.operator import PATH, apply_patch
 from cloverrouter.lab.fleet.wire import Answer, WireError
 
 Document = dict[str, Any]
@@ -183,7 +183,7 @@
     def _patch(self, change: Document, description: str) -> SentOrder:
         version = self._next_version()
         body = {"version": version, **change}
-        whole = patched(self.current, body)
+        whole = apply_patch(self.current, body)
         return SentOrder(
             version, self.current["version"], whole, self._clock(), "PATCH", body, description=description
         )
--- a/cloverrouter/lab/soak/run.py
+++ b/cloverrouter/lab/soak/run.py
@@ -33,7 +33,7 @@
 LAG_SAMPLE_S = 0.05
 FINAL_REQUESTS_PER_ROUTE = 6  # per chosen machine, at the end
 MIN_SERVED_RATIO = 0.25  # of the served share of the first routes
-MOST_NAMED = 12
+MAX_REPORTED_FINDINGS = 12
 
 
 @attrs.define(slots=True)
@@ -43,8 +43,8 @@
     seed: int
     machines: int
     findings: list[Finding] = attrs.field(factory=list)
-    lives: int = 0
-    too_soon: int = 0  # signals to an interpreter that had not yet started the program
+    process_count: int = 0
+    early_signals: int = 0  # signals to an interpreter that had not yet started the program
     orders: int = 0
     confirmed: int = 0
     requests: int = 0
@@ -99,7 +99,7 @@
         self._lag_s = 0.0
         self._extra_findings: list[Finding] = []
 
-    async def play(self) -> Report:
+    async def run(self) -> Report:
         """Runs everything and returns the report."""
         self._run_started_at = now()
         try:
@@ -291,8 +291,10 @@
         answers = self.judge.answers.values()
         report = Report(self._plan.seed, len(self.machines), lag_s=self._lag_s)
         report.findings = [*self._extra_findings, *self.judge.findings, *self._run_checks()]
-        report.lives = sum(len(machine.processes) for machine in self.machines)
-        report.too_soon = sum(process.too_soon for machine in self.machines for process in machine.processes)
+        report.process_count = sum(len(machine.processes) for machine in self.machines)
+        report.early_signals = sum(
+            process.early_signals for machine in self.machines for process in machine.processes
+        )
         report.orders = len(self.operator.sent)
         report.confirmed = sum(sent.is_acknowledged for sent in self.operator.sent)
         report.requests = len(self.judge.requests)
@@ -346,7 +348,7 @@
 def _servers(prefix: str) -> list[ServerSpec]:
     """Returns the servers, at addresses in another network than the machines."""
     own = f"127.{int(prefix.split('.')[1]) + 1}.{prefix.split('.')[2]}"
-    found = deployment.services_at_start(own)
+    found = deployment.initial_servers(own)
     branch = [deployment.server(deployment.DESK_SERVICE, number, own) for number in (8, 9, 10)]
     renamed = [
         attrs.evolve(spec, backend=BRANCH_SERVICE, instance_id=f"i-{BRANCH_SERVICE}-{number}")
--- a/cloverrouter/lab/soak/watch.py
+++ b/cloverrouter/lab/soak/watch.py
@@ -6,7 +6,7 @@
 
 import attrs
 
-from cloverrouter.lab.fleet.asking import Poller
+from cloverrouter.lab.fleet.polling import Poller
 from cloverrouter.lab.fleet.wire import WireError, call
 from cloverrouter.lab.soak.machines import Machine
 
--- a/tests/system/plain_proxy.py
+++ b/tests/system/plain_proxy.py
@@ -13,7 +13,7 @@
 import random
 from typing import Any
 
-from cloverrouter.lab.fleet.operator import patched
+from cloverrouter.lab.fleet.operator import apply_patch
 from cloverrouter.lab.fleet.wire import (
     HEAD_LIMIT_BYTES,
     Head,
@@ -78,7 +78,9 @@
         else:
             document = json.loads(body)
             if "forgets" not in self.faults:
-                self.configuration = document if method == "PUT" else patched(self.configuration, document)
+                self.configuration = (
+                    document if method == "PUT" else apply_patch(self.configuration, document)
+                )
             _reply(writer, "200 OK", b"{}")
 
     def _register(self, method: str, name: str, body: bytes) -> None:
--- a/tests/system/test_demo_nodes.py
+++ b/tests/system/test_demo_nodes.py
@@ -12,7 +12,7 @@
 from cloverrouter.daemon.settings import read
 from cloverrouter.lab.fleet import deployment, nodes
 from cloverrouter.lab.fleet.judge import differences
-from cloverrouter.lab.fleet.operator import patched
+from cloverrouter.lab.fleet.operator import apply_patch
 
 SPECS = deployment.nodes("127.31.250")
 FLEET = deployment.fleet_settings(SPECS)
@@ -76,7 +76,7 @@
     monkeypatch.setattr(nodes, "DAEMON", ("-c", "import os; print(sorted(os.environ))"))
     node.start()
     assert node._process is not None and node._process.wait() == 0
-    assert "CYPRESSWINCH_BOOT" in node.last_words() and "SECRET" not in node.last_words()
+    assert "CYPRESSWINCH_BOOT" in node.log_tail() and "SECRET" not in node.log_tail()
     node.close()
 
 
@@ -85,4 +85,4 @@
     _, state = review_document(json.dumps(first).encode(), ConfigurationState())
     assert differences(state.document(), first) == []
     _, state = review_patch(json.dumps(change).encode(), state)
-    assert differences(state.document(), patched(first, change)) == []
+    assert differences(state.document(), apply_patch(first, change)) == []
--- a/tests/system/test_signals.py
+++ b/tests/system/test_signals.py
@@ -69,7 +69,7 @@
     node: nodes.Node, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     start(node, monkeypatch, signal.SIGTERM)
-    assert node.wait() == 0, node.last_words()
+    assert node.wait() == 0, node.log_tail()
 
 
 @pytest.mark.parametrize("number", [signal.SIGHUP, signal.SIGTERM, signal.SIGINT])
@@ -81,7 +81,7 @@
     node.terminate()
     for _ in range(SIGNALS):
         node.signal(number)
-    assert node.wait() == 0, node.last_words()
+    assert node.wait() == 0, node.log_tail()
 
 
 def test_a_process_that_is_told_to_end_leaves_nothing_behind_in_its_log(node: nodes.Node) -> None:
--- a/tests/system/test_stand_in_calls.py
+++ b/tests/system/test_stand_in_calls.py
@@ -14,7 +14,7 @@
 from cloverrouter.lab.fleet.control_calls import ControlCaller, NoDefinitiveAnswer
 from cloverrouter.lab.fleet.judge import Judge
 from cloverrouter.lab.fleet.model_server import ModelServer
-from cloverrouter.lab.fleet.platform import Door, Platform
+from cloverrouter.lab.fleet.platform import NodeEndpoint, Platform
 from cloverrouter.lab.fleet.registration import Registration
 from cloverrouter.lab.fleet.wire import (
     ConnectionCut,
@@ -123,9 +123,12 @@
     run_scenario(scenario, ScriptedNode(), ScriptedNode())
 
 
-def doors(*inside: bool) -> Platform:
+def platform_with(*inside: bool) -> Platform:
     zones = ["a", "a", "a", "b"]
-    made = [Door(f"n{n}", zones[n], f"f{n}", f"r{n}", is_in=is_in) for n, is_in in enumerate(inside)]
+    made = [
+        NodeEndpoint(f"n{n}", zones[n], f"f{n}", f"r{n}", is_ready=is_ready)
+        for n, is_ready in enumerate(inside)
+    ]
     return Platform(made, 1)
 
 
@@ -142,7 +145,7 @@
     ],
 )
 def test_choice_of_the_frontend(inside: tuple[bool, ...], wanted: set[str]) -> None:
-    platform = doors(*inside)
+    platform = platform_with(*inside)
     assert {platform.frontend("a") for _ in range(99)} == wanted
 
 
--- a/tests/system/test_stand_ins.py
+++ b/tests/system/test_stand_ins.py
@@ -14,7 +14,7 @@
 from cloverrouter.lab.fleet.load import LoadGenerator
 from cloverrouter.lab.fleet.model_server import ModelServer
 from cloverrouter.lab.fleet.operator import Operator, OrderRefused
-from cloverrouter.lab.fleet.platform import Door, Platform
+from cloverrouter.lab.fleet.platform import NodeEndpoint, Platform
 from cloverrouter.lab.fleet.registration import Registration
 from cloverrouter.lab.fleet.wire import call
 from tests.system.plain_proxy import PlainProxy
@@ -28,13 +28,13 @@
     def __init__(self, prefix: str, faults: frozenset[str] = frozenset()) -> None:
         host = f"{prefix}.1"
         self.judge = Judge()
-        specs = deployment.services_at_start(prefix)
+        specs = deployment.initial_servers(prefix)
         self.proxy = PlainProxy(host, len(specs), faults)
         self.control = [f"{host}:{PORTS[2]}"]
         self.operator = Operator(self.control, self.judge, 1)
         zone = deployment.ZONES[0]
-        door = Door("n1", zone, f"{host}:{PORTS[0]}", f"{host}:{PORTS[1]}")
-        self.platform = Platform([door], 1, ask_every_s=0.02)
+        endpoint = NodeEndpoint("n1", zone, f"{host}:{PORTS[0]}", f"{host}:{PORTS[1]}")
+        self.platform = Platform([endpoint], 1, check_interval_s=0.02)
         generator = LoadGenerator(deployment.TENANTS, 1)
         self.client = Client(zone, self.platform, generator, self.judge, time.monotonic)
         self.servers = [ModelServer(spec, self.judge, time.monotonic, 1) for spec in specs]
@@ -44,8 +44,8 @@
         await self.proxy.start(*PORTS)
         for server, registration in zip(self.servers, self.registrations, strict=True):
             await server.start()
-            registration.begin()
-        self.platform.begin()
+            registration.start()
+        self.platform.start()
         await self.operator.put(deployment.first_configuration())
         async with asyncio.timeout(10):
             await self.platform.wait_until_ready(1)
@@ -79,7 +79,10 @@
     environment = asyncio.run(go())
     assert environment.judge.findings == []
     figures = Tally(environment.judge).figures()
-    assert figures.served == figures.asked == figures.within_quota == 17 and figures.served_share == 1.0
+    assert (
+        figures.served == figures.operation_count == figures.within_quota == 17
+        and figures.served_share == 1.0
+    )
     assert {kind.name: kind.served for kind in figures.kinds}["caption"] == 4
     assert figures.events > 4 * 30
 
