--- a/cloverrouter/proxy/node.py
+++ b/cloverrouter/proxy/node.py
@@ -1,7 +1,7 @@
-"""The lifecycle's driver: carries its effects out on sockets and timers, and tells it what happens there.
+"""Drives the request lifecycle: applies its effects to sockets and timers, and reports events to it.
 
-It decides nothing and knows no bytes: calls come from the frontend, attempts go to the upstream, and what
-follows from what is said in `cloverrouter.core` and by the decision module.
+It makes no decisions and handles no bytes: the frontend delivers calls, the upstream carries out attempts,
+and `cloverrouter.core` and the balancer decide what follows from each event.
 """
 
 from __future__ import annotations
@@ -63,24 +63,29 @@
 from cloverrouter.proxy.config import Address, HostEntry, HostList
 from cloverrouter.proxy.messages import Answer, Call
 from cloverrouter.proxy.streams import Sink, Source, StreamHead
-from cloverrouter.proxy.upstream import ROUNDS, Exchange, Upstream
-
-# The answer's way to the client, and the loop's lateness on top, as measured: deadlines are taken to be
-# this much earlier. The measured part is bounded, or one long stall would refuse everything for a while.
-MARGIN_MS = 3.0
-MOST_LAG_MS = 30.0
-LAG_EVERY_S = 0.05
-STILL_SHARE = 0.5  # of the grace for drains: the rest is for a send that is under way already
-LAG_KEPT = 0.98  # of the longest lag, from one measurement to the next
-# Danger: smoothed, a figure beyond belief would outweigh all that come after it.
-MOST_REPORTED = 1e6
-LOOK_S = 0.25  # between looks at which servers are to be tried again
-ANSWERED = (Outcome.OK, Outcome.ERROR, Outcome.REJECTED, Outcome.SPOILT)
+from cloverrouter.proxy.upstream import CATCH_UP_ITERATIONS, Exchange, Upstream
+
+# Deadlines are moved earlier by a fixed margin for the answer's way to the client, plus the measured lag of
+# the event loop. The lag is bounded: otherwise one long stall would get all requests refused for a while.
+ANSWER_MARGIN_MS = 3.0
+MAX_LAG_MS = 30.0
+LAG_INTERVAL_S = 0.05
+# Stall threshold as a fraction of the drain grace period; the rest is for sends in progress.
+STALL_GRACE_SHARE = 0.5
+LAG_DECAY = 0.98  # factor by which the peak lag decays per measurement
+# Larger values in a load report are implausible; one of them would dominate the smoothed values after it.
+MAX_REPORTED_VALUE = 1e6
+PROBE_CHECK_INTERVAL_S = 0.25  # interval of checking which servers are due for a probe
+ANSWERED_OUTCOMES = (Outcome.OK, Outcome.ERROR, Outcome.REJECTED, Outcome.SPOILT)
 log = logging.getLogger(__name__)
 
 
 def read_report(text: bytes | None, fields: tuple[str, ...]) -> tuple[float, ...] | None:
-    """A host's load report in the order of `fields`; None if it is missing, or any of it is no figure."""
+    """Parses a host's load report; returns the values in the order of `fields`.
+
+    Returns None if the report or one of the fields is missing, or a value is not a number in the accepted
+    range.
+    """
     if text is None or not fields:
         return None
     pairs = dict(part.strip().partition(b"=")[::2] for part in text.split(b","))
@@ -88,51 +93,52 @@
         report = tuple(float(pairs[name.encode()]) for name in fields)
     except (KeyError, ValueError):
         return None
-    return report if all(0 <= value <= MOST_REPORTED for value in report) else None
+    return report if all(0 <= value <= MAX_REPORTED_VALUE for value in report) else None
 
 
 class LagMeter:
-    """How late the event loop comes to things: the longest of late, fading."""
+    """Measures the lag of the event loop: its decaying peak, and whether the process has just stalled."""
 
-    def __init__(self, still_s: float) -> None:
-        """Having come to nothing for `still_s`, the process has stood still."""
+    def __init__(self, stall_s: float) -> None:
+        """A lag of more than `stall_s` seconds counts as a stall of the process."""
         self._loop = asyncio.get_running_loop()
         self.peak_ms = 0.0
         self._due_s = 0.0
-        self._still_s = still_s
-        self._rounds_left = 0  # of the loop, until all has been read that came while it stood still
-        self._stood_ms = 0.0
-        self._again()
-
-    def stood_ms(self) -> float:
-        """For how long it has, just now; 0 if it has not. Danger: what it reads first then is not what came
-        first, and may have come as long ago as that."""
+        self._stall_s = stall_s
+        self._iterations_left = 0  # loop iterations until the input of the stall is processed
+        self._stall_ms = 0.0
+        self._schedule_measurement()
+
+    def stall_ms(self) -> float:
+        """Returns the length of a stall that has just ended, in milliseconds; 0 if there was none.
+
+        After a stall, input may be that old, and is not read in the order of its arrival."""
         late_s = time.monotonic() - self._due_s
-        if late_s > self._still_s:
+        if late_s > self._stall_s:
             return late_s * 1000
-        return self._stood_ms if self._rounds_left else 0.0
+        return self._stall_ms if self._iterations_left else 0.0
 
-    def _round(self) -> None:
-        self._rounds_left -= 1
-        if self._rounds_left:
-            self._loop.call_soon(self._round)
+    def _count_iteration(self) -> None:
+        self._iterations_left -= 1
+        if self._iterations_left:
+            self._loop.call_soon(self._count_iteration)
 
-    def _again(self) -> None:
-        self._due_s = time.monotonic() + LAG_EVERY_S
-        self._loop.call_later(LAG_EVERY_S, self._measure)
+    def _schedule_measurement(self) -> None:
+        self._due_s = time.monotonic() + LAG_INTERVAL_S
+        self._loop.call_later(LAG_INTERVAL_S, self._measure)
 
     def _measure(self) -> None:
         late_ms = (time.monotonic() - self._due_s) * 1000
-        if late_ms > self._still_s * 1000:
-            if not self._rounds_left:
-                self._loop.call_soon(self._round)
-            self._rounds_left, self._stood_ms = ROUNDS, late_ms
-        self.peak_ms = min(MOST_LAG_MS, max(late_ms, self.peak_ms * LAG_KEPT))
-        self._again()
+        if late_ms > self._stall_s * 1000:
+            if not self._iterations_left:
+                self._loop.call_soon(self._count_iteration)
+            self._iterations_left, self._stall_ms = CATCH_UP_ITERATIONS, late_ms
+        self.peak_ms = min(MAX_LAG_MS, max(late_ms, self.peak_ms * LAG_DECAY))
+        self._schedule_measurement()
 
 
-class Out:
-    """An attempt that is out: where it is on the wire, its timer, and what the wire tells of it."""
+class ActiveAttempt:
+    """An active attempt: its exchange with the host, its timeout, and handlers of the exchange's events."""
 
     __slots__ = (
         "attempt",
@@ -141,7 +147,7 @@
         "head",
         "host",
         "node",
-        "out_by_s",
+        "send_deadline_s",
         "sent_ms",
         "sink",
         "source",
@@ -156,49 +162,56 @@
         self.attempt = attempt
         self.exchange: Exchange | None = None
         self.timer: asyncio.TimerHandle | None = None
-        self.out_by_s = float("inf")  # on the loop's clock
+        self.send_deadline_s = float("inf")  # the request must be sent before, on the loop's clock
         self.head: StreamHead | None = None
         self.source: Source | None = None
         self.sink: Sink | None = None
 
-    def watch(self, timer: asyncio.TimerHandle | None) -> None:
-        """Its time is up when `timer` fires; None: it is not watched any more."""
+    def set_timeout(self, timer: asyncio.TimerHandle | None) -> None:
+        """Replaces the timer of the attempt's timeout; None: the attempt has no timeout any more."""
         if self.timer is not None:
             self.timer.cancel()
         self.timer = timer
         if self.exchange is not None and timer is not None:
-            self.exchange.due_s = timer.when()
+            self.exchange.deadline_s = timer.when()
 
-    def time_up(self) -> None:
-        self.node.take(AttemptTimedOut(self.call_id, self.attempt))
-        self.node.time_up(self)
+    def on_timeout(self) -> None:
+        """Handles the attempt's timeout."""
+        self.node.handle_event(AttemptTimedOut(self.call_id, self.attempt))
+        self.node.on_timeout(self)
 
-    def wanted(self) -> bool:
-        """May it go out now?"""
-        if self.node.clock_s() >= self.out_by_s:
-            self.too_late()
-        return not self.node.left(self)
+    def may_send(self) -> bool:
+        """Whether the request may still be sent."""
+        if self.node.clock_s() >= self.send_deadline_s:
+            self.on_send_window_expired()
+        return not self.node.is_cancelled(self)
 
-    def too_late(self) -> None:
-        self.node.take(SendWindowExpired(self.call_id, self.attempt))
+    def on_send_window_expired(self) -> None:
+        """Handles the end of the time window in which the request may be sent."""
+        self.node.handle_event(SendWindowExpired(self.call_id, self.attempt))
 
-    def written(self) -> None:
-        self.node.take(RequestWritten(self.call_id, self.attempt))
+    def on_written(self) -> None:
+        """Handles the write of the request's last byte."""
+        self.node.handle_event(RequestWritten(self.call_id, self.attempt))
 
-    def held(self) -> None:
-        self.node.take(ResponseHeld(self.call_id, self.attempt))
+    def on_held(self) -> None:
+        """Handles the beginning of an answer of unknown length, which is held back."""
+        self.node.handle_event(ResponseHeld(self.call_id, self.attempt))
 
-    def begun(self, head: StreamHead, source: Source) -> Sink | None:
-        """Where the answer goes; None if nobody wants it."""
+    def on_begun(self, head: StreamHead, source: Source) -> Sink | None:
+        """Returns the receiver of a streamed answer; None if it is not needed any more."""
         self.head, self.source = head, source
-        self.node.take(ResponseStarted(self.call_id, self.attempt))
+        self.node.handle_event(ResponseStarted(self.call_id, self.attempt))
         return self.sink
 
-    def ended(self, outcome: Outcome, answer: Answer | None) -> None:
-        self.node.ended(self, outcome, answer)
+    def on_ended(self, outcome: Outcome, answer: Answer | None) -> None:
+        """Handles the end of the exchange."""
+        self.node.attempt_ended(self, outcome, answer)
 
 
 class Node:
+    """Connects the lifecycle and balancer with the frontend, the upstream, discovery and other proxies."""
+
     def __init__(
         self,
         settings: Settings,
@@ -207,131 +220,135 @@
         subscribe: Callable[[], None],
         crash: Callable[[BaseException], None],
         memory: BalancerState | None = None,
-        say: Callable[[bytes], None] | None = None,
+        broadcast: Callable[[bytes], None] | None = None,
     ) -> None:
-        """`say` sends a datagram to all other proxies, where there are any to talk to."""
+        """`crash` reports an exception of the decision logic; `memory` is the balancer's state of a previous
+        process; `broadcast` sends a datagram to all other proxies, None if there are none.
+        """
         self._loop = asyncio.get_running_loop()
         self._settings = settings
         self._balancer = restored(settings, seed, memory)
         self._upstream = upstream
         self._subscribe = subscribe
         self._crash = crash
-        self._longest_ms = max((cls.deadline_ms for cls in settings.classes), default=60_000.0)
-        self._lifecycle = Lifecycle(self._longest_ms)
+        self._max_deadline_ms = max((cls.deadline_ms for cls in settings.classes), default=60_000.0)
+        self._lifecycle = Lifecycle(self._max_deadline_ms)
         self._engine = Engine(
             self._lifecycle,
             lambda now_ms, events: self._balancer.handle(now_ms, events),
             self.now_ms,
-            self._carry_out,
+            self._apply_effect,
         )
         self._addresses: dict[str, Address] = {}
-        self._entries: dict[str, HostEntry] = {}  # as discovery has told of them
+        self._entries: dict[str, HostEntry] = {}  # as listed by discovery
         self._calls: dict[int, Call] = {}
-        self._numbers: dict[Call, int] = {}
-        self._ids: set[bytes] = set()  # the clients' own, of the same calls
-        self._out: dict[tuple[int, int], Out] = {}
-        self._last_id = 0
-        self._now_ms = self._read_ms = 0.0
-        # Danger: a server that drains is told of in bytes that lie unread while the process stands still, and
-        # the grace runs.
-        self._lag = LagMeter(settings.safety.drain_grace_ms / 1000 * STILL_SHARE)
-        self._cordoned: CordonResult | None = None  # the latest answer to an operator
-        self._say = say
+        self._call_ids: dict[Call, int] = {}
+        self._request_ids: set[bytes] = set()  # the clients' ids of these calls
+        self._active_attempts: dict[tuple[int, int], ActiveAttempt] = {}
+        self._last_call_id = 0
+        self._now_ms = self._last_clock_ms = 0.0
+        # During a stall, a drain announced by discovery stays unread while its grace period runs.
+        self._lag = LagMeter(settings.safety.drain_grace_ms / 1000 * STALL_GRACE_SHARE)
+        self._cordon_result: CordonResult | None = None  # result of the latest cordon command
+        self._broadcast = broadcast
         self._sentinel: Sentinel | None = None
-        if say is not None:
+        if broadcast is not None:
             self._sentinel = Sentinel(settings.proxies, Random(seed))
-            self._loop.call_later(LOOK_S, self._look)
+            self._loop.call_later(PROBE_CHECK_INTERVAL_S, self._check_probes)
 
     def now_ms(self) -> float:
+        """Returns the monotonic time in milliseconds; never earlier than a timer that has fired."""
         read_ms = time.monotonic() * 1000
         self._now_ms = max(self._now_ms, read_ms)
-        # Danger: a process that owes its machine the time of its start may read a clock that stands still
-        # while answers come. By what seems to take no time, all that comes later is far too slow.
-        if read_ms == self._read_ms:
+        # A throttled process may read the same clock value while answers arrive, for instance after starting.
+        # Latencies of zero must not be used: all later answers would look far too slow by comparison.
+        if read_ms == self._last_clock_ms:
             self._lifecycle.untimed_until_ms = self._now_ms
-        self._read_ms = read_ms
+        self._last_clock_ms = read_ms
         return self._now_ms
 
-    def take(self, happening: LifecycleEvent) -> None:
-        """Something has happened: all that follows from it is done before this returns."""
+    def handle_event(self, lifecycle_event: LifecycleEvent) -> None:
+        """Handles an event; all its effects are applied before this returns."""
         try:
-            self._engine.take(happening)
+            self._engine.take(lifecycle_event)
         except Exception as error:
-            # A module that has lost its way would go on with wrong decisions for every request.
+            # After an exception the state may be inconsistent, and every later decision wrong.
             self._crash(error)
 
-    def _carry_out(self, effect: Effect) -> None:
-        # What every request has comes first, and is looked for in the cheapest way.
+    def _apply_effect(self, effect: Effect) -> None:
+        # The effects of every request come first, with a cheaper check than `match`.
         if type(effect) is StartAttempt:
-            self._start(effect)
+            self._start_attempt(effect)
             return
         if type(effect) is DeliverResponse:
             self._calls[effect.call].served(cast(Answer, effect.answer))
             return
         if type(effect) is ReleaseCall:
             call = self._calls.pop(effect.call)
-            del self._numbers[call]
-            self._ids.discard(call.request_id)
+            del self._call_ids[call]
+            self._request_ids.discard(call.request_id)
             return
         match effect:
             case SetTimer():
                 self._set_timer(effect)
             case AbortAttempt(call_id, number):
-                self._abandon(self._out.pop((call_id, number)))
+                self._abandon(self._active_attempts.pop((call_id, number)))
             case DeliverRefusal(call_id, retry_after_ms):
                 self._calls[call_id].refused(retry_after_ms)
             case DeliverFailure(call_id):
                 self._calls[call_id].failed()
             case StartStreaming(call_id, number):
-                out = self._out[call_id, number]
-                out.watch(None)
-                assert out.head is not None and out.source is not None
-                out.sink = self._calls[call_id].begun(out.head, out.source)
+                active = self._active_attempts[call_id, number]
+                active.set_timeout(None)
+                assert active.head is not None and active.source is not None
+                active.sink = self._calls[call_id].begun(active.head, active.source)
             case SetAttemptTimeout(call_id, number, timeout_ms):
-                out = self._out[call_id, number]
-                out.watch(self._loop.call_later(timeout_ms / 1000, out.time_up))
+                active = self._active_attempts[call_id, number]
+                active.set_timeout(self._loop.call_later(timeout_ms / 1000, active.on_timeout))
             case StreamHeldResponse(call_id, number):
-                self._pass_on(self._out[call_id, number])
+                self._stream_held_answer(self._active_attempts[call_id, number])
             case QueryDiscovery():
                 self._subscribe()
             case WriteLog(text):
                 log.info("%s", text)
             case CordonResult():
-                self._cordoned = effect
+                self._cordon_result = effect
 
     def _set_timer(self, action: SetTimer) -> None:
         due_ms = self._now_ms + action.delay_ms
 
         def fire() -> None:
-            # The loop's clock is coarser than ours: a timer is never seen to come early.
+            # The loop's clock is coarser than ours: the timer must not appear to fire early.
             self._now_ms = max(self._now_ms, due_ms)
-            self.take(TimerFired(action.token))
+            self.handle_event(TimerFired(action.token))
 
         self._loop.call_later(max(0.0, action.delay_ms) / 1000, fire)
 
     # Calls
 
     def ready(self) -> bool:
+        """Whether there is a server to send requests to."""
         return bool(self._addresses)
 
     @property
     def owed(self) -> int:
-        """Calls whose final answer has not been given."""
+        """Number of calls without a final answer."""
         return self._lifecycle.open_calls
 
     def is_open(self, request_id: bytes) -> bool:
-        """Is an answer owed under this id, or an attempt still out?"""
-        return request_id in self._ids
+        """Whether a call with this id has no final answer yet, or an active attempt."""
+        return request_id in self._request_ids
 
-    def arrived(self, call: Call) -> None:
-        self._last_id += 1
-        call_id, upload = self._last_id, call.upload
+    def call_arrived(self, call: Call) -> None:
+        """Handles a new call; its body may still be uploaded."""
+        self._last_call_id += 1
+        call_id, upload = self._last_call_id, call.upload
         uploading = upload is not None and not upload.ended
-        self._calls[call_id], self._numbers[call] = call, call_id
-        self._ids.add(call.request_id)
+        self._calls[call_id], self._call_ids[call] = call, call_id
+        self._request_ids.add(call.request_id)
         if upload is not None:
-            upload.on_spent = lambda: self.take(BodyConsumed(call_id))
-        self.take(
+            upload.on_spent = lambda: self.handle_event(BodyConsumed(call_id))
+        self.handle_event(
             RequestArrived(
                 request_id=call_id,
                 class_name=call.class_name,
@@ -344,126 +361,137 @@
             )
         )
 
-    def completed(self, call: Call) -> None:
-        """The last byte of a call that arrived before it has come."""
-        call_id = self._numbers.get(call)
+    def call_completed(self, call: Call) -> None:
+        """Handles the last body byte of a call that arrived while its body was still being uploaded."""
+        call_id = self._call_ids.get(call)
         if call_id is not None:
-            self.take(RequestCompleted(call_id, self._deadline_ms(call)))
+            self.handle_event(RequestCompleted(call_id, self._deadline_ms(call)))
 
     def _deadline_ms(self, call: Call) -> float | None:
         if call.timeout_ms is None:
             return None
-        margin_ms = MARGIN_MS + max(self._lag.peak_ms, self._lag.stood_ms())
-        # Danger: a call that has waited behind another has less time left than it asked for.
+        margin_ms = ANSWER_MARGIN_MS + max(self._lag.peak_ms, self._lag.stall_ms())
+        # Counted from the arrival: a call that waited behind another has less time left.
         return call.arrived_ms + call.timeout_ms - margin_ms
 
-    def gone(self, call: Call) -> None:
-        """The client has left: nobody wants what its attempts would bring."""
-        call_id = self._numbers.get(call)
+    def client_disconnected(self, call: Call) -> None:
+        """Handles the disconnect of the client."""
+        call_id = self._call_ids.get(call)
         if call_id is not None:
-            self.take(ClientDisconnected(call_id))
+            self.handle_event(ClientDisconnected(call_id))
 
     def halt(self) -> None:
-        """The process is killed next: all that is owed is answered now."""
-        self.take(ProcessHalted())
+        """Answers all open calls now, as the process is about to be killed."""
+        self.handle_event(ProcessHalted())
 
     @property
     def longest_ms(self) -> float:
         """The longest deadline of the settings."""
-        return self._longest_ms
+        return self._max_deadline_ms
 
     # Attempts
 
-    def _start(self, start: StartAttempt) -> None:
+    def _start_attempt(self, start: StartAttempt) -> None:
         call, key = self._calls[start.call], (start.call, start.attempt)
-        out = self._out[key] = Out(self, start.call, start.attempt, start.endpoint, self._now_ms)
+        active = self._active_attempts[key] = ActiveAttempt(
+            self, start.call, start.attempt, start.endpoint, self._now_ms
+        )
         timeout_ms = start.timeout_ms
-        if timeout_ms is None:  # its time begins with its last byte
-            timeout_ms = call.timeout_ms or self._longest_ms
+        if timeout_ms is None:  # an upload: its timeout starts with its last byte
+            timeout_ms = call.timeout_ms or self._max_deadline_ms
         else:
-            out.watch(self._loop.call_later(timeout_ms / 1000, out.time_up))
+            active.set_timeout(self._loop.call_later(timeout_ms / 1000, active.on_timeout))
         if start.send_within_ms < float("inf"):
-            out.out_by_s = self.clock_s() + start.send_within_ms / 1000
-            self._loop.call_at(out.out_by_s, out.too_late)
-        if self.left(out):
+            active.send_deadline_s = self.clock_s() + start.send_within_ms / 1000
+            self._loop.call_at(active.send_deadline_s, active.on_send_window_expired)
+        if self.is_cancelled(active):
             return
         host = start.endpoint, cast(Address, start.target)
         exchange = self._upstream.send(
-            host, call, timeout_ms, out.ended, out.begun, out.written, out.held, out.wanted,
-            ROUNDS if self._lag.stood_ms() else 0,
+            host, call, timeout_ms, active.on_ended, active.on_begun, active.on_written, active.on_held,
+            active.may_send, CATCH_UP_ITERATIONS if self._lag.stall_ms() else 0,
         )  # fmt: skip
-        out.exchange = exchange
-        if out.timer is not None:
-            exchange.due_s = out.timer.when()
-        if self._out.get(key) is not out:  # ended or called off before there was an exchange to give up
+        active.exchange = exchange
+        if active.timer is not None:
+            exchange.deadline_s = active.timer.when()
+        # It may have ended or been aborted during `send`, before `active.exchange` was set.
+        if self._active_attempts.get(key) is not active:
             exchange.abandon()
 
     def clock_s(self) -> float:
+        """Returns the time of the loop's clock."""
         return self._loop.time()
 
-    def left(self, out: Out) -> bool:
-        """Has the client of this attempt gone, or has the attempt been called off? All that follows from a
-        leaving that is noticed here has been done when this returns."""
-        call = self._calls.get(out.call_id)
-        return call is None or call.left() or self._out.get((out.call_id, out.attempt)) is not out
-
-    def _abandon(self, out: Out) -> None:
-        out.watch(None)
-        if out.exchange is not None:
-            out.exchange.abandon()
-
-    def _pass_on(self, out: Out) -> None:
-        if out.exchange is None or not out.exchange.pass_on():
-            self._abandon(out)  # there is nothing of it that could be passed on
-            self.ended(out, Outcome.TIMEOUT, None)
-
-    def ended(self, out: Out, outcome: Outcome, answer: Answer | None) -> None:
-        """An attempt has ended by itself."""
-        if self._out.pop((out.call_id, out.attempt), None) is None:
+    def is_cancelled(self, active: ActiveAttempt) -> bool:
+        """Whether the client of this attempt has disconnected or the attempt was aborted. A disconnect that
+        is detected here has been handled when this returns."""
+        call = self._calls.get(active.call_id)
+        return (
+            call is None
+            or call.left()
+            or self._active_attempts.get((active.call_id, active.attempt)) is not active
+        )
+
+    def _abandon(self, active: ActiveAttempt) -> None:
+        active.set_timeout(None)
+        if active.exchange is not None:
+            active.exchange.abandon()
+
+    def _stream_held_answer(self, active: ActiveAttempt) -> None:
+        if active.exchange is None or not active.exchange.stream_held_answer():
+            self._abandon(active)  # no answer to stream
+            self.attempt_ended(active, Outcome.TIMEOUT, None)
+
+    def attempt_ended(self, active: ActiveAttempt, outcome: Outcome, answer: Answer | None) -> None:
+        """Handles the end of an attempt that was not aborted."""
+        if self._active_attempts.pop((active.call_id, active.attempt), None) is None:
             return
-        out.watch(None)
-        self._heard_of(out, outcome)
+        active.set_timeout(None)
+        self._report_outcome(active, outcome)
         report = read_report(answer.report, self._settings.report_fields) if answer is not None else None
-        self.take(AttemptFinished(out.call_id, out.attempt, outcome, answer, report))
+        self.handle_event(AttemptFinished(active.call_id, active.attempt, outcome, answer, report))
 
-    # Whether servers are of any use
+    # Failure detection, with the sentinels of other proxies
 
-    def _heard_of(self, out: Out, outcome: Outcome) -> None:
+    def _report_outcome(self, active: ActiveAttempt, outcome: Outcome) -> None:
         if self._sentinel is not None:
-            if outcome in ANSWERED:
-                self._watched(self._sentinel.answered(self._now_ms, out.host))
+            if outcome in ANSWERED_OUTCOMES:
+                self._apply_sentinel_effects(self._sentinel.answered(self._now_ms, active.host))
             elif outcome is Outcome.CONNECT_FAILED:
-                self._watched(self._sentinel.refused(self._now_ms, out.host))
+                self._apply_sentinel_effects(self._sentinel.refused(self._now_ms, active.host))
             elif outcome is Outcome.TIMEOUT:
-                self._watched(self._sentinel.unanswered(self._now_ms, out.host, out.sent_ms))
+                self._apply_sentinel_effects(
+                    self._sentinel.unanswered(self._now_ms, active.host, active.sent_ms)
+                )
 
-    def time_up(self, out: Out) -> None:
-        """The attempt has been given all its time."""
-        if (out.call_id, out.attempt) not in self._out:  # and has not begun to bring an answer
-            self._heard_of(out, Outcome.TIMEOUT)
+    def on_timeout(self, active: ActiveAttempt) -> None:
+        """Reports a timeout to the sentinel, unless the answer has begun and the attempt continues."""
+        if (active.call_id, active.attempt) not in self._active_attempts:  # aborted by the lifecycle
+            self._report_outcome(active, Outcome.TIMEOUT)
 
-    def _look(self) -> None:
+    def _check_probes(self) -> None:
         assert self._sentinel is not None
-        self._watched(self._sentinel.tick(self.now_ms()))
-        self._loop.call_later(LOOK_S, self._look)
+        self._apply_sentinel_effects(self._sentinel.tick(self.now_ms()))
+        self._loop.call_later(PROBE_CHECK_INTERVAL_S, self._check_probes)
 
     def news(self, data: bytes) -> None:
-        """Another proxy tells of servers."""
+        """Handles a datagram of another proxy about the state of servers."""
         if self._sentinel is not None:
-            self._watched(self._sentinel.heard(self.now_ms(), data))
+            self._apply_sentinel_effects(self._sentinel.heard(self.now_ms(), data))
 
-    def _watched(self, effects: list[sentinel.Effect]) -> None:
+    def _apply_sentinel_effects(self, effects: list[sentinel.Effect]) -> None:
         for effect in effects:
             match effect:
                 case Verdict(server, reached):
-                    self.take(ProbeEnded(server, Outcome.OK if reached else Outcome.TIMEOUT, 0.0))
+                    self.handle_event(ProbeEnded(server, Outcome.OK if reached else Outcome.TIMEOUT, 0.0))
                 case Say(data):
-                    assert self._say is not None
-                    self._say(data)
+                    assert self._broadcast is not None
+                    self._broadcast(data)
 
     # Discovery
 
     def listed(self, kind: ListKind, found: HostList) -> None:
+        """Applies a list of hosts, or a change of it, from discovery or a previous process."""
         if kind is not ListKind.DELTA:
             self._addresses.clear()
             self._entries.clear()
@@ -481,15 +509,15 @@
             self._sentinel.listed(self._addresses)
         event = EndpointsListed(kind, tuple(entry.listed for entry in found.entries))
         targets: dict[str, Hashable] = {**self._addresses}
-        self.take(TargetsListed(event, targets))
+        self.handle_event(TargetsListed(event, targets))
 
-    # Operators, and a process beside this one
+    # Operators, and the other process of a handover
 
     def cordon(self, endpoint: str, on: bool) -> bool:
-        """The module's yes or no."""
-        self._cordoned = None
-        self.take(Cordon(endpoint, on))
-        answer: CordonResult | None = self._cordoned
+        """Cordons or uncordons a server; returns False if it was never listed."""
+        self._cordon_result = None
+        self.handle_event(Cordon(endpoint, on))
+        answer: CordonResult | None = self._cordon_result
         if answer is None or not answer.known:
             return False
         if on:
@@ -497,17 +525,21 @@
         return True
 
     def census(self) -> EndpointCounts:
+        """Returns the number of listed and of avoided servers."""
         return census(self._balancer, self.now_ms())
 
     def memory(self) -> BalancerState:
+        """Returns the balancer's state for the next process."""
         return memory_of(self._balancer)
 
     def take_part(self, part: float, others_open: int = 0) -> None:
-        self.take(ShareAssigned(part, others_open))
+        """Sets this process's share of the balancer's budgets, and the number of the other's open calls."""
+        self.handle_event(ShareAssigned(part, others_open))
 
     def known(self, version: int | None) -> HostList | None:
-        """The list as it stands, for a process that comes after; None before there is one."""
+        """Returns the current list of hosts for the next process; None before there is one."""
         return HostList(version or 0, True, tuple(self._entries.values())) if self._entries else None
 
     def discovery_failed(self) -> None:
-        self.take(TargetsListed(EndpointsListed(ListKind.FAILED), self._lifecycle.targets))
+        """Reports a failed discovery call to the balancer."""
+        self.handle_event(TargetsListed(EndpointsListed(ListKind.FAILED), self._lifecycle.targets))
--- a/cloverrouter/proxy/streams.py
+++ b/cloverrouter/proxy/streams.py
@@ -1,7 +1,7 @@
-"""Bodies too large to hold: taken in and passed on piece by piece, under one budget of bytes.
+"""Streaming of bodies that are too large to buffer, under one memory budget.
 
-Whoever takes in more than the other side takes up is told to pause. While the budget is tight, each
-stream holds one piece and no more.
+A source that is faster than its receiver is paused (backpressure). While the budget is exceeded, each
+stream buffers at most one piece.
 """
 
 from __future__ import annotations
@@ -11,63 +11,68 @@
 from dataclasses import dataclass
 from typing import Protocol
 
-HIGH = 128 * 1024  # held by one stream: at this its source pauses
-LEAST_BUDGET = 2 * 1024 * 1024
-OWN_MB = 40  # the program itself, two of it in an upgrade, and what is small
-BUDGET_SHARE = 0.25  # of the rest of the memory
+STREAM_HIGH_WATER_BYTES = 128 * 1024  # a stream that buffers this much pauses its source
+MIN_BUDGET_BYTES = 2 * 1024 * 1024
+RESERVED_MB = 40  # for the program, two processes of it during an upgrade, and bodies that are buffered whole
+BUDGET_SHARE = 0.25  # of the remaining memory
 
 
 class Budget:
-    """All bytes that streams hold in this process."""
+    """Counts the bytes that all streams of this process buffer, and limits them."""
 
     def __init__(self, memory_mb: float) -> None:
-        self.limit = max(LEAST_BUDGET, int((memory_mb - OWN_MB) * BUDGET_SHARE * 1024 * 1024))
+        """Derives the limit from the memory that the process may use."""
+        self.limit_bytes = max(MIN_BUDGET_BYTES, int((memory_mb - RESERVED_MB) * BUDGET_SHARE * 1024 * 1024))
         self.held = 0
 
     @property
-    def tight(self) -> bool:
-        return self.held > self.limit
+    def exceeded(self) -> bool:
+        """Whether the streams buffer more than the limit."""
+        return self.held > self.limit_bytes
 
-    def full_for(self, own: int) -> bool:
-        """May a stream that holds `own` bytes take in no more for now?"""
-        return own >= HIGH or (self.tight and own > 0)
+    def is_full_for(self, stream_bytes: int) -> bool:
+        """Whether a stream that buffers `stream_bytes` bytes has to pause its source."""
+        return stream_bytes >= STREAM_HIGH_WATER_BYTES or (self.exceeded and stream_bytes > 0)
 
 
 class Upload:
-    """The body of a request on its way: a client's connection feeds it, an attempt takes from it."""
+    """A request body that is streamed: the client's connection feeds it, an attempt takes from it."""
 
     def __init__(self, budget: Budget, length: int | None, resume: Callable[[], None]) -> None:
-        self.length = length  # None: not known before its end
-        self.size = 0  # of what has come
-        self.ended = False
-        self.spent = False  # a piece has been passed on: it can't be sent to another host any more
-        self.on_more: Callable[[], None] | None = None  # the attempt that takes from it
-        self.on_spent: Callable[[], None] | None = None  # told once, before the first piece goes out
+        self.length = length  # from Content-Length; None: chunked
+        self.size = 0  # bytes received
+        self.ended = False  # the last byte has been received
+        self.spent = False  # a piece was taken: the body can't be sent to another host any more
+        self.on_data: Callable[[], None] | None = None  # set by the attempt that takes from it
+        self.on_spent: Callable[[], None] | None = None  # called once, before the first piece is sent
         self._budget = budget
         self._resume = resume
         self._pieces: deque[bytes] = deque()
-        self._held = 0
+        self._held_bytes = 0
 
     @property
     def full(self) -> bool:
-        return self._budget.full_for(self._held)
+        """Whether the client's connection has to pause reading."""
+        return self._budget.is_full_for(self._held_bytes)
 
     @property
-    def drained(self) -> bool:
-        """Has all of it been taken?"""
+    def exhausted(self) -> bool:
+        """Whether the whole body has been received and taken."""
         return self.ended and not self._pieces
 
     def feed(self, data: bytes) -> None:
+        """Appends a received piece. `notify` has to be called after it."""
         self._pieces.append(data)
         self.size += len(data)
-        self._hold(len(data))
+        self._adjust_held(len(data))
 
-    def told(self) -> None:
-        """More has come, or the end. Not called from within the parser."""
-        if self.on_more is not None:
-            self.on_more()
+    def notify(self) -> None:
+        """Notifies the attempt of new data or of the end. Not called within the parser's callbacks."""
+        if self.on_data is not None:
+            self.on_data()
 
     def take(self) -> bytes | None:
+        """Returns the next piece, or None if there is none now. Resumes a paused client."""
         if not self._pieces:
             return None
         data = self._pieces.popleft()
@@ -75,32 +80,32 @@
             self.spent = True
             if self.on_spent is not None:
                 self.on_spent()
-        self._hold(-len(data))
+        self._adjust_held(-len(data))
         if not self.ended and not self.full:
             self._resume()
         return data
 
     def drop(self) -> None:
-        """Nobody wants it any more."""
-        self.on_more = None
+        """Discards the buffered pieces; the body is not needed any more."""
+        self.on_data = None
         self._pieces.clear()
-        self._hold(-self._held)
+        self._adjust_held(-self._held_bytes)
 
-    def _hold(self, more: int) -> None:
-        self._held += more
-        self._budget.held += more
+    def _adjust_held(self, delta: int) -> None:
+        self._held_bytes += delta
+        self._budget.held += delta
 
 
 @dataclass(frozen=True, slots=True)
 class StreamHead:
-    """How an answer begins that is passed on while it comes."""
+    """The head of a streamed answer."""
 
-    length: int | None
+    length: int | None  # None: not known before the end
     content_type: bytes
 
 
 class Source(Protocol):
-    """Where a streamed answer comes from."""
+    """The connection from which a streamed answer is read."""
 
     def pause(self) -> None: ...
 
@@ -108,12 +113,12 @@
 
 
 class Sink(Protocol):
-    """Where it goes. After `finish` or `cut` nothing more comes."""
+    """The receiver of a streamed answer. No call follows `finish` or `abort_answer`."""
 
-    def piece(self, data: bytes) -> None: ...
+    def write_piece(self, data: bytes) -> None: ...
 
     def finish(self) -> None: ...
 
-    def cut(self) -> None:
-        """It can't be finished: the client must be able to tell."""
+    def abort_answer(self) -> None:
+        """Ends an incomplete answer in a way that the client can tell from its regular end."""
         ...
--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -1,4 +1,4 @@
-"""Clients that are not as the protocol has them: what they are owed, and that nobody else pays for it."""
+"""Invalid, slow and excessive clients: each gets an error or a close in time, without harm to others."""
 
 from __future__ import annotations
 
@@ -24,19 +24,21 @@
     running,
 )
 
-ID = "X-Request-ID: 1\r\n"
-OWED_S = 3.0  # within which an error or a close is owed
-# With so much time, only what a test does can end a request.
-PATIENT = {"categories": [{**c, "aim_ms": 120_000, "deadline_ms": 120_000} for c in SETTINGS["categories"]]}
+ID_HEADER = "X-Request-ID: 1\r\n"
+MAX_ANSWER_S = 3.0  # upper bound for an error response or a close
+# With deadlines this long, requests end only by what the test does.
+LONG_DEADLINES = {
+    "categories": [{**c, "aim_ms": 120_000, "deadline_ms": 120_000} for c in SETTINGS["categories"]]
+}
 
 
-async def fleet(*responds: Any) -> tuple[Discovery, list[Host]]:
+async def start_fleet(*responds: Any) -> tuple[Discovery, list[Host]]:
     hosts = [await Host(f"h{i}", respond).start() for i, respond in enumerate(responds)]
     return await Discovery().start(), hosts
 
 
-async def end_of(client: Client) -> bytes:
-    """All that comes until the connection's end."""
+async def read_to_end(client: Client) -> bytes:
+    """Returns what is received until the connection ends."""
     async with asyncio.timeout(LONG_S):
         try:
             return await client.reader.read()
@@ -49,82 +51,99 @@
 
 
 CHUNKED = "Transfer-Encoding: chunked\r\n"
-HIDDEN = b"0\r\n\r\n" + post("/unsafe", "X-Request-ID: hidden\r\n")
-BAD: dict[str, tuple[bytes, int]] = {
+SMUGGLED = b"0\r\n\r\n" + post("/unsafe", "X-Request-ID: hidden\r\n")
+BAD_REQUESTS: dict[str, tuple[bytes, int]] = {
     "noise": (b"\x00\xff\x13 nonsense\r\n\r\n", 400),
     "no version": (b"GET /safe\r\n\r\n", 400),
-    "later version": (f"GET /safe HTTP/2.0\r\n{ID}\r\n".encode(), 400),
+    "later version": (f"GET /safe HTTP/2.0\r\n{ID_HEADER}\r\n".encode(), 400),
     "no id": (post("/unsafe", ""), 400),
     "empty id": (post("/unsafe", "X-Request-ID: \r\n"), 400),
     "odd id": (post("/unsafe", "X-Request-ID: a b\r\n"), 400),
-    "two ids": (post("/unsafe", ID + "X-Request-ID: 2\r\n"), 400),
-    "two ids alike": (post("/unsafe", ID + ID), 400),
-    "no path": (post("unsafe", ID), 400),
-    "no class": (post("/", ID), 404),
-    "unknown class": (post("/other", ID), 404),
-    "class in another case": (post("/Unsafe", ID), 404),
-    "wrong method": (f"GET /unsafe HTTP/1.1\r\n{ID}\r\n".encode(), 405),
-    "posted safe": (post("/safe", ID), 405),
-    "body on a safe one": (f"GET /safe HTTP/1.1\r\n{ID}Content-Length: 2\r\n\r\nab".encode(), 400),
-    "keyed without a key": (post("/keyed", ID), 400),
-    "unsafe with a key": (post("/unsafe", ID + "Idempotency-Key: k\r\n"), 400),
-    "two keys": (post("/keyed", ID + "Idempotency-Key: k\r\nIdempotency-Key: l\r\n"), 400),
-    "length below zero": (f"POST /unsafe HTTP/1.1\r\n{ID}Content-Length: -5\r\n\r\n".encode(), 400),
-    "length that is no number": (f"POST /unsafe HTTP/1.1\r\n{ID}Content-Length: ten\r\n\r\n".encode(), 400),
-    "length past all bounds": (f"POST /unsafe HTTP/1.1\r\n{ID}Content-Length: {9**40}\r\n\r\n".encode(), 400),
+    "two ids": (post("/unsafe", ID_HEADER + "X-Request-ID: 2\r\n"), 400),
+    "two ids alike": (post("/unsafe", ID_HEADER + ID_HEADER), 400),
+    "no path": (post("unsafe", ID_HEADER), 400),
+    "no class": (post("/", ID_HEADER), 404),
+    "unknown class": (post("/other", ID_HEADER), 404),
+    "class in another case": (post("/Unsafe", ID_HEADER), 404),
+    "wrong method": (f"GET /unsafe HTTP/1.1\r\n{ID_HEADER}\r\n".encode(), 405),
+    "posted safe": (post("/safe", ID_HEADER), 405),
+    "body on a safe one": (f"GET /safe HTTP/1.1\r\n{ID_HEADER}Content-Length: 2\r\n\r\nab".encode(), 400),
+    "keyed without a key": (post("/keyed", ID_HEADER), 400),
+    "unsafe with a key": (post("/unsafe", ID_HEADER + "Idempotency-Key: k\r\n"), 400),
+    "two keys": (post("/keyed", ID_HEADER + "Idempotency-Key: k\r\nIdempotency-Key: l\r\n"), 400),
+    "length below zero": (f"POST /unsafe HTTP/1.1\r\n{ID_HEADER}Content-Length: -5\r\n\r\n".encode(), 400),
+    "length that is no number": (
+        f"POST /unsafe HTTP/1.1\r\n{ID_HEADER}Content-Length: ten\r\n\r\n".encode(),
+        400,
+    ),
+    "length past all bounds": (
+        f"POST /unsafe HTTP/1.1\r\n{ID_HEADER}Content-Length: {9**40}\r\n\r\n".encode(),
+        400,
+    ),
     "two lengths": (
-        f"POST /unsafe HTTP/1.1\r\n{ID}Content-Length: 1\r\nContent-Length: 2\r\n\r\nab".encode(),
+        f"POST /unsafe HTTP/1.1\r\n{ID_HEADER}Content-Length: 1\r\nContent-Length: 2\r\n\r\nab".encode(),
+        400,
+    ),
+    "length too short": (
+        f"POST /unsafe HTTP/1.1\r\n{ID_HEADER}Content-Length: 2\r\n\r\nabcdef\r\n".encode(),
         400,
     ),
-    "length too short": (f"POST /unsafe HTTP/1.1\r\n{ID}Content-Length: 2\r\n\r\nabcdef\r\n".encode(), 400),
     "length, then chunked": (
-        f"POST /unsafe HTTP/1.1\r\n{ID}Content-Length: {len(HIDDEN)}\r\n{CHUNKED}\r\n".encode() + HIDDEN,
+        f"POST /unsafe HTTP/1.1\r\n{ID_HEADER}Content-Length: {len(SMUGGLED)}\r\n{CHUNKED}\r\n".encode()
+        + SMUGGLED,
         400,
     ),
     "chunked, then length": (
-        f"POST /unsafe HTTP/1.1\r\n{ID}{CHUNKED}Content-Length: {len(HIDDEN)}\r\n\r\n".encode() + HIDDEN,
+        f"POST /unsafe HTTP/1.1\r\n{ID_HEADER}{CHUNKED}Content-Length: {len(SMUGGLED)}\r\n\r\n".encode()
+        + SMUGGLED,
         400,
     ),
-    "other coding": (f"POST /unsafe HTTP/1.1\r\n{ID}Transfer-Encoding: gzip, chunked\r\n\r\n".encode(), 400),
-    "bad chunk": (f"POST /unsafe HTTP/1.1\r\n{ID}{CHUNKED}\r\nxyz\r\n".encode(), 400),
-    "upgrade": (f"GET /safe HTTP/1.1\r\n{ID}Connection: Upgrade\r\nUpgrade: h2c\r\n\r\n".encode(), 400),
-    "large length": (f"POST /unsafe HTTP/1.1\r\n{ID}Content-Length: 99000000\r\n\r\n".encode(), 413),
+    "other coding": (
+        f"POST /unsafe HTTP/1.1\r\n{ID_HEADER}Transfer-Encoding: gzip, chunked\r\n\r\n".encode(),
+        400,
+    ),
+    "bad chunk": (f"POST /unsafe HTTP/1.1\r\n{ID_HEADER}{CHUNKED}\r\nxyz\r\n".encode(), 400),
+    "upgrade": (
+        f"GET /safe HTTP/1.1\r\n{ID_HEADER}Connection: Upgrade\r\nUpgrade: h2c\r\n\r\n".encode(),
+        400,
+    ),
+    "large length": (f"POST /unsafe HTTP/1.1\r\n{ID_HEADER}Content-Length: 99000000\r\n\r\n".encode(), 413),
     "endless header": (b"GET /safe HTTP/1.1\r\nA: " + b"b" * 100_000, 431),
-    "large head": (f"GET /safe HTTP/1.1\r\n{ID}A: ".encode() + b"b" * 20_000 + b"\r\n\r\n", 431),
+    "large head": (f"GET /safe HTTP/1.1\r\n{ID_HEADER}A: ".encode() + b"b" * 20_000 + b"\r\n\r\n", 431),
     "long head": (b"GET /safe HTTP/1.1\r\n" + b"A: b\r\n" * 20_000, 431),
     **{
-        f"deadline {text[:9]!r}": (post("/unsafe", f"{ID}X-Timeout-Ms: {text}\r\n"), 400)
+        f"deadline {text[:9]!r}": (post("/unsafe", f"{ID_HEADER}X-Timeout-Ms: {text}\r\n"), 400)
         for text in ("", "soon", "nan", "inf", "1e999", "-20", "-0", "0x10", "4.5", "1_0", "9" * 400)
     },
-    "two deadlines": (post("/unsafe", ID + "X-Timeout-Ms: 500\r\nX-Timeout-Ms: 900\r\n"), 400),
+    "two deadlines": (post("/unsafe", ID_HEADER + "X-Timeout-Ms: 500\r\nX-Timeout-Ms: 900\r\n"), 400),
 }
 
 
-def test_bad_request_gets_an_error_and_goes_no_further() -> None:
-    async def scene() -> None:
-        discovery, hosts = await fleet(answer_ok)
+def test_bad_request_gets_an_error_and_is_not_forwarded() -> None:
+    async def scenario() -> None:
+        discovery, hosts = await start_fleet(answer_ok)
         async with running(discovery, hosts) as proxy:
-            for name, (data, status) in BAD.items():
+            for name, (data, status) in BAD_REQUESTS.items():
                 begun = time.monotonic()
                 client = await proxy.client()
                 client.writer.write(data)
                 assert (await client.read()).status == status, name
-                assert await end_of(client) == b"", name  # the connection ends with it
-                assert time.monotonic() - begun < OWED_S, name
+                assert await read_to_end(client) == b"", name  # the connection ends with it
+                assert time.monotonic() - begun < MAX_ANSWER_S, name
                 client.writer.close()
             assert not hosts[0].seen
             assert (await (await proxy.client()).ask("/unsafe")).status == 200
 
-    asyncio.run(scene())
+    asyncio.run(scenario())
 
 
 def test_bad_request_byte_by_byte() -> None:
-    async def scene() -> None:
-        discovery, hosts = await fleet(answer_ok)
+    async def scenario() -> None:
+        discovery, hosts = await start_fleet(answer_ok)
         async with running(discovery, hosts) as proxy:
             for name in ("two ids", "length, then chunked", "chunked, then length", "unknown class"):
                 client = await proxy.client()
-                data, status = BAD[name]
+                data, status = BAD_REQUESTS[name]
                 for i in range(len(data)):
                     client.writer.write(data[i : i + 1])
                     await asyncio.sleep(0)
@@ -132,13 +151,13 @@
                 client.writer.close()
             assert not hosts[0].seen
 
-    asyncio.run(scene())
+    asyncio.run(scenario())
 
 
-def test_id_of_an_open_request_is_turned_away() -> None:
-    async def scene() -> None:
-        discovery, hosts = await fleet(never)
-        async with running(discovery, hosts, settings=PATIENT) as proxy:
+def test_id_of_an_open_request_is_rejected() -> None:
+    async def scenario() -> None:
+        discovery, hosts = await start_fleet(never)
+        async with running(discovery, hosts, settings=LONG_DEADLINES) as proxy:
             first = await proxy.client()
             data = post("/unsafe", "X-Request-ID: same\r\n")
             first.writer.write(data)
@@ -151,17 +170,17 @@
             hosts[0].open[1].write(ok(b"for the first"))
             assert (await first.read()).body == b"for the first"
             assert len(hosts[0].seen) == 1
-            again = await proxy.client()  # its end frees the id: a client may have to send again
+            again = await proxy.client()  # the id is free after the answer: a client may have to retry
             again.writer.write(data)
             assert (await again.read()).status == 200
 
-    asyncio.run(scene())
+    asyncio.run(scenario())
 
 
-def test_id_of_a_request_that_waits_is_turned_away() -> None:
-    async def scene() -> None:
-        discovery, hosts = await fleet(never)
-        async with running(discovery, hosts, settings=PATIENT) as proxy:
+def test_id_of_a_waiting_request_is_rejected() -> None:
+    async def scenario() -> None:
+        discovery, hosts = await start_fleet(never)
+        async with running(discovery, hosts, settings=LONG_DEADLINES) as proxy:
             client = await proxy.client()
             client.writer.write(
                 post("/unsafe", "X-Request-ID: one\r\n") + post("/unsafe", "X-Request-ID: two\r\n")
@@ -171,76 +190,76 @@
             other.writer.write(post("/unsafe", "X-Request-ID: two\r\n"))
             assert (await other.read()).status == 409
 
-    asyncio.run(scene())
+    asyncio.run(scenario())
 
 
 def test_error_behind_an_open_call_does_not_wait_for_it() -> None:
-    async def scene() -> None:
-        discovery, hosts = await fleet(never)
-        async with running(discovery, hosts, settings=PATIENT) as proxy:
+    async def scenario() -> None:
+        discovery, hosts = await start_fleet(never)
+        async with running(discovery, hosts, settings=LONG_DEADLINES) as proxy:
             client = await proxy.client()
             client.send("/unsafe")
             await hosts[0].wait(lambda: len(hosts[0].seen) == 1)
             begun = time.monotonic()
             client.writer.write(b"\x00 noise\r\n\r\n")
             assert (await client.read()).status == 400
-            assert time.monotonic() - begun < OWED_S
-            await hosts[0].wait(lambda: not hosts[0].open)  # the call was withdrawn
+            assert time.monotonic() - begun < MAX_ANSWER_S
+            await hosts[0].wait(lambda: not hosts[0].open)  # the call was cancelled
 
-    asyncio.run(scene())
+    asyncio.run(scenario())
 
 
 def test_hundreds_of_requests_at_once_are_not_queued() -> None:
-    async def scene() -> None:
-        discovery, hosts = await fleet(answer_ok)
+    async def scenario() -> None:
+        discovery, hosts = await start_fleet(answer_ok)
         async with running(discovery, hosts) as proxy:
             client = await proxy.client()
             client.writer.write(b"".join(post("/unsafe", f"X-Request-ID: {i}\r\n") for i in range(300)))
             assert (await client.read()).status == 429
-            assert await end_of(client) == b""
+            assert await read_to_end(client) == b""
             large = await proxy.client()
             large.writer.write(
                 b"".join(post("/unsafe", f"X-Request-ID: {i}\r\n", b"x" * 60_000) for i in range(9))
             )
-            *_, last = (await end_of(large)).split(b"HTTP/1.1 ")
+            *_, last = (await read_to_end(large)).split(b"HTTP/1.1 ")
             assert last.startswith(b"429")
 
-    asyncio.run(scene())
+    asyncio.run(scenario())
 
 
-def test_waiting_call_has_its_time_from_its_last_byte() -> None:
+def test_timeout_of_a_waiting_call_starts_with_its_last_byte() -> None:
     async def slow(seen: Seen, writer: Any) -> None:
         await asyncio.sleep(0.5)
         writer.write(ok())
 
-    async def scene() -> None:
-        discovery, hosts = await fleet(slow)
+    async def scenario() -> None:
+        discovery, hosts = await start_fleet(slow)
         async with running(discovery, hosts) as proxy:
             client = await proxy.client()
             client.send("/unsafe", timeout_ms=2000)
             client.send("/unsafe", timeout_ms=400)
             assert (await client.read()).status == 200
-            assert (await client.read()).status == 503  # over before its turn came
+            assert (await client.read()).status == 503  # timed out before it was dispatched
             assert len(hosts[0].seen) == 1
 
-    asyncio.run(scene())
+    asyncio.run(scenario())
 
 
-# Time
+# Timeouts
 
 
 def test_half_a_request_and_a_silent_connection_end_in_time() -> None:
-    async def scene() -> None:
-        discovery, hosts = await fleet(answer_ok)
+    async def scenario() -> None:
+        discovery, hosts = await start_fleet(answer_ok)
         async with running(discovery, hosts) as proxy:
             begun = time.monotonic()
-            halves = [b"POST /unsafe HT", post("/unsafe", ID, b"0123456789")[:-3]]
+            halves = [b"POST /unsafe HT", post("/unsafe", ID_HEADER, b"0123456789")[:-3]]
             clients = [await proxy.client() for _ in range(4)]
             for client, data in zip(clients, halves, strict=False):
                 client.writer.write(data)
             dribbling = clients[2]
             dribbling.writer.write(b"GET /safe HTTP/1.1\r\n")
-            ends = asyncio.gather(*(end_of(client) for client in clients))
+            ends = asyncio.gather(*(read_to_end(client) for client in clients))
             while not ends.done():
                 try:
                     dribbling.writer.write(b"A: b\r\n")
@@ -248,17 +267,17 @@
                     break
                 await asyncio.sleep(0.1)
             got = await ends
-            assert time.monotonic() - begun < OWED_S
+            assert time.monotonic() - begun < MAX_ANSWER_S
             assert [answer.split(b"\r\n")[0] for answer in got] == [b"HTTP/1.1 408 Request Timeout"] * 3 + [
                 b""
             ]
 
-    asyncio.run(scene())
+    asyncio.run(scenario())
 
 
-def test_usual_connection_outlives_a_pause() -> None:
-    async def scene() -> None:
-        discovery, hosts = await fleet(answer_ok)
+def test_connection_outlives_a_pause_between_requests() -> None:
+    async def scenario() -> None:
+        discovery, hosts = await start_fleet(answer_ok)
         async with running(discovery, hosts) as proxy:
             client = await proxy.client()
             for _ in range(2):
@@ -266,16 +285,18 @@
                 await asyncio.sleep(3.0)
             assert (await client.ask("/unsafe")).status == 200
 
-    asyncio.run(scene())
+    asyncio.run(scenario())
 
 
-def test_sixty_megabytes_are_swallowed_and_the_error_stays_readable() -> None:
-    async def scene() -> None:
-        discovery, hosts = await fleet(answer_ok)
+def test_sixty_megabytes_are_discarded_and_the_error_stays_readable() -> None:
+    async def scenario() -> None:
+        discovery, hosts = await start_fleet(answer_ok)
         async with running(discovery, hosts) as proxy:
             begun = time.monotonic()
             client = await proxy.client()
-            client.writer.write(f"POST /unsafe HTTP/1.1\r\n{ID}Content-Length: 60000000\r\n\r\n".encode())
+            client.writer.write(
+                f"POST /unsafe HTTP/1.1\r\n{ID_HEADER}Content-Length: 60000000\r\n\r\n".encode()
+            )
             answer = asyncio.create_task(client.read())
             for _ in range(60):
                 client.writer.write(b"x" * 1_000_000)
@@ -284,7 +305,7 @@
             assert time.monotonic() - begun < 6
             assert resident_mb(proxy) < 60
 
-    asyncio.run(scene())
+    asyncio.run(scenario())
 
 
 def resident_mb(proxy: Proxy) -> float:
@@ -292,19 +313,19 @@
         return int(file.read().split()[1]) * 4096 / 1e6
 
 
-def test_answers_that_nobody_reads_are_bounded_and_end() -> None:
+def test_answers_that_are_not_read_are_bounded_and_the_connection_ends() -> None:
     async def big(seen: Seen, writer: Any) -> None:
         writer.write(ok(b"y" * 60_000))
 
-    async def scene() -> None:
-        discovery, hosts = await fleet(big)
+    async def scenario() -> None:
+        discovery, hosts = await start_fleet(big)
         async with running(discovery, hosts) as proxy:
             client = await proxy.client()
             client.writer.transport.pause_reading()  # type: ignore[attr-defined]
             for i in range(1000):
                 client.writer.write(post("/unsafe", f"X-Request-ID: {i}\r\n"))
                 await client.writer.drain()
-                if i % 8 == 7:  # no more at once than may wait
+                if i % 8 == 7:  # not more at once than may be pipelined
                     await asyncio.sleep(0.01)
                 if client.writer.transport.is_closing():
                     break
@@ -312,11 +333,11 @@
                 while await descriptors_of_clients(proxy):
                     await asyncio.sleep(0.1)
 
-    asyncio.run(scene())
+    asyncio.run(scenario())
 
 
 async def descriptors_of_clients(proxy: Proxy) -> int:
-    """Connections that the program holds on its listening port."""
+    """Returns the number of established connections to the program's listening port."""
     host, port = proxy.address.split(":")
     at = "".join(f"{int(part):02X}" for part in reversed(host.split("."))) + f":{int(port):04X}"
     with open("/proc/net/tcp") as file:
@@ -327,40 +348,40 @@
 # Descriptors
 
 
-def test_silent_connections_give_way() -> None:
+def test_silent_connections_are_evicted() -> None:
     """The limit is 256 descriptors: more connections than that must not keep a client out."""
 
-    async def scene() -> None:
-        discovery, hosts = await fleet(answer_ok)
+    async def scenario() -> None:
+        discovery, hosts = await start_fleet(answer_ok)
         async with running(discovery, hosts) as proxy:
-            asked = await proxy.client()
-            assert (await asked.ask("/unsafe")).status == 200
+            active = await proxy.client()
+            assert (await active.ask("/unsafe")).status == 200
             silent = [await proxy.client() for _ in range(400)]
             client = await proxy.client()
             assert (await client.ask("/unsafe")).status == 200
             assert await descriptors_of_clients(proxy) <= 128
-            # The oldest silent ones went, not those that have asked.
-            assert (await asked.ask("/unsafe")).status == 200
-            assert await end_of(silent[0]) == b""
+            # The oldest silent ones were evicted, not those that have sent a request.
+            assert (await active.ask("/unsafe")).status == 200
+            assert await read_to_end(silent[0]) == b""
             for one in silent:
                 one.writer.close()
 
-    asyncio.run(scene())
+    asyncio.run(scenario())
 
 
-class Patient:
+class UnansweringHandler:
     """A handler that never answers."""
 
     def __init__(self) -> None:
         self.calls: list[Call] = []
 
-    def arrived(self, call: Call) -> None:
+    def call_arrived(self, call: Call) -> None:
         self.calls.append(call)
 
-    def completed(self, call: Call) -> None:
-        """Nothing is made of it."""
+    def call_completed(self, call: Call) -> None:
+        """Ignored."""
 
-    def gone(self, call: Call) -> None:
+    def client_disconnected(self, call: Call) -> None:
         self.calls.remove(call)
 
     def is_open(self, request_id: bytes) -> bool:
@@ -370,9 +391,9 @@
         return True
 
 
-def test_an_answer_to_a_call_that_is_over_does_not_reach_the_next_one() -> None:
-    async def scene() -> None:
-        handler = Patient()
+def test_answer_to_a_finished_call_does_not_reach_the_next_one() -> None:
+    async def scenario() -> None:
+        handler = UnansweringHandler()
         frontend = Frontend(handler, {"unsafe": Idempotency.UNSAFE}, 10)
         client = Client(*await asyncio.open_connection(*await frontend.listen(("127.0.0.1", 0))))
         for number in range(2):
@@ -388,12 +409,12 @@
         assert (await client.read()).body == b"second"
         frontend.close()
 
-    asyncio.run(scene())
+    asyncio.run(scenario())
 
 
 def test_connections_beyond_the_limit_end_at_once() -> None:
-    async def scene() -> None:
-        handler = Patient()
+    async def scenario() -> None:
+        handler = UnansweringHandler()
         frontend = Frontend(handler, {"unsafe": Idempotency.UNSAFE}, 10)
         address = await frontend.listen(("127.0.0.1", 0))
         clients: list[Client] = []
@@ -404,21 +425,21 @@
                 while len(handler.calls) <= i:
                     await asyncio.sleep(0)
         begun = time.monotonic()
-        for _ in range(20):  # all are busy: none of them is to make room
-            told = await end_of(Client(*await asyncio.open_connection(*address)))
-            assert told == (
+        for _ in range(20):  # all are busy: none may be evicted
+            received = await read_to_end(Client(*await asyncio.open_connection(*address)))
+            assert received == (
                 b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\nConnection: close\r\n\r\n"
             )
-        assert time.monotonic() - begun < OWED_S
+        assert time.monotonic() - begun < MAX_ANSWER_S
         assert len(handler.calls) == 10
         frontend.close()
 
-    asyncio.run(scene())
+    asyncio.run(scenario())
 
 
-def test_connections_that_asked_once_and_stay_are_freed_at_once() -> None:
-    async def scene() -> None:
-        discovery, hosts = await fleet(answer_ok)
+def test_idle_connections_of_single_requests_are_closed_with_their_answers() -> None:
+    async def scenario() -> None:
+        discovery, hosts = await start_fleet(answer_ok)
         async with running(discovery, hosts) as proxy:
             stay, ended = [], 0
             for _ in range(60):
@@ -426,13 +447,13 @@
                 got = await client.ask("/unsafe")
                 assert got.status == 200
                 if got.headers.get("connection") == "close":
-                    assert await end_of(client) == b""
+                    assert await read_to_end(client) == b""
                     ended += 1
                 stay.append(client)
             assert ended > 30
             assert await descriptors_of_clients(proxy) < 30
 
-    asyncio.run(scene())
+    asyncio.run(scenario())
 
 
 def test_sigterm_answers_what_waits_on_a_connection() -> None:
@@ -440,8 +461,8 @@
         await asyncio.sleep(0.3)
         writer.write(ok(seen.message.body))
 
-    async def scene() -> None:
-        discovery, hosts = await fleet(slow)
+    async def scenario() -> None:
+        discovery, hosts = await start_fleet(slow)
         async with running(discovery, hosts) as proxy:
             client = await proxy.client()
             for i in range(3):
@@ -449,7 +470,7 @@
             await hosts[0].wait(lambda: len(hosts[0].seen) == 1)
             proxy.process.send_signal(signal.SIGTERM)
             assert [(await client.read()).body for _ in range(3)] == [b"0", b"1", b"2"]
-            assert await end_of(client) == b""
+            assert await read_to_end(client) == b""
             assert await proxy.ended() == 0
 
-    asyncio.run(scene())
+    asyncio.run(scenario())
--- a/tests/test_closing.py
+++ b/tests/test_closing.py
@@ -1,7 +1,7 @@
-"""Connections that close at the wrong instant: over bytes that nobody has read, over an answer whose last
-piece is still in the system, before anything could be written.
+"""Connections that close at a critical moment: with unread input, with the end of an answer still in the
+kernel, or before anything was written.
 
-As in `test_endings.py`, each crossing is forced: by a socket option, or by a step of the loop that is held.
+As in `test_endings.py`, each race is forced: by a socket option, or by delaying a step of the loop.
 """
 
 from __future__ import annotations
@@ -32,32 +32,32 @@
 from cloverrouter.proxy.config import Address
 from cloverrouter.proxy.frontend import bind
 from cloverrouter.proxy.messages import Answer
-from cloverrouter.proxy.node import Node, Out
+from cloverrouter.proxy.node import ActiveAttempt, Node
 from cloverrouter.proxy.program import Program
 from cloverrouter.proxy.upstream import SETTLE_S, Connection
 from tests import sockets
 from tests.sockets import LONG_S, SETTINGS, Discovery, Host, ok, raw, running
-from tests.test_clients import PATIENT
-from tests.test_endings import Parts, at, parts
+from tests.test_clients import LONG_DEADLINES
+from tests.test_endings import Parts, address_of, parts
 from tests.test_upstream import until
 
 Respond = Callable[[sockets.Seen, asyncio.StreamWriter], Awaitable[None]]
 
 
-async def plain_client(it: Parts, request: bytes) -> socket.socket:
-    """A client that asks, and reads nothing by itself."""
+async def plain_client(app: Parts, request: bytes) -> socket.socket:
+    """Returns the socket of a client that has sent `request` and reads only when the test does."""
     loop = asyncio.get_running_loop()
     sock = socket.socket()
     sock.setblocking(False)
-    await loop.sock_connect(sock, it.address)
-    # Danger of a real one: it acknowledges late what it has not answered to.
+    await loop.sock_connect(sock, app.address)
+    # Delayed acknowledgements, as real clients use them.
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_QUICKACK, 0)
     await loop.sock_sendall(sock, request)
     return sock
 
 
-async def all_of(sock: socket.socket) -> tuple[bytes, bool]:
-    """What comes until the connection's end, and whether that was an orderly one."""
+async def read_to_end(sock: socket.socket) -> tuple[bytes, bool]:
+    """Returns what is received until the connection ends, and whether the end was orderly (no reset)."""
     got = b""
     async with asyncio.timeout(LONG_S):
         while True:
@@ -70,7 +70,7 @@
             got += data
 
 
-def in_two(head: bytes, half: bytes, rest: bytes, go: asyncio.Event) -> Respond:
+def in_two_parts(head: bytes, half: bytes, rest: bytes, go: asyncio.Event) -> Respond:
     async def respond(seen: sockets.Seen, writer: asyncio.StreamWriter) -> None:
         writer.write(head + half)
         await go.wait()
@@ -86,56 +86,59 @@
 CHUNKED = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 
 
-def test_last_piece_of_an_answer_outlives_a_close_over_unread_bytes() -> None:
-    """The end of the connection is a reset then, which takes along what the system has held back."""
+def test_last_piece_of_an_answer_is_not_lost_by_a_close_over_unread_bytes() -> None:
+    """Such a close is a reset, which discards what the kernel has not sent yet (Nagle's algorithm)."""
 
-    async def scene() -> None:
+    async def scenario() -> None:
         go = asyncio.Event()
-        async with parts() as it:
-            host = await Host("h", in_two(CHUNKED, b"4\r\nhalf\r\n", b"4\r\nrest\r\n0\r\n\r\n", go)).start()
-            it.told_of(h=at(host))
-            sock = await plain_client(it, ask("Connection: close\r\n"))
-            await until(lambda: any(c._source is not None for c in it.connections()))  # the half is passed on
-            (connection,) = it.connections()
+        async with parts() as app:
+            host = await Host(
+                "h", in_two_parts(CHUNKED, b"4\r\nhalf\r\n", b"4\r\nrest\r\n0\r\n\r\n", go)
+            ).start()
+            app.set_hosts(h=address_of(host))
+            sock = await plain_client(app, ask("Connection: close\r\n"))
+            # The first half is forwarded.
+            await until(lambda: any(c._source is not None for c in app.connections()))
+            (connection,) = app.connections()
             assert connection._transport is not None
-            connection._transport.pause_reading()  # as in a process that stands still
+            connection._transport.pause_reading()  # as in a stalled process
             sock.send(b"more than was to come")
             await until(lambda: connection.unread)
             go.set()
-            await until(lambda: not it.connections())
-            got, orderly = await all_of(sock)
+            await until(lambda: not app.connections())
+            got, orderly = await read_to_end(sock)
             assert got.endswith(b"4\r\nhalf\r\n4\r\nrest\r\n0\r\n\r\n")
-            assert not orderly  # the crossing did take place
+            assert not orderly  # the race did take place
             sock.close()
 
-    asyncio.run(scene())
+    asyncio.run(scenario())
 
 
-def test_small_writes_to_clients_are_not_held_back() -> None:
-    async def scene() -> None:
-        async with parts() as it:
-            await it.client()
-            await until(it.connections)
-            (connection,) = it.connections()
+def test_small_writes_to_clients_are_not_delayed() -> None:
+    async def scenario() -> None:
+        async with parts() as app:
+            await app.client()
+            await until(app.connections)
+            (connection,) = app.connections()
             assert connection._sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY)
 
-    asyncio.run(scene())
+    asyncio.run(scenario())
 
 
-# A connection to a server that is over before anything went out on it
+# A connection to a server that ends before anything was sent on it
 
 
 @pytest.mark.parametrize("first", [b"", b"HTTP/1.1 200 O"], ids=["closes", "half a line"])
-def test_connection_that_is_closed_or_spoken_on_at_once_gets_no_request(
+def test_connection_that_closes_or_sends_at_once_gets_no_request(
     first: bytes, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """What has never gone out may be tried again, by us and by its client, whatever its class."""
+    """A request that was never sent may be retried by the proxy and by its client, whatever its class."""
 
-    async def scene() -> None:
+    async def scenario() -> None:
         loop = asyncio.get_running_loop()
         real, got = loop.create_connection, []
 
-        async def rude(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        async def close_at_once(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             writer.write(first)
             if first:
                 got.append(await reader.read())
@@ -143,24 +146,24 @@
 
         async def held(*how: Any, **more: Any) -> Any:
             if "sock" in more:  # the upstream's own
-                await until(lambda: heard(more["sock"]))
+                await until(lambda: has_input(more["sock"]))
             return await real(*how, **more)
 
-        server = await asyncio.start_server(rude, "127.0.0.1", 0)
-        async with parts() as it:
-            it.told_of(rude=server.sockets[0].getsockname())
-            client = await it.client()
+        server = await asyncio.start_server(close_at_once, "127.0.0.1", 0)
+        async with parts() as app:
+            app.set_hosts(rude=server.sockets[0].getsockname())
+            client = await app.client()
             monkeypatch.setattr(loop, "create_connection", held)
             client.send("/unsafe", timeout_ms=30_000)
-            assert (await client.read()).status == 503  # refused: it has surely not run
-            await until(lambda: not it.upstream.open)
+            assert (await client.read()).status == 503  # refused: it has certainly not run
+            await until(lambda: not app.upstream.open)
             assert not any(got)
         server.close()
 
-    asyncio.run(scene())
+    asyncio.run(scenario())
 
 
-def heard(sock: socket.socket) -> bool:
+def has_input(sock: socket.socket) -> bool:
     with contextlib.suppress(BlockingIOError):
         sock.recv(1, socket.MSG_PEEK)
         return True
@@ -168,201 +171,203 @@
 
 
 @pytest.mark.parametrize(("target", "status", "sent"), [("/keyed", 200, 2), ("/unsafe", 502, 1)])
-def test_server_that_closes_a_resting_connection_as_a_request_is_written_may_have_run_it(
+def test_server_that_closes_an_idle_connection_as_a_request_is_written_may_have_run_it(
     target: str, status: int, sent: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The close comes between the look at the connection and the write: nothing can tell it apart from a
-    server that dies at work, so only what may be repeated is."""
+    """The close comes between the check of the connection and the write. It can't be distinguished from a
+    server that dies while it executes the request, so only idempotent requests are retried."""
 
-    async def scene() -> None:
+    async def scenario() -> None:
         ends: list[Outcome] = []
-        async with parts() as it:
+        async with parts() as app:
             host = await Host("h").start()
-            it.told_of(h=at(host))
-            client = await it.client()
+            app.set_hosts(h=address_of(host))
+            client = await app.client()
             assert (await client.ask(target)).status == 200
-            (connection,) = it.upstream.connections
-            await until(lambda: it.upstream.loop.time() > connection.idle_since + SETTLE_S)
-            looked, told = Connection.clean, Node.ended
+            (connection,) = app.upstream.connections
+            await until(lambda: app.upstream.loop.time() > connection.idle_since + SETTLE_S)
+            real_clean, real_ended = Connection.clean, Node.attempt_ended
 
             def clean(self: Connection) -> bool:
-                found = looked(self)
+                found = real_clean(self)
                 for writer in host.open.values():
                     own = socket.socket(fileno=socket.dup(writer.get_extra_info("socket").fileno()))
                     own.shutdown(socket.SHUT_RDWR)
                     own.close()
-                monkeypatch.setattr(Connection, "clean", looked)
+                monkeypatch.setattr(Connection, "clean", real_clean)
                 return found
 
-            def ended(self: Node, out: Out, outcome: Outcome, answer: Answer | None) -> None:
+            def ended(self: Node, out: ActiveAttempt, outcome: Outcome, answer: Answer | None) -> None:
                 ends.append(outcome)
-                told(self, out, outcome, answer)
+                real_ended(self, out, outcome, answer)
 
             monkeypatch.setattr(Connection, "clean", clean)
-            monkeypatch.setattr(Node, "ended", ended)
+            monkeypatch.setattr(Node, "attempt_ended", ended)
             assert (await client.ask(target, timeout_ms=30_000)).status == status
             assert ends[0] is Outcome.RESET and len(ends) == sent
-            assert len(host.seen) == sent  # the first request, and a repeat where one may be
+            assert len(host.seen) == sent  # the first request, and the retry if allowed
 
-    asyncio.run(scene())
+    asyncio.run(scenario())
 
 
-# A connection that is one too many
+# Connections over the limit
 
 
-def test_who_can_not_be_taken_in_is_told_so() -> None:
-    """All connections are busy: nothing can make room for its request, which waits in the queue already."""
+def test_connection_over_the_limit_gets_503() -> None:
+    """All connections are busy, so none can be evicted; the client's request waits in the queue already."""
 
-    async def scene() -> None:
-        async with parts(most_open=1) as it:
+    async def scenario() -> None:
+        async with parts(max_open=1) as app:
             host = await Host("h", sockets.never).start()
-            it.told_of(h=at(host))
-            first = await it.client()
+            app.set_hosts(h=address_of(host))
+            first = await app.client()
             first.send("/unsafe", timeout_ms=30_000)
             await host.wait(lambda: len(host.seen) == 1)
-            it.front.accept_no_more()
-            second = await plain_client(it, ask())
-            it.front._accept(it.front.listener)
-            got, orderly = await all_of(second)
+            app.front.accept_no_more()
+            second = await plain_client(app, ask())
+            app.front._accept(app.front.listener)
+            got, orderly = await read_to_end(second)
             assert got.startswith(b"HTTP/1.1 503 ") and orderly
-            assert it.front.open == 1 and len(host.seen) == 1
+            assert app.front.open == 1 and len(host.seen) == 1
             second.close()
 
-    asyncio.run(scene())
+    asyncio.run(scenario())
 
 
-# An answer that can't be finished
+# An answer that can't be completed
 
 
 @pytest.mark.parametrize("version", ["1.0", "1.1"])
-def test_answer_that_is_cut_can_be_told_from_a_whole_one(version: str) -> None:
-    """To a client of HTTP/1.0 the connection's end is the answer's: it must not be an orderly one."""
+def test_truncated_answer_differs_from_a_complete_one(version: str) -> None:
+    """For HTTP/1.0 clients the answer ends with the connection, so that end must not be orderly."""
 
-    async def scene() -> None:
+    async def scenario() -> None:
         go = asyncio.Event()
-        async with parts() as it:
-            host = await Host("h", in_two(CHUNKED, b"4\r\nhalf\r\n", b"no chunk at all\r\n", go)).start()
-            it.told_of(h=at(host))
-            sock = await plain_client(it, ask(version=version))
-            await until(lambda: any(c._source is not None for c in it.connections()))
+        async with parts() as app:
+            host = await Host(
+                "h", in_two_parts(CHUNKED, b"4\r\nhalf\r\n", b"no chunk at all\r\n", go)
+            ).start()
+            app.set_hosts(h=address_of(host))
+            sock = await plain_client(app, ask(version=version))
+            await until(lambda: any(c._source is not None for c in app.connections()))
             go.set()
-            got, orderly = await all_of(sock)
+            got, orderly = await read_to_end(sock)
             assert b"half" in got and not got.endswith(b"0\r\n\r\n")
             assert not orderly or b"chunked" in got
             sock.close()
 
-    asyncio.run(scene())
+    asyncio.run(scenario())
 
 
 # The end of the process
 
 
-def test_rest_of_an_answer_that_is_read_slowly_is_not_cut_off_by_the_end_of_the_process(
+def test_rest_of_a_slowly_read_answer_is_not_truncated_by_the_end_of_the_process(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """What ends by itself loses what it had; what a kill finds under way is not held against it."""
+    """A process that exits by itself must have sent its answers; only a kill may truncate them."""
     body = bytes(200_000)
 
     def narrow(address: Address) -> socket.socket:
         listener = bind(address)
-        listener.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)  # little of it is in the system
+        listener.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)  # keeps the kernel's buffer small
         return listener
 
     monkeypatch.setattr(frontend_module, "bind", narrow)
 
-    async def scene() -> None:
+    async def scenario() -> None:
         loop, discovery, host = asyncio.get_running_loop(), Discovery(), Host("h", raw(ok(body)))
         await host.start()
         discovery.entries["h"] = host.entry()
         await discovery.start()
-        async with program(tmp_path, discovery) as (it, ended):
+        async with program(tmp_path, discovery) as (app, ended):
             sock = socket.socket()
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
             sock.setblocking(False)
-            await loop.sock_connect(sock, it._told.listen)
+            await loop.sock_connect(sock, app._told.listen)
             await loop.sock_sendall(sock, ask("Connection: close\r\n"))
             got = 0
-            while not got or it._node.owed:
+            while not got or app._node.owed:
                 got += len(await loop.sock_recv(sock, 4096))
-            # All of it has come from the host; not all of it has gone out.
-            assert [c.sending for c in it._frontend._connections] == [True]
-            it.stop()
-            # Nobody reads, for longer than last bytes were waited for before.
+            # The answer has arrived from the host completely, but is not sent completely.
+            assert [c.sending for c in app._frontend._connections] == [True]
+            app.stop()
+            # The client pauses for longer than a shutdown waits for new connections and incomplete requests.
             await asyncio.sleep(NEW_CONNECTIONS_S + 2 * INCOMPLETE_REQUEST_S + 0.5)
             assert not ended.done()
-            rest, orderly = await all_of(sock)
+            rest, orderly = await read_to_end(sock)
             assert orderly and len(body) < got + len(rest) < len(body) + 1000
             async with asyncio.timeout(LONG_S):
                 assert await ended == 0
             sock.close()
 
-    asyncio.run(scene())
+    asyncio.run(scenario())
 
 
 @asynccontextmanager
 async def program(folder: Path, discovery: Discovery) -> AsyncIterator[tuple[Program, asyncio.Task[int]]]:
-    """The whole program in this loop, serving."""
+    """Runs the whole program in this loop; yields it, and the task of its exit code."""
     listen = f"127.{random.randrange(1, 255)}.{random.randrange(1, 255)}.7:3000"
-    told = {"listen": listen, "discovery": f"127.0.0.1:{discovery.port}", "settings": {**SETTINGS, **PATIENT},
-            "known": discovery.listing()}  # fmt: skip
+    told = {"listen": listen, "discovery": f"127.0.0.1:{discovery.port}",
+            "settings": {**SETTINGS, **LONG_DEADLINES}, "known": discovery.listing()}  # fmt: skip
     path = folder / "config.json"
     path.write_text(json.dumps(told))
-    made = Program(config.load({"PROXY_CONFIG": str(path)}), None)
-    ended = asyncio.create_task(made.run())
-    await until(lambda: made._frontend._listener)
-    yield made, ended
+    created = Program(config.load({"PROXY_CONFIG": str(path)}), None)
+    ended = asyncio.create_task(created.run())
+    await until(lambda: created._frontend._listener)
+    yield created, ended
     ended.cancel()
 
 
-def test_who_connects_as_the_process_gives_up_on_half_a_request_is_taken_in(
+def test_queued_connection_is_served_when_the_shutdown_gives_up_an_incomplete_request(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """A client that never ends its request keeps a connection open up to the end; the end comes without it,
-    but not in a look at which somebody else waits in the listener's queue."""
-    came: list[socket.socket] = []
+    """A client that never completes its request does not keep the process from ending. But the process must
+    not end while another connection waits in the listener's queue."""
+    late_clients: list[socket.socket] = []
     real = Shutdown.next_actions
 
     def next_actions(self: Shutdown, now_s: float, seen: Observation) -> list[ShutdownAction]:
-        do = real(self, now_s, seen)
-        if not came and (self.over or ShutdownAction.ACCEPT_WAITING in do):
-            came.append(socket.create_connection(made[0]._told.listen))
-            came[0].sendall(ask())
-        return do
+        actions = real(self, now_s, seen)
+        if not late_clients and (self.over or ShutdownAction.ACCEPT_WAITING in actions):
+            late_clients.append(socket.create_connection(programs[0]._told.listen))
+            late_clients[0].sendall(ask())
+        return actions
 
-    made: list[Program] = []
+    programs: list[Program] = []
     monkeypatch.setattr(Shutdown, "next_actions", next_actions)
 
-    async def scene() -> None:
+    async def scenario() -> None:
         discovery, host = Discovery(), await Host("h").start()
         discovery.entries["h"] = host.entry()
         await discovery.start()
-        async with program(tmp_path, discovery) as (it, ended):
-            made.append(it)
-            half = socket.create_connection(it._told.listen)
+        async with program(tmp_path, discovery) as (app, ended):
+            programs.append(app)
+            half = socket.create_connection(app._told.listen)
             half.sendall(b"POST /unsafe HTTP/1.1\r\nX-Request-ID: h\r\nContent-Length: 9\r\n\r\nhalf")
-            await until(lambda: [c.half_sent for c in it._frontend._connections] == [True])
-            it.stop()
-            await until(lambda: came)
-            came[0].setblocking(False)
-            got, _ = await all_of(came[0])
+            await until(lambda: [c.request_incomplete for c in app._frontend._connections] == [True])
+            app.stop()
+            await until(lambda: late_clients)
+            late_clients[0].setblocking(False)
+            got, _ = await read_to_end(late_clients[0])
             assert got.startswith(b"HTTP/1.1 200 ")
             async with asyncio.timeout(LONG_S):
                 assert await ended == 0
             half.close()
-            came[0].close()
+            late_clients[0].close()
 
-    asyncio.run(scene())
+    asyncio.run(scenario())
 
 
-# A process that stands still
+# A process that stalls
 
 
-def test_what_was_told_while_the_process_stood_still_counts_before_what_is_sent() -> None:
-    """Requests and the news of a drain lie there, the requests first, when it goes on after the grace."""
+def test_drain_announced_during_a_stall_is_applied_before_requests_are_sent() -> None:
+    """After a stall beyond the grace period, requests and an announced drain are pending, in this order."""
 
-    async def scene() -> None:
+    async def scenario() -> None:
         discovery, hosts = await Discovery().start(), [await Host(name).start() for name in ("a", "b")]
-        async with running(discovery, hosts, settings=PATIENT) as proxy:
+        async with running(discovery, hosts, settings=LONG_DEADLINES) as proxy:
             clients = [await proxy.client() for _ in range(12)]
             for client in clients:
                 assert (await client.ask("/keyed")).status == 200
@@ -374,22 +379,22 @@
                 client.send("/keyed", timeout_ms=30_000)
                 await client.writer.drain()
             await discovery.change(hosts[0].entry("leaving"))
-            await asyncio.sleep(0.6)  # longer than the grace
+            await asyncio.sleep(0.6)  # longer than the grace period
             proxy.process.send_signal(signal.SIGCONT)
             for client in clients:
                 assert (await client.read()).status == 200
             await discovery.asked(calls + 1)
             assert len(hosts[0].seen) == before
 
-    asyncio.run(scene())
+    asyncio.run(scenario())
 
 
-def test_time_in_which_the_process_stood_still_counts_for_what_came_in_it() -> None:
-    """A final answer is due before the client gives up; half a second after that it is lost."""
+def test_stall_counts_towards_the_timeout_of_requests_that_arrived_in_it() -> None:
+    """The final answer is due before the client gives up; half a second later it is lost."""
 
-    async def scene() -> None:
+    async def scenario() -> None:
         discovery, host = await Discovery().start(), await Host("h", sockets.never).start()
-        async with running(discovery, [host], settings=PATIENT) as proxy:
+        async with running(discovery, [host], settings=LONG_DEADLINES) as proxy:
             client, loop = await proxy.client(), asyncio.get_running_loop()
             proxy.process.send_signal(signal.SIGSTOP)
             asked_s = loop.time()
@@ -398,20 +403,20 @@
             await asyncio.sleep(3.0)
             proxy.process.send_signal(signal.SIGCONT)
             assert (await client.read()).status == 502
-            assert loop.time() - asked_s < 5.5  # counted from its reading it would be seven
+            assert loop.time() - asked_s < 5.5  # 7 s if the timeout started at the read
 
-    asyncio.run(scene())
+    asyncio.run(scenario())
 
 
-# A watch that moves
+# A watch that moves to another address
 
 
-def test_what_the_old_address_has_told_counts_when_the_watch_moves(
+def test_drain_announced_by_the_old_address_counts_when_the_watch_moves(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """A drain is written in the very step in which SIGHUP is taken, and the new address says nothing yet."""
+    """A drain is announced in the step that handles SIGHUP, and the new address has not answered yet."""
 
-    async def scene() -> None:
+    async def scenario() -> None:
         hosts, drains, asked = [await Host(name).start() for name in ("a", "b")], asyncio.Event(), []
         old, told = Discovery(), []
         old.entries.update({host.name: host.entry() for host in hosts})
@@ -428,26 +433,26 @@
                     await drains.wait()
                 changes = {"version": 1 + len(answer), "full": False, "servers": answer}
                 writer.write(ok(json.dumps(changes).encode()))
-            made[0].reload()  # before the loop has looked at any socket again
+            programs[0].reload()  # before the loop polls its sockets again
             with contextlib.suppress(ConnectionError):
                 await reader.read()
             writer.close()
 
-        made: list[Program] = []
+        programs: list[Program] = []
         agents = [await asyncio.start_server(one, "127.0.0.1", 0) for one in (serve, silent)]
         old.port, new_port = (agent.sockets[0].getsockname()[1] for agent in agents)
-        async with program(tmp_path, old) as (it, _ended):
-            made.append(it)
+        async with program(tmp_path, old) as (app, _ended):
+            programs.append(app)
             await until(lambda: len(told) == 2)
             path = tmp_path / "config.json"
             moved = {**json.loads(path.read_text()), "discovery": f"127.0.0.1:{new_port}"}
             path.write_text(json.dumps(moved))
             monkeypatch.setenv("PROXY_CONFIG", str(path))
-            assert set(it._node._addresses) == {"a", "b"}
+            assert set(app._node._addresses) == {"a", "b"}
             drains.set()
             await until(lambda: asked)
-            await until(lambda: set(it._node._addresses) == {"b"})
+            await until(lambda: set(app._node._addresses) == {"b"})
         for agent in agents:
             agent.close()
 
-    asyncio.run(scene())
+    asyncio.run(scenario())
--- a/tests/test_hosts.py
+++ b/tests/test_hosts.py
@@ -1,4 +1,4 @@
-"""Hosts whose answers come spoilt, or bring more than belongs to them: nothing is ever mixed up."""
+"""Malformed answers and extra bytes from hosts: no answer is ever attributed to another request."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 from tests.test_upstream import FakeCall, full_listener, until
 
 OK = b"HTTP/1.1 200 OK\r\n"
-SPOILT: dict[str, bytes] = {
+MALFORMED: dict[str, bytes] = {
     "noise": b"\x16\x03\x01\x00 what is this\r\n\r\n",
     "no version": b"200 OK\r\nContent-Length: 2\r\n\r\nab",
     "other version": b"HTTP/3.0 200 OK\r\nContent-Length: 2\r\n\r\nab",
@@ -66,11 +66,11 @@
 
 
 @pytest.mark.parametrize("size", [1 << 20, 1], ids=["one read", "byte by byte"])
-def test_spoilt_answer_has_run_and_ends_the_attempt_at_once(size: int) -> None:
-    async def scene() -> None:
+def test_malformed_answer_ends_the_attempt_at_once(size: int) -> None:
+    async def scenario() -> None:
         host = await Host("h").start()
         upstream = Upstream(8, 60_000, 1000)
-        for name, data in SPOILT.items():
+        for name, data in MALFORMED.items():
             ends: list[Outcome] = []
             host.respond = in_pieces(data, size)
             begun = time.monotonic()
@@ -82,32 +82,32 @@
             )
             await until(lambda: ends)  # noqa: B023
             assert ends == [Outcome.SPOILT], name
-            assert time.monotonic() - begun < 10, name  # the host's connection stays open
-            await host.wait(lambda: not host.open)  # ours does not: it is of no further use
+            assert time.monotonic() - begun < 10, name  # although the host keeps the connection open
+            await host.wait(lambda: not host.open)  # it is closed from our side
         await until(lambda: upstream.open == 0)
 
-    asyncio.run(scene())
+    asyncio.run(scenario())
 
 
-def test_spoilt_answer_is_a_failure_to_the_client_and_sent_once() -> None:
-    async def scene() -> None:
+def test_malformed_answer_is_a_failure_to_the_client_and_sent_once() -> None:
+    async def scenario() -> None:
         host, discovery = await Host("h").start(), await Discovery().start()
         async with running(discovery, [host]) as proxy:
             client = await proxy.client()
-            for data in SPOILT.values():
+            for data in MALFORMED.values():
                 host.respond = raw(data)
                 before = len(host.seen)
                 begun = time.monotonic()
                 assert (await client.ask("/unsafe")).status == 502
-                assert time.monotonic() - begun < 1.2  # at once, not at its aim of 1.5 s
+                assert time.monotonic() - begun < 1.2  # at once, not at the target latency of 1.5 s
                 assert len(host.seen) == before + 1
             host.respond = answer_ok
             assert (await client.ask("/unsafe")).status == 200
 
-    asyncio.run(scene())
+    asyncio.run(scenario())
 
 
-GOOD = {
+VALID = {
     "second copy": ok(b"mine") * 2,
     "noise behind": ok(b"mine") + b"\x00\x01 noise",
     "bad report": ok(b"mine", b"X-Server-Load: inflight=,,queue=\xff\r\n"),
@@ -117,11 +117,11 @@
 
 
 @pytest.mark.parametrize("size", [1 << 20, 1], ids=["one read", "byte by byte"])
-def test_good_answer_is_served_whatever_comes_with_it(size: int) -> None:
-    async def scene() -> None:
+def test_valid_answer_is_served_whatever_comes_with_it(size: int) -> None:
+    async def scenario() -> None:
         host = await Host("h").start()
         upstream = Upstream(8, 60_000, 1000)
-        for name, data in GOOD.items():
+        for name, data in VALID.items():
             for _ in range(2):
                 ends: list[tuple[Outcome, bytes | None]] = []
                 host.respond = in_pieces(data, size)
@@ -134,33 +134,33 @@
                 assert ends == [(Outcome.OK, b"mine")], name
                 await asyncio.sleep(0.02)
 
-    asyncio.run(scene())
+    asyncio.run(scenario())
 
 
-ASKED = 12
-MOST_ROUNDS = 40
+REQUESTS_PER_ROUND = 12
+MAX_ROUNDS = 40
 
 
 @attrs.define
-class CopiesRound:
-    """Answers in the order in which they were given, and bodies whose copies went out after the settle time.
+class DuplicatesRound:
+    """Answers in the order of arrival, and bodies whose duplicates were sent after the settle time.
 
-    The host shares this process's loop: on a busy machine its millisecond may be many. Such a copy is not
-    what hosts send, "straight after" their answer, and nothing in it could tell it from the next answer."""
+    The host runs in the same loop: on a busy machine its delay of a millisecond may take many. A duplicate
+    that late is not the fault under test, and can't be distinguished from the next answer."""
 
     got: list[bytes] = attrs.field(factory=list)
     late: set[bytes] = attrs.field(factory=set)
 
     @property
     def crossed(self) -> list[bytes]:
-        """What was taken for another request's answer."""
+        """Answers that were taken for those of another request."""
         return [body for place, body in enumerate(self.got) if body != b"%d" % (place + 1)]
 
 
-async def ask_a_host_that_answers_twice(delay_s: float) -> CopiesRound:
+async def ask_a_host_that_answers_twice(delay_s: float) -> DuplicatesRound:
     host = await Host("h").start()
     upstream = Upstream(8, 60_000, 1000)
-    found = CopiesRound()
+    found = DuplicatesRound()
 
     async def twice(seen: Seen, writer: asyncio.StreamWriter) -> None:
         body = b"%d" % len(host.seen)
@@ -179,31 +179,31 @@
     def ended(outcome: Outcome, answer: Answer | None) -> None:
         assert outcome is Outcome.OK and answer is not None
         found.got.append(answer.body)
-        if len(found.got) < ASKED:  # at once, as the module does when requests wait
+        if len(found.got) < REQUESTS_PER_ROUND:  # at once, as the balancer does when requests wait
             ask()
 
     ask()
-    await until(lambda: len(found.got) == ASKED)
+    await until(lambda: len(found.got) == REQUESTS_PER_ROUND)
     return found
 
 
 @pytest.mark.parametrize("delay_s", [0.0, 0.001])
-def test_late_second_copy_is_not_taken_for_the_next_answer(delay_s: float) -> None:
-    """Until as many copies came in time as a round has: of these none may be taken."""
+def test_late_duplicate_is_not_taken_for_the_next_answer(delay_s: float) -> None:
+    """Repeats rounds until enough duplicates were sent within the settle time; none of these may be taken."""
     in_time = 0
-    for _ in range(MOST_ROUNDS):
+    for _ in range(MAX_ROUNDS):
         found = asyncio.run(ask_a_host_that_answers_twice(delay_s))
         assert set(found.crossed) <= found.late, found
-        in_time += ASKED - len(found.late)
-        if in_time >= ASKED:
+        in_time += REQUESTS_PER_ROUND - len(found.late)
+        if in_time >= REQUESTS_PER_ROUND:
             return
-    pytest.fail(f"only {in_time} copies came in time in {MOST_ROUNDS} rounds")
+    pytest.fail(f"only {in_time} duplicates were sent in time in {MAX_ROUNDS} rounds")
 
 
 def test_connection_is_not_used_until_it_has_settled(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr("cloverrouter.proxy.upstream.SETTLE_S", 60.0)
 
-    async def scene() -> None:
+    async def scenario() -> None:
         host = await Host("h", answer_ok).start()
         upstream = Upstream(8, 60_000, 1000)
         for number in (1, 2):
@@ -218,11 +218,11 @@
             assert ends == [Outcome.OK]
             assert len({seen.connection for seen in host.seen}) == number
 
-    asyncio.run(scene())
+    asyncio.run(scenario())
 
 
-def test_unread_copy_keeps_a_connection_from_being_used_again() -> None:
-    async def scene() -> None:
+def test_connection_with_unread_bytes_is_not_reused() -> None:
+    async def scenario() -> None:
         host = await Host("h").start()
         upstream = Upstream(8, 60_000, 1000)
         ends: list[Outcome] = []
@@ -239,11 +239,11 @@
         await until(lambda: len(ends) == 2)
         assert ends == [Outcome.OK] * 2 and host.connections == 2
 
-    asyncio.run(scene())
+    asyncio.run(scenario())
 
 
 def test_new_host_at_an_old_address_gets_connections_of_its_own() -> None:
-    async def scene() -> None:
+    async def scenario() -> None:
         host = await Host("old").start()
         discovery = await Discovery().start()
         async with running(discovery, [host]) as proxy:
@@ -256,16 +256,16 @@
             assert (await client.ask("/unsafe")).status == 200
             assert [seen.connection for seen in host.seen] == [1, 2]
 
-    asyncio.run(scene())
+    asyncio.run(scenario())
 
 
-# Sockets that are given back, however an attempt ends
+# Sockets are released, however an attempt ends
 
 
 def test_two_names_at_one_address_share_no_connection() -> None:
-    """While the list still has both, too: an old host's late answer would be the new one's."""
+    """Also while both are listed: a late answer of the old host would be taken for one of the new host."""
 
-    async def scene() -> None:
+    async def scenario() -> None:
         host = await Host("h", answer_ok).start()
         upstream = Upstream(8, 60_000, 1000)
         for number, name in enumerate(("old", "new"), 1):
@@ -280,11 +280,11 @@
             await asyncio.sleep(2 * SETTLE_S)
             assert len({seen.connection for seen in host.seen}) == number
 
-    asyncio.run(scene())
+    asyncio.run(scenario())
 
 
-def test_bytes_that_nobody_asked_for_end_an_idle_connection() -> None:
-    async def scene() -> None:
+def test_unsolicited_bytes_close_an_idle_connection() -> None:
+    async def scenario() -> None:
         host = await Host("h").start()
         upstream = Upstream(8, 60_000, 1000)
         writers: list[asyncio.StreamWriter] = []
@@ -303,11 +303,11 @@
         writers[0].write(b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhal")
         await until(lambda: upstream.open == 0)
 
-    asyncio.run(scene())
+    asyncio.run(scenario())
 
 
-def test_given_up_before_its_first_step_an_attempt_gives_its_socket_back() -> None:
-    async def scene() -> None:
+def test_attempt_abandoned_before_its_first_step_releases_its_socket() -> None:
+    async def scenario() -> None:
         listener, _fillers = full_listener()
         upstream = Upstream(8, 60_000, 20_000)
         for _ in range(20):
@@ -319,16 +319,16 @@
         await until(lambda: upstream.open == 0)
         listener.close()
 
-    asyncio.run(scene())
+    asyncio.run(scenario())
 
 
 @pytest.mark.parametrize(
     ("at", "outcome"), [("socket", Outcome.NOT_SENT), ("create", Outcome.CONNECT_FAILED)]
 )
-def test_attempt_ends_when_no_socket_is_to_be_had(
+def test_attempt_ends_when_no_socket_is_available(
     at: str, outcome: Outcome, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    async def scene() -> None:
+    async def scenario() -> None:
         host = await Host("h").start()
         upstream = Upstream(8, 60_000, 1000)
         ends: list[Outcome] = []
@@ -348,10 +348,10 @@
         assert ends == [outcome]
         await until(lambda: upstream.open == 0)
 
-    asyncio.run(scene())
+    asyncio.run(scenario())
 
 
-# What is believed, against what passes on the sockets
+# The internal state, compared with the sockets
 
 
 SETTINGS = Settings(
@@ -362,10 +362,10 @@
 )
 
 
-def test_after_all_has_ended_nothing_is_believed_to_be_under_way() -> None:
-    async def scene() -> None:
+def test_no_state_is_left_after_all_requests_have_ended() -> None:
+    async def scenario() -> None:
         good, bad = await Host("good").start(), await Host("bad", never).start()
-        kinds = [answer_ok, raw(SPOILT["noise"]), raw(ok() * 2), never]
+        kinds = [answer_ok, raw(MALFORMED["noise"]), raw(ok() * 2), never]
 
         async def varied(seen: Seen, writer: asyncio.StreamWriter) -> None:
             await kinds[len(good.seen) % len(kinds)](seen, writer)
@@ -388,17 +388,22 @@
                 call.class_name = ("unsafe", "keyed")[i % 2]
                 call.request_id = b"%d-%d" % (turn, i)
                 calls.append(call)
-                node.arrived(call)
+                node.call_arrived(call)
                 if i % 5 == 0:
-                    node.gone(call)
+                    node.client_disconnected(call)
                 await asyncio.sleep(0.002)
             await until(lambda: not node.owed and not node._calls)
-            # One answer each, but for those that left before there was one.
+            # One answer each, except for clients that disconnected before.
             assert all(
-                len(call.given) == 1 or (i % 5 == 0 and not call.given) for i, call in enumerate(calls)
+                len(call.answers) == 1 or (i % 5 == 0 and not call.answers) for i, call in enumerate(calls)
             )
             module = node._balancer
-            assert not module.requests and not node._ids and not node._numbers and not node._out
+            assert (
+                not module.requests
+                and not node._request_ids
+                and not node._call_ids
+                and not node._active_attempts
+            )
             assert [e.in_flight for e in module.membership.endpoints.values()] == [0, 0]
             assert module.flow.out == 0
             await asyncio.sleep(0.3)  # timers of the last requests
@@ -410,10 +415,10 @@
         assert set(sizes[1:]) == {sizes[-1]}
         assert not crashes
 
-    asyncio.run(scene())
+    asyncio.run(scenario())
 
 
-def test_spoilt_answers_pause_no_server() -> None:
+def test_malformed_answers_pause_no_server() -> None:
     balancer = Balancer(SETTINGS, 1)
     balancer.handle(0.0, [EndpointsListed(ListKind.FULL, (ListedEndpoint("a"), ListedEndpoint("b")))])
     sent: set[str] = set()
@@ -426,8 +431,8 @@
     assert sent == {"a", "b"}
 
 
-def broken_at(failures: int, outcome: Outcome) -> bool:
-    """Is the only server left out after so many attempts in a row that ended so?"""
+def is_paused_after(failures: int, outcome: Outcome) -> bool:
+    """Returns whether the only server is excluded after so many consecutive attempts with this outcome."""
     balancer = Balancer(SETTINGS, 1)
     balancer.handle(0.0, [EndpointsListed(ListKind.FULL, (ListedEndpoint("a"),))])
     for i in range(1, failures + 1):
@@ -438,6 +443,6 @@
 
 def test_one_broken_connection_pauses_no_server_but_two_in_a_row_do() -> None:
     for outcome in (Outcome.RESET, Outcome.CONNECT_FAILED):
-        assert not broken_at(1, outcome)
-        assert broken_at(2, outcome)
-    assert broken_at(1, Outcome.ERROR) and broken_at(1, Outcome.REJECTED)
+        assert not is_paused_after(1, outcome)
+        assert is_paused_after(2, outcome)
+    assert is_paused_after(1, Outcome.ERROR) and is_paused_after(1, Outcome.REJECTED)
--- a/tests/test_streams.py
+++ b/tests/test_streams.py
@@ -1,4 +1,4 @@
-"""Large bodies and answers: whole, in any pieces, without being held, and never sent twice."""
+"""Streaming of large bodies and answers: complete, with bounded memory, and never sent twice."""
 
 from __future__ import annotations
 
@@ -35,19 +35,27 @@
 from cloverrouter.proxy.frontend import Frontend
 from cloverrouter.proxy.messages import SMALL, Call
 from cloverrouter.proxy.node import Node
-from cloverrouter.proxy.streams import HIGH, LEAST_BUDGET, Budget, Sink, Source, StreamHead, Upload
+from cloverrouter.proxy.streams import (
+    MIN_BUDGET_BYTES,
+    STREAM_HIGH_WATER_BYTES,
+    Budget,
+    Sink,
+    Source,
+    StreamHead,
+    Upload,
+)
 from cloverrouter.proxy.upstream import Upstream
 from tests.driver import Driver, endpoint
 from tests.sockets import LONG_S, Client, Discovery, Message, Proxy, Respond, Seen, answer_ok, running
 from tests.sockets import Host as SmallHost
-from tests.test_clients import Patient
+from tests.test_clients import UnansweringHandler
 from tests.test_upstream import FakeCall, until
 
 MB = 1024 * 1024
 Streams = tuple[asyncio.StreamReader, asyncio.StreamWriter]
 
 
-def made(size: int, seed: int = 1) -> bytes:
+def random_bytes(size: int, seed: int = 1) -> bytes:
     return random.Random(seed).randbytes(size)
 
 
@@ -58,14 +66,14 @@
 
 
 async def read_body(reader: asyncio.StreamReader, headers: dict[str, str]) -> bytes:
-    """Raises IncompleteReadError for one that is cut."""
+    """Returns the body; raises IncompleteReadError for a truncated one."""
     if headers.get("transfer-encoding") != "chunked":
         return await reader.readexactly(int(headers.get("content-length", "0")))
     body = bytearray()
     while size := int((await reader.readuntil(b"\r\n")).split(b";")[0], 16):
         body += (await reader.readexactly(size + 2))[:-2]
     while (await reader.readuntil(b"\r\n")) != b"\r\n":
-        """A trailer."""
+        """Skips a trailer."""
     return bytes(body)
 
 
@@ -77,7 +85,9 @@
         return Message(start, headers, await read_body(reader, headers))
 
 
-async def asked(proxy: Proxy, framing: str, body: bytes, pieces: int, target: str = "/keyed") -> Streams:
+async def send_request(
+    proxy: Proxy, framing: str, body: bytes, pieces: int, target: str = "/keyed"
+) -> Streams:
     host, port = proxy.address.split(":")
     reader, writer = await asyncio.open_connection(host, int(port))
     head = f"POST {target} HTTP/1.1\r\nHost: x\r\nX-Request-ID: {id(writer):x}\r\nX-Timeout-Ms: 2500\r\n"
@@ -102,21 +112,21 @@
 @pytest.mark.parametrize("framing", ["length", "chunked"])
 @pytest.mark.parametrize(("size", "pieces"), [(SMALL - 1, 5000), (SMALL + 1, 5000), (5 * MB, 300_000)])
 def test_body_arrives_as_it_was_sent(framing: str, size: int, pieces: int) -> None:
-    async def scene() -> None:
+    async def scenario() -> None:
         host, discovery = await Host("h").start(), await Discovery().start()
-        body = made(size)
+        body = random_bytes(size)
         async with running(discovery, [host]) as proxy, asyncio.timeout(LONG_S):
-            reader, writer = await asked(proxy, framing, body, pieces)
+            reader, writer = await send_request(proxy, framing, body, pieces)
             start, headers = await read_head(reader)
             assert start.split()[1] == "200"
             assert await read_body(reader, headers) == b"done"
             assert hashlib.sha256(host.seen[0].message.body).digest() == hashlib.sha256(body).digest()
             assert len(host.seen) == 1
-            # The connection is of further use.
+            # The connection can be reused.
             client = Client(reader, writer)
             assert (await client.ask("/unsafe")).status == 200
 
-    asyncio.run(scene())
+    asyncio.run(scenario())
 
 
 def answer(framing: str, body: bytes, pieces: int) -> Callable[[Seen, asyncio.StreamWriter], Awaitable[None]]:
@@ -147,14 +157,14 @@
 
 @pytest.mark.parametrize("framing", ["length", "chunked", "close"])
 @pytest.mark.parametrize(("size", "pieces"), [(0, 10), (1000, 10), (SMALL + 1, 5000), (5 * MB, 300_000)])
-def test_answer_comes_as_the_host_gave_it(framing: str, size: int, pieces: int) -> None:
-    async def scene() -> None:
+def test_answer_arrives_as_the_host_sent_it(framing: str, size: int, pieces: int) -> None:
+    async def scenario() -> None:
         host, discovery = await Host("h").start(), await Discovery().start()
-        body = made(size)
+        body = random_bytes(size)
         host.respond = answer(framing, body, pieces)
         async with running(discovery, [host]) as proxy, asyncio.timeout(LONG_S):
             for _ in range(2):
-                reader, writer = await asked(proxy, "length", b"x", 0)
+                reader, writer = await send_request(proxy, "length", b"x", 0)
                 start, headers = await read_head(reader)
                 assert start.split()[1] == "200"
                 got = await read_body(reader, headers)
@@ -163,32 +173,33 @@
                 assert (await Client(reader, writer).ask("/unsafe")).body == b"done"
                 host.respond = answer(framing, body, pieces)
 
-    asyncio.run(scene())
+    asyncio.run(scenario())
 
 
 def resident_mb(proxy: Proxy) -> float:
     return proxy.memory_mb("VmHWM")
 
 
-def test_many_large_ones_at_once_are_never_held() -> None:
-    """Twelve answers of 20 MB to clients that do not read yet, and four bodies to a host that does not."""
+def test_many_concurrent_streams_are_never_buffered_whole() -> None:
+    """Twelve answers of 20 MB to clients that do not read yet, and four uploads of 8 MB."""
 
-    async def scene() -> None:
-        whole = made(20 * MB)
+    async def scenario() -> None:
+        whole = random_bytes(20 * MB)
         hosts = [await Host(f"h{i}", answer("length", whole, 4 * MB)).start() for i in range(3)]
         discovery = await Discovery().start()
         async with running(discovery, hosts) as proxy, asyncio.timeout(2 * LONG_S):
             before_mb = resident_mb(proxy)
-            clients = [await asked(proxy, "length", b"x", 0) for _ in range(12)]
+            clients = [await send_request(proxy, "length", b"x", 0) for _ in range(12)]
             readers = [reader for reader, _ in clients]
             begun = [await read_head(reader) for reader in readers]
             assert [start.split()[1] for start, _ in begun] == ["200"] * 12, proxy.log()
             uploads = [
-                asyncio.ensure_future(asked(proxy, "chunked", made(8 * MB, i), 100_000)) for i in range(4)
+                asyncio.ensure_future(send_request(proxy, "chunked", random_bytes(8 * MB, i), 100_000))
+                for i in range(4)
             ]
             held = [-1]
             while held != (held := [len(reader._buffer) for reader in readers]):  # type: ignore[attr-defined]
-                await asyncio.sleep(0.2)  # until nothing moves any more
+                await asyncio.sleep(0.2)  # until there is no progress any more
             bodies = await asyncio.gather(
                 *(read_body(reader, headers) for reader, (_, headers) in zip(readers, begun, strict=True))
             )
@@ -199,13 +210,13 @@
                 assert start.split()[1] == "200"
                 assert len(await read_body(reader, headers)) == len(whole)
                 writer.close()
-            assert resident_mb(proxy) - before_mb < 40  # of 272 MB that have gone through
+            assert resident_mb(proxy) - before_mb < 40  # of 272 MB transferred
 
-    asyncio.run(scene())
+    asyncio.run(scenario())
 
 
 @pytest.mark.parametrize("framing", ["length", "chunked", "close"])
-def test_cut_answer_can_be_told(framing: str) -> None:
+def test_truncated_answer_can_be_recognized(framing: str) -> None:
     async def half(seen: Seen, writer: asyncio.StreamWriter) -> None:
         head = {"length": b"Content-Length: 1000000\r\n", "chunked": b"Transfer-Encoding: chunked\r\n"}
         writer.write(b"HTTP/1.1 200 OK\r\n" + head.get(framing, b"Connection: close\r\n") + b"\r\n")
@@ -213,7 +224,7 @@
         writer.write(b"z" * 300_000)
         await writer.drain()
         await release.wait()
-        # As of a process that dies: a reset, no orderly end.
+        # A reset instead of an orderly end, as from a process that dies.
         writer.get_extra_info("socket").setsockopt(
             socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0)
         )
@@ -221,11 +232,11 @@
 
     release = asyncio.Event()
 
-    async def scene() -> None:
+    async def scenario() -> None:
         host, discovery = await Host("h", half).start(), await Discovery().start()
         async with running(discovery, [host]) as proxy, asyncio.timeout(LONG_S):
-            reader, _writer = await asked(proxy, "length", b"x", 0)
-            start, headers = await read_head(reader)  # the beginning does not wait for the end
+            reader, _writer = await send_request(proxy, "length", b"x", 0)
+            start, headers = await read_head(reader)  # streaming starts before the end
             assert start.split()[1] == "200"
             release.set()
             with pytest.raises((asyncio.IncompleteReadError, ConnectionError)):
@@ -234,11 +245,11 @@
             text = (await proxy.call("GET", "/admin/stats")).body.decode()
             assert 'proxy_transactions_total{group="keyed",state="errored"} 1' in text
 
-    asyncio.run(scene())
+    asyncio.run(scenario())
 
 
-def test_body_that_is_partly_gone_is_sent_once() -> None:
-    async def scene() -> None:
+def test_partly_sent_body_is_sent_once() -> None:
+    async def scenario() -> None:
         begun = 0
 
         async def broken(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -262,21 +273,21 @@
             writer.write(head + b"Content-Length: 900000\r\n\r\n" + b"z" * 300_000)
             start, _ = await read_head(reader)
             assert int(start.split()[1]) >= 500
-            assert await reader.read() == b""  # what comes of the body is no next request
+            assert await reader.read() == b""  # the rest of the body is not parsed as a request
             assert begun == 1
 
-    asyncio.run(scene())
+    asyncio.run(scenario())
 
 
-def test_body_that_turns_out_unreadable_is_an_error_and_counted() -> None:
-    async def scene() -> None:
+def test_malformed_body_is_an_error_and_counted() -> None:
+    async def scenario() -> None:
         host, discovery = await Host("h").start(), await Discovery().start()
         async with running(discovery, [host]) as proxy, asyncio.timeout(LONG_S):
             address, port = proxy.address.split(":")
             reader, writer = await asyncio.open_connection(address, int(port))
             head = b"POST /unsafe HTTP/1.1\r\nX-Request-ID: a\r\nTransfer-Encoding: chunked\r\n\r\n"
             writer.write(head + b"30d40\r\n" + b"z" * 200_000 + b"\r\n")
-            while not host.open:  # it is on its way
+            while not host.open:  # the upload has begun
                 await asyncio.sleep(0.01)
             writer.write(b"no chunk\r\n")
             start, _headers = await read_head(reader)
@@ -287,32 +298,32 @@
             assert 'proxy_transactions_total{group="unsafe",state="errored"} 1' in text
             assert "proxy_current 0" in text
 
-    asyncio.run(scene())
+    asyncio.run(scenario())
 
 
-def test_body_that_is_whole_goes_to_another_host() -> None:
-    async def scene() -> None:
+def test_unsent_body_goes_to_another_host() -> None:
+    async def scenario() -> None:
         host, discovery = await Host("h").start(), await Discovery().start()
         gone = await Host("gone").start()
         gone.server.close()
         await gone.server.wait_closed()
-        body = made(3 * SMALL)
+        body = random_bytes(3 * SMALL)
         async with running(discovery, [gone, host]) as proxy, asyncio.timeout(LONG_S):
             for _ in range(6):
-                reader, _writer = await asked(proxy, "length", body, 0)
+                reader, _writer = await send_request(proxy, "length", body, 0)
                 start, _headers = await read_head(reader)
                 assert start.split()[1] == "200"
             assert [seen.message.body == body for seen in host.seen] == [True] * 6
 
-    asyncio.run(scene())
+    asyncio.run(scenario())
 
 
-def test_slow_clients_have_their_time() -> None:
-    """A head over more than a second, and a body at 64 kB a second that is longer than the deadline."""
+def test_slow_clients_do_not_time_out() -> None:
+    """A head takes more than a second, and a body at 64 kB/s takes longer than the deadline."""
 
-    async def scene() -> None:
+    async def scenario() -> None:
         host, discovery = await Host("h").start(), await Discovery().start()
-        body = made(3 * 65_536)
+        body = random_bytes(3 * 65_536)
         async with running(discovery, [host]) as proxy, asyncio.timeout(LONG_S):
             address, port = proxy.address.split(":")
             reader, writer = await asyncio.open_connection(address, int(port))
@@ -327,11 +338,11 @@
             assert start.split()[1] == "200"
             assert host.seen[0].message.body == body
 
-    asyncio.run(scene())
+    asyncio.run(scenario())
 
 
-def test_head_may_be_asked_of_health() -> None:
-    async def scene() -> None:
+def test_health_check_with_the_head_method() -> None:
+    async def scenario() -> None:
         host, discovery = await Host("h").start(), await Discovery().start()
         async with running(discovery, [host]) as proxy:
             client = await proxy.client()
@@ -339,22 +350,22 @@
             assert (await client.read()).status == 200
             assert (await client.ask("/unsafe")).status == 200
 
-    asyncio.run(scene())
+    asyncio.run(scenario())
 
 
-# Its parts
+# Parts
 
 
-def test_budget_bounds_what_streams_hold() -> None:
+def test_budget_limits_what_streams_buffer() -> None:
     budget, resumed = Budget(0), []
     uploads = [Upload(budget, None, lambda: resumed.append(1)) for _ in range(100)]
-    assert budget.limit == LEAST_BUDGET
+    assert budget.limit_bytes == MIN_BUDGET_BYTES
     for _ in range(20):
         for upload in uploads:
             if not upload.full:
                 upload.feed(b"z" * 32_768)
-    # Over the budget each holds one piece at the most, beyond what it held before.
-    assert budget.held <= LEAST_BUDGET + 100 * 32_768
+    # Beyond the budget, each stream buffers at most one more piece.
+    assert budget.held <= MIN_BUDGET_BYTES + 100 * 32_768
     assert all(upload.full for upload in uploads)
     held = budget.held
     assert len(uploads[0].take() or b"") == 32_768
@@ -362,33 +373,33 @@
     for upload in uploads:
         upload.drop()
     assert budget.held == 0
-    assert not budget.full_for(HIGH - 1)
+    assert not budget.is_full_for(STREAM_HIGH_WATER_BYTES - 1)
 
 
-def test_upload_is_spent_with_its_first_piece() -> None:
+def test_upload_is_consumed_with_its_first_piece() -> None:
     upload = Upload(Budget(0), 10, lambda: None)
     upload.feed(b"01234")
     assert not upload.spent
     assert upload.take() == b"01234"
     assert upload.spent
     upload.ended = True
-    assert upload.drained
+    assert upload.exhausted
 
 
-# What the module makes of it
+# Balancer
 
 
 def uploading(driver: Driver, class_name: str = "keyed") -> list[Any]:
     return driver.tell(RequestArrived(900, class_name, None, uploading=True))
 
 
-def test_time_begins_with_the_last_byte() -> None:
+def test_timeout_starts_with_the_last_byte() -> None:
     driver = Driver()
     (send,) = uploading(driver)
     assert isinstance(send, Send)
     assert send.timeout_ms == 0
     assert driver.balancer.membership.endpoints[send.endpoint].in_flight == 0
-    assert driver.wait(60_000) == []  # a slow upload is no slow server
+    assert driver.wait(60_000) == []  # a slow upload does not make the server slow
     assert not driver.balancer.membership.endpoints[send.endpoint].silent(driver.now_ms)
     (limit,) = driver.tell(RequestCompleted(900, driver.now_ms + 400))
     assert limit == SetTimeout(900, 0, 400)
@@ -400,7 +411,9 @@
 
 @pytest.mark.parametrize("class_name", ["safe", "keyed", "unsafe"])
 @pytest.mark.parametrize("outcome", [Outcome.ERROR, Outcome.REJECTED, Outcome.CONNECT_FAILED])
-def test_spent_request_gets_its_final_answer_at_once(class_name: str, outcome: Outcome) -> None:
+def test_request_with_a_consumed_body_gets_its_final_answer_at_once(
+    class_name: str, outcome: Outcome
+) -> None:
     driver = Driver()
     uploading(driver, class_name)
     (final,) = driver.tell(AttemptEnded(900, 0, outcome, 50.0, body_consumed=True))
@@ -413,16 +426,16 @@
     request_id, _ = driver.request("safe")
     driver.tell(StreamStarted(request_id, 0, 40.0))
     server = driver.balancer.membership.endpoints["s1"]
-    assert server.in_flight == 0  # it has done its work
-    assert driver.wait(60_000) == []  # no deadline any more
+    assert server.in_flight == 0  # the server has finished its work
+    assert driver.wait(60_000) == []  # the deadline does not apply any more
     assert driver.tell(AttemptEnded(request_id, 0, Outcome.RESET, 60_000.0, answered=True)) == []
     assert driver.sent[request_id] == ["s1"]
     assert server.in_flight == 0
     assert server.failures == 0
 
 
-def test_client_that_leaves_in_an_upload_leaves_nothing_behind() -> None:
-    async def scene() -> None:
+def test_disconnect_during_an_upload_leaves_no_state() -> None:
+    async def scenario() -> None:
         host, discovery = await Host("h").start(), await Discovery().start()
         async with running(discovery, [host]) as proxy, asyncio.timeout(LONG_S):
             address, port = proxy.address.split(":")
@@ -433,26 +446,26 @@
                 while not host.open:
                     await asyncio.sleep(0.01)
                 writer.transport.abort()
-                await host.wait(lambda: not host.open)  # the attempt has ended, too
+                await host.wait(lambda: not host.open)  # the attempt has ended as well
             text = (await proxy.call("GET", "/admin/stats")).body.decode()
             assert "proxy_current 0" in text
             assert "proxy_sends_total 0" in text
             assert host.seen == []
             assert (await (await proxy.client()).ask("/unsafe")).status == 200
 
-    asyncio.run(scene())
+    asyncio.run(scenario())
 
 
-# An answer that begins just before its attempt's time is up. The hold of an answer of unknown length is ten
-# times the usual here, so that it spans the end of that time whatever the machine is busy with.
+# An answer that begins just before its attempt's timeout. The hold time for an answer of unknown length is
+# ten times the default here, so that it spans the timeout also on a busy machine.
 
 HOLD_S = 0.5
 DEADLINE_S = 1.2
-DEADLINED = RequestClass("unsafe", DEADLINE_S * 1000, DEADLINE_S * 1000, idempotency=Idempotency.UNSAFE)
+DEADLINE_CLASS = RequestClass("unsafe", DEADLINE_S * 1000, DEADLINE_S * 1000, idempotency=Idempotency.UNSAFE)
 
 
 class StreamedCall(FakeCall):
-    """A call whose answer may come whole or piece by piece."""
+    """A call whose answer may be buffered or streamed."""
 
     def __init__(self) -> None:
         super().__init__(timeout_ms=DEADLINE_S * 1000)
@@ -460,18 +473,18 @@
 
     def begun(self, head: StreamHead, source: Source) -> Sink:
         self.begun_s = time.monotonic()
-        self.given.append("begun")
+        self.answers.append("begun")
         self.body = b""
         return self
 
-    def piece(self, data: bytes) -> None:
+    def write_piece(self, data: bytes) -> None:
         self.body += data
 
     def finish(self) -> None:
-        self.given.append("whole")
+        self.answers.append("whole")
 
-    def cut(self) -> None:
-        self.given.append("cut")
+    def abort_answer(self) -> None:
+        self.answers.append("cut")
 
 
 def late_answer(head_after_s: float, framing: bytes, body: bytes, ends: list[str]) -> Respond:
@@ -499,85 +512,89 @@
 
 @pytest.mark.parametrize("before_s", [0.6, 0.3, 0.2])
 @pytest.mark.parametrize("framing", [b"Transfer-Encoding: chunked\r\n", b"Connection: close\r\n"])
-def test_answer_that_begins_in_time_is_never_cut(
+def test_answer_that_begins_in_time_is_never_truncated(
     before_s: float, framing: bytes, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(upstream_module, "UNHURRIED_S", HOLD_S)
+    monkeypatch.setattr(upstream_module, "ANSWER_HOLD_S", HOLD_S)
 
-    async def scene() -> None:
+    async def scenario() -> None:
         ends: list[str] = []
-        body = made(160 * 1024)
+        body = random_bytes(160 * 1024)
         host = await SmallHost("h", late_answer(DEADLINE_S - before_s, framing, body, ends)).start()
         upstream = Upstream(8, 60_000, 1000)
-        node = Node(Settings((DEADLINED,)), 1, upstream, lambda: None, lambda error: pytest.fail(repr(error)))
+        node = Node(
+            Settings((DEADLINE_CLASS,)), 1, upstream, lambda: None, lambda error: pytest.fail(repr(error))
+        )
         address = "127.0.0.1", host.port
         node.listed(ListKind.FULL, HostList(1, True, (HostEntry(ListedEndpoint("h"), address),)))
         call, asked_s = StreamedCall(), time.monotonic()
-        node.arrived(call)
+        node.call_arrived(call)
         await until(lambda: ends and not node.owed)
-        assert (call.given, ends, call.body == body) == (["begun", "whole"], ["given"], True)
-        # The first bytes came in time, and were still in time when they were passed on.
+        assert (call.answers, ends, call.body == body) == (["begun", "whole"], ["given"], True)
+        # The first bytes arrived in time, and were forwarded in time.
         assert call.begun_s - asked_s < DEADLINE_S + before_s
 
-    asyncio.run(scene())
+    asyncio.run(scenario())
 
 
 def test_answer_that_begins_too_late_has_failed() -> None:
-    async def scene() -> None:
+    async def scenario() -> None:
         ends: list[str] = []
         chunked = b"Transfer-Encoding: chunked\r\n"
-        body = made(160 * 1024)
+        body = random_bytes(160 * 1024)
         host = await SmallHost("h", late_answer(DEADLINE_S + 0.4, chunked, body, ends)).start()
         upstream = Upstream(8, 60_000, 1000)
-        node = Node(Settings((DEADLINED,)), 1, upstream, lambda: None, lambda error: pytest.fail(repr(error)))
+        node = Node(
+            Settings((DEADLINE_CLASS,)), 1, upstream, lambda: None, lambda error: pytest.fail(repr(error))
+        )
         address = "127.0.0.1", host.port
         node.listed(ListKind.FULL, HostList(1, True, (HostEntry(ListedEndpoint("h"), address),)))
         call = StreamedCall()
-        node.arrived(call)
+        node.call_arrived(call)
         await until(lambda: not node.owed)
-        assert call.given == ["failed"]
+        assert call.answers == ["failed"]
 
-    asyncio.run(scene())
+    asyncio.run(scenario())
 
 
-# The end of a long answer, on its way to a client that reads slowly
+# The end of a streamed answer to a client that reads slowly
 
 
-class Streaming(Patient):
-    """A handler whose answers are passed on at once, whole, as pieces."""
+class StreamingHandler(UnansweringHandler):
+    """A handler that streams a complete answer at once."""
 
     def __init__(self, body: bytes) -> None:
         super().__init__()
         self.body = body
 
-    def arrived(self, call: Call) -> None:
-        sink = call.begun(StreamHead(len(self.body), b""), NoSource())
+    def call_arrived(self, call: Call) -> None:
+        sink = call.begun(StreamHead(len(self.body), b""), NullSource())
         for i in range(0, len(self.body), 10_000):
-            sink.piece(self.body[i : i + 10_000])
+            sink.write_piece(self.body[i : i + 10_000])
         sink.finish()
 
 
-class NoSource:
+class NullSource:
     def pause(self) -> None: ...
 
     def resume(self) -> None: ...
 
 
 @pytest.mark.parametrize("ends", ["with its answer", "when idle", "to make room", "in a quiesce"])
-def test_end_of_a_long_answer_is_never_cut(ends: str, monkeypatch: pytest.MonkeyPatch) -> None:
-    """The answer is all in the program, and its client takes up the last of it slowly: whatever would
-    close the connection has to wait. All times are nought here, so that each sweep would close it."""
-    for name in ("LINGER_S", "IDLE_S", "IDLE_WITH_ROOM_S", "QUIET_S"):
+def test_end_of_a_streamed_answer_is_never_truncated(ends: str, monkeypatch: pytest.MonkeyPatch) -> None:
+    """The rest of the answer is in the write buffer and its client reads slowly: whatever would close the
+    connection has to wait. All timeouts are 0 here, so that each sweep would close it."""
+    for name in ("LINGER_S", "IDLE_TIMEOUT_S", "IDLE_TIMEOUT_WITH_ROOM_S", "MIN_QUIET_S"):
         monkeypatch.setattr(frontend_module, name, 0.0)
 
-    async def scene() -> None:
-        body = made(200_000)
+    async def scenario() -> None:
+        body = random_bytes(200_000)
         listener = socket.socket()
-        listener.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)  # little of it is in the kernel
+        listener.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)  # keeps the kernel's buffer small
         listener.setblocking(False)
         listener.bind(("127.0.0.1", 0))
         listener.listen()
-        frontend = Frontend(Streaming(body), {"unsafe": Idempotency.UNSAFE}, 1)
+        frontend = Frontend(StreamingHandler(body), {"unsafe": Idempotency.UNSAFE}, 1)
         address = await frontend.listen(("127.0.0.1", 0), listener)
         sock = socket.socket()
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
@@ -604,4 +621,4 @@
             assert got == body
         frontend.close()
 
-    asyncio.run(scene())
+    asyncio.run(scenario())
--- a/tests/test_upstream.py
+++ b/tests/test_upstream.py
@@ -1,4 +1,4 @@
-"""What the program's parts do where the whole program can't be brought to at will."""
+"""Upstream, node and discovery watch, in situations that can't be forced from outside of the process."""
 
 from __future__ import annotations
 
@@ -40,23 +40,23 @@
         self.body, self.class_name, self.tenant, self.key = body, "unsafe", None, None
         self.timeout_ms, self.cost_ms, self.repeat = timeout_ms, None, False
         self.upload = None
-        self.given: list[object] = []
+        self.answers: list[object] = []
 
     def served(self, answer: Answer) -> None:
-        self.given.append(answer.body)
+        self.answers.append(answer.body)
 
     def refused(self, retry_after_ms: float) -> None:
-        self.given.append("refused")
+        self.answers.append("refused")
 
     def failed(self) -> None:
-        self.given.append("failed")
+        self.answers.append("failed")
 
     def begun(self, head: StreamHead, source: Source) -> Sink:
-        raise AssertionError("no large answer is played here")
+        raise AssertionError("no streamed answer is expected here")
 
 
 def full_listener() -> tuple[socket.socket, list[socket.socket]]:
-    """A listener whose queue is full: connecting to it never comes up, until `accept` makes room."""
+    """Returns a listener with a full queue: connections are not established until `accept` is called."""
     listener = socket.socket()
     listener.bind(("127.0.0.1", 0))
     listener.listen(0)
@@ -70,7 +70,7 @@
 
 
 def narrow_listener() -> socket.socket:
-    """A listener whose connections take in little: a large request to it does not get out whole."""
+    """Returns a listener with small receive buffers: a large request to it can't be written completely."""
     listener = socket.socket()
     listener.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
     listener.bind(("127.0.0.1", 0))
@@ -85,8 +85,8 @@
             await asyncio.sleep(0.01)
 
 
-def test_connection_that_never_comes_up_has_not_run() -> None:
-    async def scene() -> None:
+def test_connect_timeout_means_not_run() -> None:
+    async def scenario() -> None:
         listener, _fillers = full_listener()
         ends: list[Outcome] = []
         upstream = Upstream(8, 60_000, 100)
@@ -98,11 +98,11 @@
         await until(lambda: upstream.open == 0)
         listener.close()
 
-    asyncio.run(scene())
+    asyncio.run(scenario())
 
 
-def test_given_up_while_connecting_nothing_goes_out() -> None:
-    async def scene() -> None:
+def test_nothing_is_sent_after_an_abandon_while_connecting() -> None:
+    async def scenario() -> None:
         listener, _fillers = full_listener()
         upstream = Upstream(8, 60_000, 20_000)
         exchange = upstream.send(
@@ -114,16 +114,16 @@
         await until(lambda: upstream.open == 0)
         listener.close()
 
-    asyncio.run(scene())
+    asyncio.run(scenario())
 
 
 @pytest.mark.parametrize("said", [b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok", b"noise", b""])
-def test_host_that_speaks_or_closes_before_it_is_asked_has_not_been_asked(
+def test_host_that_sends_or_closes_before_the_request_has_not_run_it(
     said: bytes, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """On a connection that has just come up: nothing goes out there, and no answer is taken from it."""
+    """Input or a close on a newly opened connection: nothing is sent, and no answer is taken from it."""
 
-    async def scene() -> None:
+    async def scenario() -> None:
         loop = asyncio.get_running_loop()
         connect, held = loop.sock_connect, []
         listener = socket.create_server(("127.0.0.1", 0))
@@ -151,7 +151,7 @@
         for peer in held:
             peer.close()
 
-    asyncio.run(scene())
+    asyncio.run(scenario())
 
 
 @pytest.mark.parametrize(
@@ -163,10 +163,10 @@
     ],
     ids=["whole", "long", "chunked"],
 )
-def test_success_before_the_last_byte_is_none(early: bytes) -> None:
-    """The host can't have had the request: what it says belongs to another, or to nobody."""
+def test_success_before_the_last_byte_is_not_accepted(early: bytes) -> None:
+    """The host can't have received the request: its answer is for another one, or for none."""
 
-    async def scene() -> None:
+    async def scenario() -> None:
         listener = narrow_listener()
         ends: list[tuple[Outcome, object]] = []
         upstream = Upstream(8, 60_000, 1000)
@@ -182,18 +182,18 @@
         peer.send(early)
         await until(lambda: ends)
         assert ends == [(Outcome.CONNECT_FAILED, None)]
-        assert not call.given and not begun
+        assert not call.answers and not begun
         await until(lambda: upstream.open == 0)
         peer.close()
         listener.close()
 
-    asyncio.run(scene())
+    asyncio.run(scenario())
 
 
-def test_given_up_as_the_connection_comes_up_nothing_goes_out(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Too late to call off the connecting: the connection rests, for another."""
+def test_nothing_is_sent_after_an_abandon_as_the_connection_opens(monkeypatch: pytest.MonkeyPatch) -> None:
+    """It is too late to cancel the connecting: the connection goes to the pool."""
 
-    async def scene() -> None:
+    async def scenario() -> None:
         loop = asyncio.get_running_loop()
         create = loop.create_connection
         host = await Host("h", answer_ok).start()
@@ -213,15 +213,15 @@
         assert not exchange.written
         assert not host.seen
 
-    asyncio.run(scene())
+    asyncio.run(scenario())
 
 
 def test_reset_before_the_last_byte_has_not_run() -> None:
-    async def scene() -> None:
+    async def scenario() -> None:
         listener = narrow_listener()
         ends: list[Outcome] = []
         upstream = Upstream(8, 60_000, 1000)
-        call = FakeCall(b"x" * 32_000_000)  # more than the buffers of both sides take
+        call = FakeCall(b"x" * 32_000_000)  # more than the socket buffers of both sides hold
         exchange = upstream.send(
             ("h", listener.getsockname()), call, 2000, lambda outcome, _: ends.append(outcome)
         )
@@ -233,11 +233,11 @@
         assert ends == [Outcome.CONNECT_FAILED]
         listener.close()
 
-    asyncio.run(scene())
+    asyncio.run(scenario())
 
 
 def test_reset_after_the_last_byte_may_have_run() -> None:
-    async def scene() -> None:
+    async def scenario() -> None:
         host = await Host("h", never).start()
         ends: list[Outcome] = []
         upstream = Upstream(8, 60_000, 1000)
@@ -249,11 +249,11 @@
         await until(lambda: ends)
         assert ends == [Outcome.RESET]
 
-    asyncio.run(scene())
+    asyncio.run(scenario())
 
 
 def test_sockets_stay_under_the_limit() -> None:
-    async def scene() -> None:
+    async def scenario() -> None:
         hosts = [await Host(f"h{i}").start() for i in range(4)]
         upstream = Upstream(2, 60_000, 1000)
         ends: list[Outcome] = []
@@ -274,11 +274,11 @@
         await until(lambda: len(ends) == 5)
         assert ends[-1] is Outcome.NOT_SENT
 
-    asyncio.run(scene())
+    asyncio.run(scenario())
 
 
 def test_idle_connections_are_dropped_well_before_the_host_does() -> None:
-    async def scene() -> None:
+    async def scenario() -> None:
         host = await Host("h").start()
         upstream = Upstream(8, 200, 1000)
         ends: list[Outcome] = []
@@ -289,10 +289,10 @@
         await host.wait(lambda: not host.open)
         await until(lambda: upstream.open == 0)
 
-    asyncio.run(scene())
+    asyncio.run(scenario())
 
 
-# The loop round the module
+# The node
 
 
 async def node_for(addresses: dict[str, tuple[str, int]], crashes: list[BaseException]) -> Node:
@@ -302,25 +302,25 @@
     return node
 
 
-def test_send_still_connecting_when_a_drain_is_told_does_not_go_out() -> None:
-    async def scene() -> None:
+def test_request_still_connecting_at_a_drain_is_not_sent() -> None:
+    async def scenario() -> None:
         listener, _fillers = full_listener()
         crashes: list[BaseException] = []
         node = await node_for({"h": listener.getsockname()}, crashes)
         call = FakeCall()
-        node.arrived(call)
-        assert not call.given
+        node.call_arrived(call)
+        assert not call.answers
         draining = HostEntry(ListedEndpoint("h", state=EndpointState.DRAINING), listener.getsockname())
         node.listed(ListKind.DELTA, HostList(2, False, (draining,)))
-        assert call.given == ["refused"]  # it never ran; unsafe requests get one attempt
+        assert call.answers == ["refused"]  # it never ran; unsafe requests get one attempt
         assert not crashes
         listener.close()
 
-    asyncio.run(scene())
+    asyncio.run(scenario())
 
 
-def test_crash_of_the_module_is_passed_up(monkeypatch: pytest.MonkeyPatch) -> None:
-    async def scene() -> None:
+def test_exception_of_the_balancer_is_reported(monkeypatch: pytest.MonkeyPatch) -> None:
+    async def scenario() -> None:
         crashes: list[BaseException] = []
         node = await node_for({"h": ("127.0.0.1", 9)}, crashes)
 
@@ -328,25 +328,25 @@
             raise RuntimeError("lost its way")
 
         monkeypatch.setattr(Balancer, "handle", broken)
-        node.arrived(FakeCall())
+        node.call_arrived(FakeCall())
         assert [str(crash) for crash in crashes] == ["lost its way"]
 
-    asyncio.run(scene())
+    asyncio.run(scenario())
 
 
 def test_late_answer_is_not_given_after_the_final_one() -> None:
-    async def scene() -> None:
+    async def scenario() -> None:
         host = await Host("h", never).start()
         crashes: list[BaseException] = []
         node = await node_for({"h": ("127.0.0.1", host.port)}, crashes)
         call = FakeCall(timeout_ms=150)
-        node.arrived(call)
+        node.call_arrived(call)
         await host.wait(lambda: len(host.seen) == 1)
-        await until(lambda: call.given)
+        await until(lambda: call.answers)
         await host.wait(lambda: not host.open)
-        assert call.given == ["failed"] and not node.owed and not crashes
+        assert call.answers == ["failed"] and not node.owed and not crashes
 
-    asyncio.run(scene())
+    asyncio.run(scenario())
 
 
 @pytest.mark.parametrize(
@@ -371,8 +371,8 @@
 # Discovery
 
 
-def test_silent_discovery_is_noticed_and_the_watch_resumes() -> None:
-    async def scene() -> None:
+def test_silent_discovery_is_detected_and_the_watch_resumes() -> None:
+    async def scenario() -> None:
         discovery = await Discovery().start()
         discovery.entries["h"] = {"id": "h", "addr": "127.0.0.1:9", "state": "active"}
         lists: list[HostList] = []
@@ -381,13 +381,13 @@
             ("127.0.0.1", discovery.port), UnixClock(), False, lists.append, lambda: failures.append(1)
         )
         watch.version, watch.hold_ms, watch.grace_s = 1, 100, 0.1
-        watch.start()  # nothing changes, and no answer comes when the wait is over
+        watch.start()  # no change, and no answer at the end of the hold time
         await until(lambda: failures)
         await discovery.change({"id": "h", "addr": "127.0.0.1:9", "state": "leaving"})
         watch.start()
         await until(lambda: len(lists) > 1)
         assert [call.partition("from=")[2] for call in discovery.calls[:3]] == [
-            "1&hold_ms=0",  # what is there already, without a wait
+            "1&hold_ms=0",  # the current list, without a wait
             "1&hold_ms=100",
             "1&hold_ms=100",
         ]
@@ -395,11 +395,11 @@
         assert [e.listed.state for e in lists[1].entries] == [EndpointState.DRAINING]
         watch.stop()
 
-    asyncio.run(scene())
+    asyncio.run(scenario())
 
 
-def test_hasty_answers_are_not_asked_for_in_a_loop() -> None:
-    async def scene() -> None:
+def test_early_answers_do_not_cause_a_busy_loop() -> None:
+    async def scenario() -> None:
         discovery = await Discovery().start()
         discovery.broken = [ok(b'{"version":1,"full":false,"servers":[]}')] * 1000
         watch = Watch(("127.0.0.1", discovery.port), UnixClock(), True, lambda _: None, lambda: None)
@@ -409,10 +409,10 @@
         watch.stop()
         assert 1 <= len(discovery.calls) <= 6
 
-    asyncio.run(scene())
+    asyncio.run(scenario())
 
 
-def test_start_times_are_put_on_the_modules_clock() -> None:
+def test_start_times_are_converted_to_the_monotonic_clock() -> None:
     clock = UnixClock()
     entry = {"id": "h", "addr": "127.0.0.1:9", "state": "active", "started_ms": 0}
     ((long_ago,), (started,)) = (
