--- a/cloverrouter/explore/canon.py
+++ b/cloverrouter/explore/canon.py
@@ -71,7 +71,7 @@
         (
             client.class_name, client.deadline_ms and _ago(world, client.deadline_ms), client.body_left,
             client.body_kept_by, client.left, client.streaming, tuple(client.given), client.starts,
-            client.upload is not None and client.upload.spent,
+            client.upload is not None and client.upload.consumed,
         )
         for client in world.clients.values()
     )  # fmt: skip
--- a/cloverrouter/explore/properties.py
+++ b/cloverrouter/explore/properties.py
@@ -55,8 +55,8 @@
     owed = sum(client.owed for client in world.clients.values())
     if world.lifecycle.open_calls != owed:
         yield f"rest: the lifecycle owes {world.lifecycle.open_calls} answers, the clients wait for {owed}"
-    if world.budget.held < 0:
-        yield f"rest: the budget of streams stands at {world.budget.held} bytes"
+    if world.budget.held_bytes < 0:
+        yield f"rest: the budget of streams stands at {world.budget.held_bytes} bytes"
     flying = sum(e.in_flight for e in world.balancer.membership.endpoints.values())
     if flying > len(world.wires) or any(
         e.in_flight < 0 for e in world.balancer.membership.endpoints.values()
@@ -77,8 +77,8 @@
     if world.wires or any(client.owed for client in world.clients.values()):
         return
     balancer = world.balancer
-    if world.budget.held:
-        yield f"rest: {world.budget.held} bytes are left in the budget of streams"
+    if world.budget.held_bytes:
+        yield f"rest: {world.budget.held_bytes} bytes are left in the budget of streams"
     if world.lifecycle.calls:
         yield f"rest: calls are left: {sorted(world.lifecycle.calls)}"
     if balancer.requests:
--- a/cloverrouter/explore/world.py
+++ b/cloverrouter/explore/world.py
@@ -509,7 +509,7 @@
             client = self.clients[call] = Client(arrival.class_name, deadline_ms, arrival.uploading)
             if arrival.uploading:
                 client.upload = Upload(self.budget, None, self._read_on)
-                client.upload.on_spent = partial(self._body_taken, call)
+                client.upload.on_consumed = partial(self._body_taken, call)
                 client.upload.feed(PIECE)
             self.engine.take(
                 RequestArrived(call, arrival.class_name, deadline_ms, uploading=arrival.uploading)
--- a/cloverrouter/proxy/frontend.py
+++ b/cloverrouter/proxy/frontend.py
@@ -542,7 +542,7 @@
         self._source = None
 
     def _set_held_bytes(self, size: int) -> None:
-        self._frontend.budget.held += size - self._held_bytes
+        self._frontend.budget.held_bytes += size - self._held_bytes
         self._held_bytes = size
 
     def _fail_connection(self, status: int) -> None:
@@ -597,7 +597,7 @@
         return self._transport is not None and unread(self._sock)
 
     @property
-    def moving(self) -> bool:
+    def has_unfinished_io(self) -> bool:
         """Whether an exit of the process would truncate an answer or lose an unread request."""
         return self.sending or (not self._ended and self.unread)
 
@@ -633,7 +633,7 @@
         if now_s - self.state_since_s >= (MIN_QUIET_S if self._has_requested else new_grace_s):
             self.close_idle()
 
-    def end_half_sent(self) -> None:
+    def fail_incomplete(self) -> None:
         """Answers an incomplete request with status 503."""
         if self.request_incomplete and not self.busy and not self.unread:
             self._fail_connection(503)
@@ -717,22 +717,22 @@
         """Whether the health check reports this process as available."""
         return not self.unavailable and self.handler.ready()
 
-    def send_away(self) -> None:
+    def start_draining(self) -> None:
         """Starts to drain: each connection closes once its calls are answered. New connections are still
         served."""
         self.draining = True
         self.close_idle()
 
-    def stay(self) -> None:
+    def stop_draining(self) -> None:
         """Ends the drain."""
         self.draining = self.unavailable = False
 
-    def leave_room(self, others: int) -> None:
+    def reserve_sockets(self, others: int) -> None:
         """Lowers the connection limit by the `others` connections that another process holds during a
         handover. Open calls are never evicted for it; only new connections are rejected."""
         self._max_open = max(self._max_open_alone // MIN_SHARE_DIVISOR, self._max_open_alone - others)
 
-    def take_in(self) -> bool:
+    def accept_waiting(self) -> bool:
         """Accepts the connections that wait in the listener's queue; returns whether there were any. Does
         nothing if another process accepts from the queue."""
         before = self.open
@@ -780,9 +780,9 @@
         return len(self._connections) + len(self._adopting)
 
     @property
-    def moving(self) -> bool:
-        """Whether `ClientConnection.moving` holds for any connection."""
-        return any(connection.moving for connection in self._connections)
+    def has_unfinished_io(self) -> bool:
+        """Whether `ClientConnection.has_unfinished_io` holds for any connection."""
+        return any(connection.has_unfinished_io for connection in self._connections)
 
     def class_of(self, path: bytes) -> str:
         """Returns `class_of` of the path, cached."""
@@ -832,10 +832,10 @@
         """Closes idle connections, also new ones that have sent nothing, as no more of them arrive."""
         self.close_idle(SILENT_CONNECTION_GRACE_S)
 
-    def end_half_sent(self) -> None:
+    def fail_incomplete(self) -> None:
         """Answers all incomplete requests with status 503."""
         for connection in list(self._connections):
-            connection.end_half_sent()
+            connection.fail_incomplete()
 
     def close(self) -> None:
         """Stops accepting connections."""
--- a/cloverrouter/proxy/node.py
+++ b/cloverrouter/proxy/node.py
@@ -331,7 +331,7 @@
         return bool(self._addresses)
 
     @property
-    def owed(self) -> int:
+    def pending_calls(self) -> int:
         """Number of calls without a final answer."""
         return self._lifecycle.open_calls
 
@@ -347,7 +347,7 @@
         self._calls[call_id], self._call_ids[call] = call, call_id
         self._request_ids.add(call.request_id)
         if upload is not None:
-            upload.on_spent = lambda: self.handle_event(BodyConsumed(call_id))
+            upload.on_consumed = lambda: self.handle_event(BodyConsumed(call_id))
         self.handle_event(
             RequestArrived(
                 request_id=call_id,
@@ -385,7 +385,7 @@
         self.handle_event(ProcessHalted())
 
     @property
-    def longest_ms(self) -> float:
+    def max_deadline_ms(self) -> float:
         """The longest deadline of the settings."""
         return self._max_deadline_ms
 
@@ -474,7 +474,7 @@
         self._apply_sentinel_effects(self._sentinel.tick(self.now_ms()))
         self._loop.call_later(PROBE_CHECK_INTERVAL_S, self._check_probes)
 
-    def news(self, data: bytes) -> None:
+    def on_datagram(self, data: bytes) -> None:
         """Handles a datagram of another proxy about the state of servers."""
         if self._sentinel is not None:
             self._apply_sentinel_effects(self._sentinel.heard(self.now_ms(), data))
@@ -490,7 +490,7 @@
 
     # Discovery
 
-    def listed(self, kind: ListKind, found: HostList) -> None:
+    def update_hosts(self, kind: ListKind, found: HostList) -> None:
         """Applies a list of hosts, or a change of it, from discovery or a previous process."""
         if kind is not ListKind.DELTA:
             self._addresses.clear()
@@ -532,11 +532,11 @@
         """Returns the balancer's state for the next process."""
         return memory_of(self._balancer)
 
-    def take_part(self, part: float, others_open: int = 0) -> None:
+    def set_share(self, part: float, others_open: int = 0) -> None:
         """Sets this process's share of the balancer's budgets, and the number of the other's open calls."""
         self.handle_event(ShareAssigned(part, others_open))
 
-    def known(self, version: int | None) -> HostList | None:
+    def current_hosts(self, version: int | None) -> HostList | None:
         """Returns the current list of hosts for the next process; None before there is one."""
         return HostList(version or 0, True, tuple(self._entries.values())) if self._entries else None
 
--- a/cloverrouter/proxy/program.py
+++ b/cloverrouter/proxy/program.py
@@ -60,7 +60,7 @@
         self._state_before = inherited.state if inherited is not None else {}
         memory = self._memory()
         self._peers = (
-            Peers(told.peers, lambda data: self._node.news(data)) if told.peers is not None else None
+            Peers(told.peers, lambda data: self._node.on_datagram(data)) if told.peers is not None else None
         )
         self._node = Node(
             told.settings,
@@ -81,7 +81,7 @@
         known = self._known() or told.known
         if known is not None:
             self._watch.version = known.version
-            self._node.listed(ListKind.RESTORED, known)
+            self._node.update_hosts(ListKind.RESTORED, known)
         if not told.settings.subscribe or known is None:
             self._watch.start()
             if known is not None:
@@ -131,7 +131,7 @@
             if watch is self._watch and self._watch_before is not None:
                 self._watch_before.stop()
                 self._watch_before = None
-            self._node.listed(ListKind.FULL if found.full else ListKind.DELTA, found)
+            self._node.update_hosts(ListKind.FULL if found.full else ListKind.DELTA, found)
 
         watch = Watch(
             address,
@@ -176,7 +176,7 @@
 
     def _gauges(self) -> Gauges:
         census = self._node.census()
-        return Gauges(self._node.owed + self._frontend.waiting, census.listed, census.avoided)
+        return Gauges(self._node.pending_calls + self._frontend.waiting, census.listed, census.avoided)
 
     def cordon(self, endpoint: str, on: bool) -> bool:
         known = self._cordon(endpoint, on)
@@ -199,9 +199,9 @@
         log.info("clients are sent away" if on else "back to work")
         self._frontend.unavailable = on
         if on:
-            self._frontend.send_away()
+            self._frontend.start_draining()
         elif not self._draining and self._successor is None:
-            self._frontend.stay()
+            self._frontend.stop_draining()
 
     def _tell_others(self, message: Json) -> None:
         for link in self._links:
@@ -223,7 +223,7 @@
             "quiesced": self._frontend.unavailable,
             "memory": handover.write_memory(self._node.memory()),
         }
-        known = self._node.known(self._watch.version)
+        known = self._node.current_hosts(self._watch.version)
         if known is not None:
             state["known"] = config.write_list(known, self._told.clock)
         return state
@@ -250,14 +250,14 @@
 
         Danger: halves of the sockets are too few for the new one, which soon has all of the clients.
         """
-        self._node.take_part(PART)
+        self._node.set_share(PART)
         while self._links:
-            open_now = [self._frontend.open, self._upstream.open, self._node.owed]
+            open_now = [self._frontend.open, self._upstream.open, self._node.pending_calls]
             self._tell_others({"open": open_now})
             await asyncio.sleep(SHARE_S)
-        self._node.take_part(1.0)
-        self._frontend.leave_room(0)
-        self._upstream.leave_room(0)
+        self._node.set_share(1.0)
+        self._frontend.reserve_sockets(0)
+        self._upstream.reserve_sockets(0)
 
     def _link(self, sock: socket.socket) -> Link:
         link = Link(sock, self._heard, self._lost)
@@ -288,14 +288,14 @@
         if message.get("ready") is True and link is not self._predecessor:
             self._successor = link
             self._frontend.accept_no_more()
-            self._frontend.send_away()
+            self._frontend.start_draining()
         if isinstance(message.get("cordon"), str) and isinstance(message.get("on"), bool):
             self._cordon(message["cordon"], message["on"])
         match message.get("open"):
             case [int(clients), int(servers), int(requests)]:
-                self._node.take_part(PART, requests)
-                self._frontend.leave_room(clients)
-                self._upstream.leave_room(servers)
+                self._node.set_share(PART, requests)
+                self._frontend.reserve_sockets(clients)
+                self._upstream.reserve_sockets(servers)
         if isinstance(message.get("quiesce"), bool):
             self._quiesce(message["quiesce"])
 
@@ -315,7 +315,7 @@
                     self._giver.stop()
                 self._offer()
                 if not self._frontend.unavailable:
-                    self._frontend.stay()
+                    self._frontend.stop_draining()
 
     # Leaving
 
@@ -325,14 +325,14 @@
         loop, frontend, node = self._loop, self._frontend, self._node
         # The front asks this address whether to come; where another process serves it already, it may.
         frontend.unavailable = frontend.unavailable or not self._links
-        frontend.send_away()
+        frontend.start_draining()
         leaving = Shutdown()
-        leaving.begin(loop.time(), node.longest_ms / 1000)
+        leaving.begin(loop.time(), node.max_deadline_ms / 1000)
         nobody_waits = taken_in = False
         while not leaving.over:
-            moving = not node.owed and frontend.moving
+            moving = not node.pending_calls and frontend.has_unfinished_io
             seen = Observation(
-                node.owed, frontend.open, self._successor is not None, nobody_waits, taken_in, moving
+                node.pending_calls, frontend.open, self._successor is not None, nobody_waits, taken_in, moving
             )
             nobody_waits = taken_in = False
             for do in leaving.next_actions(loop.time(), seen):
@@ -342,13 +342,13 @@
                     case ShutdownAction.CLOSE_SILENT:
                         frontend.close_silent()
                     case ShutdownAction.FAIL_INCOMPLETE:
-                        frontend.end_half_sent()
+                        frontend.fail_incomplete()
                     case ShutdownAction.HALT:
-                        owed = node.owed
+                        owed = node.pending_calls
                         node.halt()
-                        log.warning("%d requests are failed: no time is left", owed - node.owed)
+                        log.warning("%d requests are failed: no time is left", owed - node.pending_calls)
                     case ShutdownAction.ACCEPT_WAITING:
-                        taken_in = frontend.take_in()
+                        taken_in = frontend.accept_waiting()
                         nobody_waits = not taken_in
             # Danger: whoever comes between this look and the next would be lost with the listener.
             if not leaving.over and not nobody_waits:
--- a/cloverrouter/proxy/streams.py
+++ b/cloverrouter/proxy/streams.py
@@ -23,12 +23,12 @@
     def __init__(self, memory_mb: float) -> None:
         """Derives the limit from the memory that the process may use."""
         self.limit_bytes = max(MIN_BUDGET_BYTES, int((memory_mb - RESERVED_MB) * BUDGET_SHARE * 1024 * 1024))
-        self.held = 0
+        self.held_bytes = 0
 
     @property
     def exceeded(self) -> bool:
         """Whether the streams buffer more than the limit."""
-        return self.held > self.limit_bytes
+        return self.held_bytes > self.limit_bytes
 
     def is_full_for(self, stream_bytes: int) -> bool:
         """Whether a stream that buffers `stream_bytes` bytes has to pause its source."""
@@ -42,9 +42,9 @@
         self.length = length  # from Content-Length; None: chunked
         self.size = 0  # bytes received
         self.ended = False  # the last byte has been received
-        self.spent = False  # a piece was taken: the body can't be sent to another host any more
+        self.consumed = False  # a piece was taken: the body can't be sent to another host any more
         self.on_data: Callable[[], None] | None = None  # set by the attempt that takes from it
-        self.on_spent: Callable[[], None] | None = None  # called once, before the first piece is sent
+        self.on_consumed: Callable[[], None] | None = None  # called once, before the first piece is sent
         self._budget = budget
         self._resume = resume
         self._pieces: deque[bytes] = deque()
@@ -76,10 +76,10 @@
         if not self._pieces:
             return None
         data = self._pieces.popleft()
-        if not self.spent:
-            self.spent = True
-            if self.on_spent is not None:
-                self.on_spent()
+        if not self.consumed:
+            self.consumed = True
+            if self.on_consumed is not None:
+                self.on_consumed()
         self._adjust_held(-len(data))
         if not self.ended and not self.full:
             self._resume()
@@ -93,7 +93,7 @@
 
     def _adjust_held(self, delta: int) -> None:
         self._held_bytes += delta
-        self._budget.held += delta
+        self._budget.held_bytes += delta
 
 
 @dataclass(frozen=True, slots=True)
--- a/cloverrouter/proxy/upstream.py
+++ b/cloverrouter/proxy/upstream.py
@@ -534,7 +534,7 @@
         for host in [h for h in self._pools if h[0] == name]:
             self._pools[host].drop_idle()
 
-    def leave_room(self, others: int) -> None:
+    def reserve_sockets(self, others: int) -> None:
         """Lowers the socket limit by the `others` sockets that another process holds during a handover."""
         self._max_open = max(self._max_open_alone // MIN_SHARE_DIVISOR, self._max_open_alone - others)
         while self.open > self._max_open and close_longest_idle(self._pools.values()):
--- a/tests/test_closing.py
+++ b/tests/test_closing.py
@@ -287,7 +287,7 @@
             await loop.sock_connect(sock, app._told.listen)
             await loop.sock_sendall(sock, ask("Connection: close\r\n"))
             got = 0
-            while not got or app._node.owed:
+            while not got or app._node.pending_calls:
                 got += len(await loop.sock_recv(sock, 4096))
             # The answer has arrived from the host completely, but is not sent completely.
             assert [c.sending for c in app._frontend._connections] == [True]
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -65,7 +65,7 @@
 
     def set_hosts(self, **hosts: Address) -> None:
         entries = tuple(HostEntry(ListedEndpoint(name), address) for name, address in hosts.items())
-        self.node.listed(ListKind.FULL, HostList(1, True, entries))
+        self.node.update_hosts(ListKind.FULL, HostList(1, True, entries))
 
     async def client(self) -> Client:
         return Client(*await asyncio.open_connection(*self.address))
@@ -121,7 +121,7 @@
     first.send("/unsafe", timeout_ms=30_000)
     await host.wait(lambda: len(host.seen) == 1)
     second.send("/unsafe", timeout_ms=30_000)
-    await until(lambda: app.node.owed == 2)
+    await until(lambda: app.node.pending_calls == 2)
     assert len(host.seen) == 1
     return host, first, second
 
@@ -136,12 +136,12 @@
             host, _first, second = await hold_second_request(app)
             if how == "reset":  # the transport closes in a later iteration, not in this step
                 disconnect(second, how)
-                await until(lambda: app.node.owed == 1)
+                await until(lambda: app.node.pending_calls == 1)
             else:
                 second.writer.get_extra_info("socket").shutdown(socket.SHUT_WR)
             (active,) = app.node._active_attempts.values()
             active.on_ended(Outcome.OK, Answer(200, b"room", b"", False, None))
-            assert not app.node._active_attempts and not app.node.owed  # nothing is being sent
+            assert not app.node._active_attempts and not app.node.pending_calls  # nothing is being sent
             third = await app.client()
             host.respond = answer_ok
             assert (await third.ask("/unsafe")).status == 200
@@ -162,7 +162,7 @@
                 raw.shutdown(socket.SHUT_WR)
             (active,) = app.node._active_attempts.values()
             active.on_ended(Outcome.OK, Answer(200, b"room", b"", False, None))
-            assert not app.node._active_attempts and not app.node.owed
+            assert not app.node._active_attempts and not app.node.pending_calls
             assert len(host.seen) == 1
 
     asyncio.run(scenario())
@@ -194,7 +194,7 @@
             connection._transport.pause_reading()  # as in a process that stands still
             client.writer.get_extra_info("socket").shutdown(socket.SHUT_WR)
             go.set()
-            await until(lambda: not app.node.owed)
+            await until(lambda: not app.node.pending_calls)
             await host.wait(lambda: host.connections == 1)
             monkeypatch.undo()
             third = await app.client()
@@ -265,7 +265,7 @@
             assert connection._sock.recv(1, socket.MSG_PEEK) == b"y"  # behind these bytes
             (active,) = app.node._active_attempts.values()
             active.on_ended(Outcome.OK, Answer(200, b"room", b"", False, None))
-            assert not app.node._active_attempts and not app.node.owed
+            assert not app.node._active_attempts and not app.node.pending_calls
 
     asyncio.run(scenario())
 
@@ -280,9 +280,9 @@
             await until(lambda: sum(len(host.seen) for host in hosts) == 1)
             (active,) = app.node._active_attempts.values()
             active.on_ended(Outcome.RESET, None)
-            assert app.node.owed and not app.node._active_attempts  # backoff before the next attempt
+            assert app.node.pending_calls and not app.node._active_attempts  # backoff before the next attempt
             client.writer.get_extra_info("socket").shutdown(socket.SHUT_WR)
-            await until(lambda: not app.node.owed)
+            await until(lambda: not app.node.pending_calls)
             for call in list(app.node._balancer.timers.values()):
                 call()  # the retry timer still fires
             assert not app.node._active_attempts
@@ -302,7 +302,7 @@
             client.writer.write(b"POST /unsafe HTTP/1.1\r\nX-Request")  # and a part of a third
             await host.wait(lambda: len(host.seen) == 1)
             disconnect(client, "close")
-            await until(lambda: not app.node.owed and not app.front.waiting)
+            await until(lambda: not app.node.pending_calls and not app.front.waiting)
             host.respond = answer_ok
             assert (await (await app.client()).ask("/unsafe")).status == 200
             assert len(host.seen) == 2
@@ -327,7 +327,7 @@
                 gone.sendall(b"POST /unsafe HTTP/1.1\r\nX-Request-ID: gone\r\nContent-Length: 0\r\n\r\n")
             app.front._accept(app.front.listener)
             assert app.front.open == 2
-            await until(lambda: app.front.open == 1 and not app.node.owed)
+            await until(lambda: app.front.open == 1 and not app.node.pending_calls)
             assert (await first.ask("/unsafe")).status == 200
             assert [seen.message.headers["x-request-id"] for seen in host.seen].count("gone") == 0
 
@@ -373,7 +373,7 @@
             client.send("/keyed", timeout_ms=30_000)
             await host.wait(lambda: len(host.seen) == 1)
             entry = HostEntry(ListedEndpoint("slow"), listener.getsockname())
-            app.node.listed(ListKind.DELTA, HostList(2, False, (entry,)))
+            app.node.update_hosts(ListKind.DELTA, HostList(2, False, (entry,)))
             (active,) = app.node._active_attempts.values()
             active.on_ended(Outcome.RESET, None)
             await until(lambda: [active.host for active in app.node._active_attempts.values()] == ["slow"])
--- a/tests/test_hosts.py
+++ b/tests/test_hosts.py
@@ -377,7 +377,7 @@
 
         def listed(version: int, *hosts: tuple[str, Host]) -> None:
             entries = tuple(HostEntry(ListedEndpoint(n), ("127.0.0.1", h.port)) for n, h in hosts)
-            node.listed(ListKind.FULL, HostList(version, True, entries))
+            node.update_hosts(ListKind.FULL, HostList(version, True, entries))
 
         sizes = []
         for turn in range(6):
@@ -392,7 +392,7 @@
                 if i % 5 == 0:
                     node.client_disconnected(call)
                 await asyncio.sleep(0.002)
-            await until(lambda: not node.owed and not node._calls)
+            await until(lambda: not node.pending_calls and not node._calls)
             # One answer each, except for clients that disconnected before.
             assert all(
                 len(call.answers) == 1 or (i % 5 == 0 and not call.answers) for i, call in enumerate(calls)
--- a/tests/test_streams.py
+++ b/tests/test_streams.py
@@ -365,23 +365,23 @@
             if not upload.full:
                 upload.feed(b"z" * 32_768)
     # Beyond the budget, each stream buffers at most one more piece.
-    assert budget.held <= MIN_BUDGET_BYTES + 100 * 32_768
+    assert budget.held_bytes <= MIN_BUDGET_BYTES + 100 * 32_768
     assert all(upload.full for upload in uploads)
-    held = budget.held
+    held = budget.held_bytes
     assert len(uploads[0].take() or b"") == 32_768
-    assert budget.held == held - 32_768
+    assert budget.held_bytes == held - 32_768
     for upload in uploads:
         upload.drop()
-    assert budget.held == 0
+    assert budget.held_bytes == 0
     assert not budget.is_full_for(STREAM_HIGH_WATER_BYTES - 1)
 
 
 def test_upload_is_consumed_with_its_first_piece() -> None:
     upload = Upload(Budget(0), 10, lambda: None)
     upload.feed(b"01234")
-    assert not upload.spent
+    assert not upload.consumed
     assert upload.take() == b"01234"
-    assert upload.spent
+    assert upload.consumed
     upload.ended = True
     assert upload.exhausted
 
@@ -526,10 +526,10 @@
             Settings((DEADLINE_CLASS,)), 1, upstream, lambda: None, lambda error: pytest.fail(repr(error))
         )
         address = "127.0.0.1", host.port
-        node.listed(ListKind.FULL, HostList(1, True, (HostEntry(ListedEndpoint("h"), address),)))
+        node.update_hosts(ListKind.FULL, HostList(1, True, (HostEntry(ListedEndpoint("h"), address),)))
         call, asked_s = StreamedCall(), time.monotonic()
         node.call_arrived(call)
-        await until(lambda: ends and not node.owed)
+        await until(lambda: ends and not node.pending_calls)
         assert (call.answers, ends, call.body == body) == (["begun", "whole"], ["given"], True)
         # The first bytes arrived in time, and were forwarded in time.
         assert call.begun_s - asked_s < DEADLINE_S + before_s
@@ -548,10 +548,10 @@
             Settings((DEADLINE_CLASS,)), 1, upstream, lambda: None, lambda error: pytest.fail(repr(error))
         )
         address = "127.0.0.1", host.port
-        node.listed(ListKind.FULL, HostList(1, True, (HostEntry(ListedEndpoint("h"), address),)))
+        node.update_hosts(ListKind.FULL, HostList(1, True, (HostEntry(ListedEndpoint("h"), address),)))
         call = StreamedCall()
         node.call_arrived(call)
-        await until(lambda: not node.owed)
+        await until(lambda: not node.pending_calls)
         assert call.answers == ["failed"]
 
     asyncio.run(scenario())
@@ -608,7 +608,7 @@
         async with asyncio.timeout(LONG_S):
             _, headers = await read_head(reader)
             if ends == "in a quiesce":
-                frontend.send_away()
+                frontend.start_draining()
             got = b""
             while len(got) < int(headers["content-length"]):
                 data = await reader.read(2048)
--- a/tests/test_upstream.py
+++ b/tests/test_upstream.py
@@ -298,7 +298,7 @@
 async def node_for(addresses: dict[str, tuple[str, int]], crashes: list[BaseException]) -> Node:
     node = Node(SETTINGS, 1, Upstream(8, 60_000, 20_000), lambda: None, crashes.append)
     entries = tuple(HostEntry(ListedEndpoint(name), address) for name, address in addresses.items())
-    node.listed(ListKind.RESTORED, HostList(1, True, entries))
+    node.update_hosts(ListKind.RESTORED, HostList(1, True, entries))
     return node
 
 
@@ -311,7 +311,7 @@
         node.call_arrived(call)
         assert not call.answers
         draining = HostEntry(ListedEndpoint("h", state=EndpointState.DRAINING), listener.getsockname())
-        node.listed(ListKind.DELTA, HostList(2, False, (draining,)))
+        node.update_hosts(ListKind.DELTA, HostList(2, False, (draining,)))
         assert call.answers == ["refused"]  # it never ran; unsafe requests get one attempt
         assert not crashes
         listener.close()
@@ -344,7 +344,7 @@
         await host.wait(lambda: len(host.seen) == 1)
         await until(lambda: call.answers)
         await host.wait(lambda: not host.open)
-        assert call.answers == ["failed"] and not node.owed and not crashes
+        assert call.answers == ["failed"] and not node.pending_calls and not crashes
 
     asyncio.run(scenario())
 
