--- a/cloverrouter/fleet/__init__.py
+++ b/cloverrouter/fleet/__init__.py
@@ -1,3 +1,3 @@
-"""What one of many instances may take of servers that all of them share: fewer servers each, fewer
-connections for a shorter time, rarer probes and calls, the more instances there are. Numbers in, numbers out.
+"""Limits and failure detection for one of many instances that share the same servers: the more instances
+there are, the fewer servers, connections, probes and discovery calls each may use. No I/O.
 """
--- a/cloverrouter/fleet/news.py
+++ b/cloverrouter/fleet/news.py
@@ -1,9 +1,9 @@
-"""What client proxies tell each other of servers: small datagrams, read with suspicion.
+"""The datagrams by which client proxies report servers' health to each other. Input is not trusted.
 
-A datagram is a head of three bytes (a mark, the version, how many entries) and so many entries of nine: six
-bytes of the server's hashed name, one that says whether it is of use (1), is not (0) or is in doubt (2), and
-how long ago that was seen, in milliseconds; of a doubt, how long ago that was sent which has had no answer.
-Ages and not times go out, so that no two clocks need to agree.
+A datagram is a header of three bytes (magic number, version, number of entries) and that many entries of nine
+bytes: six bytes of the server's hashed name, one byte for its health (1 reachable, 0 unreachable, 2
+suspected), and the age of the observation in milliseconds; for a suspicion, the time since the unanswered
+attempt was sent. Ages are sent rather than times, so that clocks need not agree.
 """
 
 from __future__ import annotations
@@ -13,52 +13,54 @@
 from dataclasses import dataclass
 from hashlib import blake2b
 
-MARK, VERSION = 0xC7, 1
-HEAD = struct.Struct("!BBB")
+MAGIC, VERSION = 0xC7, 1
+HEADER = struct.Struct("!BBB")
 ENTRY = struct.Struct("!6sBH")
-MOST_BYTES = 256  # of one datagram, as the platform allows
-MOST_ENTRIES = (MOST_BYTES - HEAD.size) // ENTRY.size
-DOUBT = 2
-MOST_AGE_MS = 5000.0  # older news is no news
+MAX_DATAGRAM_BYTES = 256  # the platform's limit for one datagram
+MAX_ENTRIES = (MAX_DATAGRAM_BYTES - HEADER.size) // ENTRY.size
+SUSPECTED = 2
+MAX_AGE_MS = 5000.0  # older observations are ignored
 
 
 @dataclass(frozen=True, slots=True)
-class News:
-    """One proxy's word on one server."""
+class HealthReport:
+    """One proxy's observation of one server."""
 
-    server: bytes  # as `key` gives it
-    reached: bool
+    server_key: bytes  # as `server_key` returns it
+    reachable: bool
     age_ms: float
-    doubt: bool = False  # not reached by this one: has anybody been answered since?
+    suspected: bool = False  # an attempt timed out: has any proxy had an answer since it was sent?
 
 
-def key(name: str) -> bytes:
-    """Six bytes that stand for a server's name."""
+def server_key(name: str) -> bytes:
+    """Returns the six bytes that stand for a server's name."""
     return blake2b(name.encode(), digest_size=6).digest()
 
 
-def write(news: Sequence[News]) -> bytes:
-    """One datagram. Raises ValueError for more than fits into one."""
-    if len(news) > MOST_ENTRIES:
-        raise ValueError(f"{len(news)} entries, allowed are {MOST_ENTRIES}")
+def encode(reports: Sequence[HealthReport]) -> bytes:
+    """Returns one datagram. Raises ValueError for more reports than fit into one."""
+    if len(reports) > MAX_ENTRIES:
+        raise ValueError(f"{len(reports)} entries, allowed are {MAX_ENTRIES}")
     entries = [
-        ENTRY.pack(n.server, DOUBT if n.doubt else n.reached, min(0xFFFF, max(0, round(n.age_ms))))
-        for n in news
+        ENTRY.pack(
+            r.server_key, SUSPECTED if r.suspected else r.reachable, min(0xFFFF, max(0, round(r.age_ms)))
+        )
+        for r in reports
     ]
-    return HEAD.pack(MARK, VERSION, len(news)) + b"".join(entries)
+    return HEADER.pack(MAGIC, VERSION, len(reports)) + b"".join(entries)
 
 
-def read(data: bytes) -> list[News] | None:
-    """What a datagram holds; None for one that is foreign, of another version, or not of its stated size."""
-    if not HEAD.size <= len(data) <= MOST_BYTES:
+def decode(data: bytes) -> list[HealthReport] | None:
+    """Returns a datagram's reports; None for one with another magic number, version or size."""
+    if not HEADER.size <= len(data) <= MAX_DATAGRAM_BYTES:
         return None
-    mark, version, count = HEAD.unpack_from(data)
-    if (mark, version) != (MARK, VERSION) or len(data) != HEAD.size + count * ENTRY.size:
+    magic, version, count = HEADER.unpack_from(data)
+    if (magic, version) != (MAGIC, VERSION) or len(data) != HEADER.size + count * ENTRY.size:
         return None
-    found = []
-    for server, word, age_ms in ENTRY.iter_unpack(data[HEAD.size :]):
-        if word > DOUBT:
+    reports = []
+    for server, health, age_ms in ENTRY.iter_unpack(data[HEADER.size :]):
+        if health > SUSPECTED:
             return None
-        if age_ms <= MOST_AGE_MS:
-            found.append(News(server, word == 1, float(age_ms), word == DOUBT))
-    return found
+        if age_ms <= MAX_AGE_MS:
+            reports.append(HealthReport(server, health == 1, float(age_ms), health == SUSPECTED))
+    return reports
--- a/cloverrouter/fleet/sentinel.py
+++ b/cloverrouter/fleet/sentinel.py
@@ -1,19 +1,19 @@
-"""Which servers are of no use now, as one proxy of many finds out with the others. No I/O.
-
-One proxy of many meets each server seldom: forty that learn alone of one that hangs lose forty requests
-and more to it, and again each time that they try whether it is back. So what one has seen is told to the
-others, in small datagrams: a server that took no connection is left out by all; the first that gets an
-answer from it says so. Each tries again by itself after a time that is drawn anew, and longer the more
-proxies there are, so that few of them pay for finding out.
-
-An attempt that ran out of time shows much less: of hundreds of proxies with a few requests a second each,
-none can tell a server that hangs from one that is busy or has lost one answer, and each late answer would
-have all leave out a server that works. So it is put as a doubt. Whoever has been answered since that attempt
-was sent says so; only if nobody does within a moment is the server left out, by each for itself.
-
-Own evidence comes first: whoever has been answered lately contradicts. Hearsay never makes a server
-eligible, it can only leave one out, for a bounded time, and never more than half of the list, whatever
-peers say.
+"""Failure detection: which servers are unreachable, as one of many proxies finds out with its peers. No I/O.
+
+Each of many proxies sends to a given server only rarely. Forty proxies that detect a hung server on their own
+lose forty requests and more to it, and again each time they try whether it has recovered. So proxies send
+their observations to their peers in small datagrams: a server that accepts no connection is excluded by all,
+and the first proxy that gets an answer from it says so. Each proxy tries an excluded server again after a
+random time, which is longer the more proxies there are, so that few of them lose a request to find out.
+
+A timed-out attempt is weaker evidence: of hundreds of proxies with a few requests a second each, none can
+tell a hung server from a busy one or from one lost answer, and each late answer would make all proxies
+exclude a working server. So a timeout is sent as a suspicion. A proxy that had an answer after the suspected
+attempt was sent refutes it; only if none does so in time does each proxy exclude the server.
+
+A proxy's own evidence takes precedence: one that had an answer recently refutes a report. Reports from peers
+never make a server eligible. They can only exclude one, for a bounded time, and never more than half of the
+list, whatever peers send.
 """
 
 from __future__ import annotations
@@ -23,30 +23,30 @@
 from random import Random
 
 from cloverrouter.fleet import news
-from cloverrouter.fleet.news import News
+from cloverrouter.fleet.news import HealthReport
 
-# A proxy leaves a server out for this long by itself, and so much longer for each other proxy that may try
-# before it; half to one and a half times that, by chance.
-ALONE_MS = 1000.0
-EACH_MS = 100.0
-MOST_MS = 10_000.0
-OWN_MS = 500.0  # an own answer this fresh outweighs what peers say
-LEFT_OUT_MOST = 0.5  # of the list
-DOUBT_MS = 100.0  # in which a doubt may be contradicted: about three times what a datagram takes
-AGAIN_MS = 1000.0  # news that was told or heard so lately is not repeated
+# The time for which a server is excluded: a base, plus a part for each peer that may try it first, multiplied
+# by a random factor from 0.5 to 1.5.
+BASE_EXCLUSION_MS = 1000.0
+EXCLUSION_PER_PEER_MS = 100.0
+MAX_EXCLUSION_MS = 10_000.0
+OWN_ANSWER_FRESH_MS = 500.0  # an own answer not older than this outweighs peers' reports
+MAX_EXCLUDED_SHARE = 0.5  # of the listed servers
+SUSPICION_TIMEOUT_MS = 100.0  # in which a suspicion may be refuted: about three times a datagram's delay
+REPEAT_INTERVAL_MS = 1000.0  # a report that was sent or received within this time is not sent again
 
 
 @dataclass(frozen=True, slots=True)
 class Verdict:
-    """Whether this server is of use; said when that changes."""
+    """A server has become reachable or unreachable."""
 
     server: str
-    reached: bool
+    reachable: bool
 
 
 @dataclass(frozen=True, slots=True)
 class Say:
-    """Send this to all peers."""
+    """Send this datagram to all peers."""
 
     data: bytes
 
@@ -55,151 +55,165 @@
 
 
 class _Server:
-    """What is known of one."""
-
-    __slots__ = ("alive_ms", "key", "known_ms", "seen_ms", "told", "told_ms", "until_ms")
+    """What is known of one server."""
+
+    __slots__ = (
+        "confirmed_ms",
+        "excluded_until_ms",
+        "key",
+        "last_answer_ms",
+        "observed_ms",
+        "reported_ms",
+        "reported_reachable",
+    )
 
     def __init__(self, name: str) -> None:
-        self.key = news.key(name)
-        self.alive_ms = float("-inf")  # its last answer to us
-        self.known_ms = float("-inf")  # the last answer to anybody that all have been told of
-        self.until_ms = float("-inf")  # left out until then
-        self.seen_ms = float("-inf")  # when what stands was observed, by whomever
-        self.told = True  # what the last news of it was, told or heard
-        self.told_ms = float("-inf")
+        self.key = news.server_key(name)
+        self.last_answer_ms = float("-inf")  # to this proxy
+        self.confirmed_ms = float("-inf")  # the latest answer to any proxy that all were told of
+        self.excluded_until_ms = float("-inf")
+        self.observed_ms = float("-inf")  # when the current state was observed, by any proxy
+        self.reported_reachable = True  # the latest report, sent or received
+        self.reported_ms = float("-inf")
 
 
 class Sentinel:
-    """One proxy's watch over the servers on its list."""
+    """The failure detector of one proxy. Times are in milliseconds of one monotonic clock."""
 
     def __init__(self, instances: int, random: Random) -> None:
-        """`instances`: proxies that tell each other, this one included."""
+        """`instances`: the proxies that send each other reports, this one included."""
         self._random = random
         self._servers: dict[str, _Server] = {}
         self._names: dict[bytes, str] = {}
-        self._out: dict[str, _Server] = {}
-        self._doubts: dict[str, float] = {}  # until when they may be contradicted
-        self.rest_ms = min(MOST_MS, ALONE_MS + EACH_MS * max(0, instances - 1))
-        self.unread = 0  # datagrams that could not be read
+        self._excluded: dict[str, _Server] = {}
+        self._suspected_until_ms: dict[str, float] = {}  # until when a suspicion may be refuted
+        self.exclusion_ms = min(
+            MAX_EXCLUSION_MS, BASE_EXCLUSION_MS + EXCLUSION_PER_PEER_MS * max(0, instances - 1)
+        )
+        self.malformed_datagrams = 0
 
     @property
-    def left_out(self) -> Iterable[str]:
-        return self._out.keys()
+    def excluded(self) -> Iterable[str]:
+        return self._excluded.keys()
 
     def listed(self, names: Iterable[str]) -> None:
-        """These may be sent to, and no others."""
+        """Sets the servers that may be sent to."""
         wanted = dict.fromkeys(names)
         for name in [name for name in self._servers if name not in wanted]:
             del self._names[self._servers.pop(name).key]
-            self._out.pop(name, None)
-            self._doubts.pop(name, None)
+            self._excluded.pop(name, None)
+            self._suspected_until_ms.pop(name, None)
         for name in wanted:
             if name not in self._servers:
                 server = self._servers[name] = _Server(name)
                 self._names[server.key] = name
 
     def answered(self, now_ms: float, name: str) -> list[Effect]:
-        """It has answered an attempt, with whatever."""
+        """Records an answer to an attempt, of any status."""
         server = self._servers.get(name)
         if server is None:
             return []
-        server.alive_ms = now_ms
-        doubted = self._doubts.pop(name, None) is not None
-        if server.told and not doubted:
+        server.last_answer_ms = now_ms
+        was_suspected = self._suspected_until_ms.pop(name, None) is not None
+        if server.reported_reachable and not was_suspected:
             return []
-        return [*self._back(name), *self._say(now_ms, server, True)]
+        return [*self._readmit(name), *self._send_report(now_ms, server, True)]
 
     def refused(self, now_ms: float, name: str) -> list[Effect]:
-        """It took no connection."""
+        """Records that the server accepted no connection."""
         server = self._servers.get(name)
-        return self._fault(now_ms, name, server) if server is not None else []
+        return self._record_failure(now_ms, name, server) if server is not None else []
 
     def unanswered(self, now_ms: float, name: str, sent_ms: float) -> list[Effect]:
-        """An attempt that went out at `sent_ms` has run out of time."""
+        """Records that an attempt sent at `sent_ms` has timed out."""
         server = self._servers.get(name)
-        if server is None or max(server.alive_ms, server.known_ms) >= sent_ms:
-            return []  # it is there, and slow: the module's own figures tell how slow
-        if not server.told:  # tried again, and still nothing
-            return self._fault(now_ms, name, server)
-        if name in self._doubts:
+        if server is None or max(server.last_answer_ms, server.confirmed_ms) >= sent_ms:
+            return []  # reachable but slow: the balancer's own estimates account for that
+        if not server.reported_reachable:  # tried again without an answer
+            return self._record_failure(now_ms, name, server)
+        if name in self._suspected_until_ms:
             return []
-        self._doubts[name] = now_ms + DOUBT_MS
-        return [Say(news.write([News(server.key, False, now_ms - sent_ms, doubt=True)]))]
+        self._suspected_until_ms[name] = now_ms + SUSPICION_TIMEOUT_MS
+        return [Say(news.encode([HealthReport(server.key, False, now_ms - sent_ms, suspected=True)]))]
 
     def heard(self, now_ms: float, data: bytes) -> list[Effect]:
-        """A datagram came."""
-        found = news.read(data)
-        if found is None:
-            self.unread += 1
+        """Handles a datagram from a peer."""
+        reports = news.decode(data)
+        if reports is None:
+            self.malformed_datagrams += 1
             return []
         effects: list[Effect] = []
-        for item in found:
-            name = self._names.get(item.server)
+        for report in reports:
+            name = self._names.get(report.server_key)
             if name is not None:
-                effects += self._hear(now_ms, name, self._servers[name], item)
+                effects += self._apply_report(now_ms, name, self._servers[name], report)
         return effects
 
-    def _hear(self, now_ms: float, name: str, server: _Server, item: News) -> list[Effect]:
-        seen_ms = now_ms - item.age_ms
-        if item.doubt:
-            return self._hear_doubt(now_ms, name, server, seen_ms)
-        if item.reached:
-            server.known_ms = max(server.known_ms, seen_ms)
-            self._doubts.pop(name, None)
-        if seen_ms <= server.seen_ms:
+    def _apply_report(self, now_ms: float, name: str, server: _Server, report: HealthReport) -> list[Effect]:
+        observed_ms = now_ms - report.age_ms
+        if report.suspected:
+            return self._apply_suspicion(now_ms, name, server, observed_ms)
+        if report.reachable:
+            server.confirmed_ms = max(server.confirmed_ms, observed_ms)
+            self._suspected_until_ms.pop(name, None)
+        if observed_ms <= server.observed_ms:
             return []  # late, or a duplicate
-        if not item.reached and seen_ms - server.alive_ms < OWN_MS:
-            return self._tell(now_ms, server, True)
-        server.seen_ms, server.told, server.told_ms = seen_ms, item.reached, now_ms
-        return self._back(name) if item.reached else self._leave_out(now_ms, name, server)
-
-    def _hear_doubt(self, now_ms: float, name: str, server: _Server, sent_ms: float) -> list[Effect]:
-        if server.known_ms >= sent_ms:
-            return []  # whoever doubts it will have heard
-        if server.alive_ms >= sent_ms:
-            return self._say(now_ms, server, True)
-        if server.told:
-            self._doubts.setdefault(name, now_ms + DOUBT_MS)
+        if not report.reachable and observed_ms - server.last_answer_ms < OWN_ANSWER_FRESH_MS:
+            return self._report(now_ms, server, True)
+        server.observed_ms, server.reported_reachable, server.reported_ms = (
+            observed_ms,
+            report.reachable,
+            now_ms,
+        )
+        return self._readmit(name) if report.reachable else self._exclude(now_ms, name, server)
+
+    def _apply_suspicion(self, now_ms: float, name: str, server: _Server, sent_ms: float) -> list[Effect]:
+        if server.confirmed_ms >= sent_ms:
+            return []  # already refuted by a report that was sent to all
+        if server.last_answer_ms >= sent_ms:
+            return self._send_report(now_ms, server, True)
+        if server.reported_reachable:
+            self._suspected_until_ms.setdefault(name, now_ms + SUSPICION_TIMEOUT_MS)
         return []
 
     def tick(self, now_ms: float) -> list[Effect]:
-        """To be called every so often: who has been left out for long enough is tried again, and whom nobody
-        spoke for is left out."""
+        """Excludes servers whose suspicion nobody has refuted in time, and readmits those whose exclusion has
+        expired. To be called regularly."""
         effects: list[Effect] = []
-        for name in [name for name, until_ms in self._doubts.items() if now_ms >= until_ms]:
-            del self._doubts[name]
+        for name in [name for name, until_ms in self._suspected_until_ms.items() if now_ms >= until_ms]:
+            del self._suspected_until_ms[name]
             server = self._servers[name]
-            server.seen_ms, server.told, server.told_ms = now_ms, False, now_ms
-            effects += self._leave_out(now_ms, name, server)
-        over = [name for name, server in self._out.items() if now_ms >= server.until_ms]
-        return effects + [effect for name in over for effect in self._back(name)]
-
-    def _fault(self, now_ms: float, name: str, server: _Server) -> list[Effect]:
-        effects = self._leave_out(now_ms, name, server)
-        return [*effects, *self._tell(now_ms, server, False)]
-
-    def _tell(self, now_ms: float, server: _Server, reached: bool) -> list[Effect]:
-        """Say so, unless the others were told lately."""
-        if server.told is reached and now_ms - server.told_ms < AGAIN_MS:
-            server.seen_ms = now_ms
+            server.observed_ms, server.reported_reachable, server.reported_ms = now_ms, False, now_ms
+            effects += self._exclude(now_ms, name, server)
+        expired = [name for name, server in self._excluded.items() if now_ms >= server.excluded_until_ms]
+        return effects + [effect for name in expired for effect in self._readmit(name)]
+
+    def _record_failure(self, now_ms: float, name: str, server: _Server) -> list[Effect]:
+        effects = self._exclude(now_ms, name, server)
+        return [*effects, *self._report(now_ms, server, False)]
+
+    def _report(self, now_ms: float, server: _Server, reachable: bool) -> list[Effect]:
+        """Sends a report unless the same one was sent or received recently."""
+        if server.reported_reachable is reachable and now_ms - server.reported_ms < REPEAT_INTERVAL_MS:
+            server.observed_ms = now_ms
             return []
-        return self._say(now_ms, server, reached)
+        return self._send_report(now_ms, server, reachable)
 
-    def _say(self, now_ms: float, server: _Server, reached: bool) -> list[Effect]:
-        """Whatever they were told: they may hold the opposite."""
-        server.seen_ms, server.told, server.told_ms = now_ms, reached, now_ms
-        if reached:
-            server.known_ms = now_ms
-        return [Say(news.write([News(server.key, reached, 0.0)]))]
+    def _send_report(self, now_ms: float, server: _Server, reachable: bool) -> list[Effect]:
+        """Sends a report whatever was reported before: peers may believe the opposite."""
+        server.observed_ms, server.reported_reachable, server.reported_ms = now_ms, reachable, now_ms
+        if reachable:
+            server.confirmed_ms = now_ms
+        return [Say(news.encode([HealthReport(server.key, reachable, 0.0)]))]
 
-    def _leave_out(self, now_ms: float, name: str, server: _Server) -> list[Effect]:
-        if name not in self._out and len(self._out) + 1 > LEFT_OUT_MOST * len(self._servers):
+    def _exclude(self, now_ms: float, name: str, server: _Server) -> list[Effect]:
+        if name not in self._excluded and len(self._excluded) + 1 > MAX_EXCLUDED_SHARE * len(self._servers):
             return []
-        server.until_ms = now_ms + self.rest_ms * (0.5 + self._random.random())
-        if name in self._out:
+        server.excluded_until_ms = now_ms + self.exclusion_ms * (0.5 + self._random.random())
+        if name in self._excluded:
             return []
-        self._out[name] = server
+        self._excluded[name] = server
         return [Verdict(name, False)]
 
-    def _back(self, name: str) -> list[Effect]:
-        return [Verdict(name, True)] if self._out.pop(name, None) is not None else []
+    def _readmit(self, name: str) -> list[Effect]:
+        return [Verdict(name, True)] if self._excluded.pop(name, None) is not None else []
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -1,4 +1,4 @@
-"""What one of many instances may take: subsets, connections, probes, calls, starts, and the estimate."""
+"""Limits of one of many instances: subsets, connections, probes, calls, starts, and the estimate."""
 
 from __future__ import annotations
 
@@ -7,55 +7,51 @@
 from hypothesis import strategies as st
 
 from cloverrouter.fleet.limits import Budget, Estimate, Share, limits
-from cloverrouter.fleet.subset import WAYS, golden, quality
+from cloverrouter.fleet.subset import WAYS, golden_ratio_aperture, quality
 
 SERVERS = [f"b{i}" for i in range(19)]
 FLEETS = (50, 500, 5000)
 
 
 @pytest.mark.parametrize("name", WAYS)
-def test_ways_give_servers_that_are_there_each_once(name: str) -> None:
+def test_strategies_return_listed_servers_once_each(name: str) -> None:
     for instances, size in ((1, 3), (7, 5), (50, 19), (3, 40)):
         for number in range(instances):
-            found = WAYS[name](SERVERS, min(size, len(SERVERS)), number, instances)
-            assert len(set(found)) == len(found) == min(size, len(SERVERS)) and set(found) <= set(SERVERS)
-            assert found == WAYS[name](list(reversed(SERVERS)), min(size, len(SERVERS)), number, instances)
+            subset = WAYS[name](SERVERS, min(size, len(SERVERS)), number, instances)
+            assert len(set(subset)) == len(subset) == min(size, len(SERVERS)) and set(subset) <= set(SERVERS)
+            assert subset == WAYS[name](list(reversed(SERVERS)), min(size, len(SERVERS)), number, instances)
 
 
 def test_golden_ring_is_even_and_stays_when_instances_come_and_go() -> None:
     for instances in (50, 500):
-        found = quality(golden, SERVERS, 5, instances)
-        assert found.most < 1.2 and found.least > 0.8
-        assert found.instance_churn == found.doubled_churn == 0
-        assert found.server_churn < 0.25 and found.gaps_most < 1.3
-    assert quality(WAYS["rendezvous"], SERVERS, 5, 50).most > 1.3  # what it is chosen over
+        measured = quality(golden_ratio_aperture, SERVERS, 5, instances)
+        assert measured.most < 1.2 and measured.least > 0.8
+        assert measured.instance_churn == measured.doubled_churn == 0
+        assert measured.server_churn < 0.25 and measured.gaps_most < 1.3
+    assert quality(WAYS["rendezvous"], SERVERS, 5, 50).most > 1.3  # worse than the golden ratio
 
 
-def test_all_together_take_the_same_however_many_they_are() -> None:
+def test_total_use_does_not_grow_with_the_fleet() -> None:
     budget = Budget()
     for figure in ("connections", "probes", "calls"):
         totals = []
         for instances in FLEETS:
             rate_per_s = 250 / instances
-            mine = limits(Share(instances, 3, 19, rate_per_s), budget)
-            if figure == "connections":  # idle ones on a server, at most
-                busy = min(1.0, rate_per_s * mine.hold_ms / 1000) if mine.connections == 1 else 1.0
-                totals.append(instances * mine.connections * busy / 19)
-            elif (
-                figure == "probes"
-            ):  # work a second on a server, while no instance probes more often than it may
-                totals.append(
-                    mine.servers * instances / 19 / mine.probe_every_ms * 1000 * budget.probe_cost_ms
-                )
+            own = limits(Share(instances, 3, 19, rate_per_s), budget)
+            if figure == "connections":  # idle connections to a server, at most
+                busy = min(1.0, rate_per_s * own.hold_ms / 1000) if own.connections == 1 else 1.0
+                totals.append(instances * own.connections * busy / 19)
+            elif figure == "probes":  # CPU time of probes per second on a server, while none probes too often
+                totals.append(own.servers * instances / 19 / own.probe_every_ms * 1000 * budget.probe_cost_ms)
             else:
-                totals.append(instances * min(1.0, 1000 / mine.ask_every_ms))
+                totals.append(instances * min(1.0, 1000 / own.ask_every_ms))
         most = {"connections": budget.connections, "probes": budget.probe_work_ms_s, "calls": 500.0}[figure]
         assert max(totals) <= most * 1.001, figure
         if figure == "probes":
             assert max(totals[1:]) <= 1.2 * min(totals[1:])
 
 
-def test_thousands_that_start_together_spread_and_light_ones_hold_nothing_for_ever() -> None:
+def test_starts_are_spread_and_light_instances_close_idle_connections() -> None:
     budget = Budget()
     starts = sorted(limits(Share(5000, n, 12, identity=f"n{n}"), budget).start_after_ms for n in range(5000))
     in_a_second = max(sum(at <= s < at + 1000 for s in starts) for at in range(0, 25_000, 500))
@@ -64,13 +60,13 @@
     assert light.connections == 1 and light.hold_ms < 60_000.0
     heavy = limits(Share(5000, 1, 12, rate_per_s=10.0), budget)
     assert heavy.servers == 12 and heavy.hold_ms < light.hold_ms
-    # Half of them die, or twice as many come: what each may take follows.
+    # The limits follow when half of the instances stop, or twice as many start.
     parts = [limits(Share(n, 1, 12, 0.1), budget).ask_every_ms for n in (250, 500, 1000)]
-    assert parts == [5000.0, 10_000.0, 10_000.0]  # drains must be heard of
+    assert parts == [5000.0, 10_000.0, 10_000.0]  # bounded, so that drains are seen
     assert limits(Share(250, 1, 12, 0.1), budget).hold_ms >= limits(Share(500, 1, 12, 0.1), budget).hold_ms
 
 
-def test_instances_of_the_same_number_stand_apart() -> None:
+def test_instances_of_the_same_number_differ() -> None:
     budget = Budget()
     one, other = (limits(Share(500, 7, 19, identity=name), budget) for name in ("here", "there"))
     assert one.place != other.place and abs(one.place - other.place) <= 1 / 500
@@ -84,17 +80,17 @@
     st.floats(0, 1e5),
     st.text(max_size=5),
 )
-def test_limits_are_sound_for_any_fleet(
+def test_limits_are_in_range_for_any_fleet(
     instances: int, number: int, servers: int, rate_per_s: float, identity: str
 ) -> None:
-    mine = limits(Share(instances, number, servers, rate_per_s, identity), Budget())
-    assert 0 <= mine.place < 1 and 0 <= mine.start_after_ms <= 30_000
-    assert min(servers, 1) <= mine.servers <= servers
-    assert mine.connections >= 1 and 200 <= mine.hold_ms <= 60_000
-    assert mine.probe_every_ms >= 1000 and 1000 <= mine.ask_every_ms <= 10_000
+    own = limits(Share(instances, number, servers, rate_per_s, identity), Budget())
+    assert 0 <= own.place < 1 and 0 <= own.start_after_ms <= 30_000
+    assert min(servers, 1) <= own.servers <= servers
+    assert own.connections >= 1 and 200 <= own.hold_ms <= 60_000
+    assert own.probe_every_ms >= 1000 and 1000 <= own.ask_every_ms <= 10_000
 
 
-def test_instances_are_estimated_from_what_servers_say() -> None:
+def test_instances_are_estimated_from_load_reports() -> None:
     estimate = Estimate(first=40)
     assert estimate.instances == 40
     for _ in range(400):
@@ -103,7 +99,7 @@
     assert estimate.instances == pytest.approx(98, rel=0.1)
 
 
-def test_budgets_that_can_not_be_are_told() -> None:
+def test_invalid_budget_is_refused() -> None:
     with pytest.raises(ValueError, match="connections: found 0, allowed more than 0"):
         Budget(connections=0)
     with pytest.raises(ValueError, match="ask_least_ms: found"):
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -13,7 +13,7 @@
 from cloverrouter.core.lifecycle import Lifecycle
 from cloverrouter.core.states import AttemptFinished, NotifyBalancer, TargetsListed
 from cloverrouter.fleet import news
-from cloverrouter.fleet.news import News
+from cloverrouter.fleet.news import HealthReport
 from cloverrouter.interface import (
     AttemptEnded,
     EndpointsListed,
@@ -145,12 +145,12 @@
     async def scene() -> None:
         discovery = await Discovery().start()
         hosts = [await Host(f"h{i}").start() for i in range(4)]
-        lie = news.write([News(news.key(host.name), False, 0.0) for host in hosts])
+        false_report = news.encode([HealthReport(news.server_key(host.name), False, 0.0) for host in hosts])
         async with two(discovery, hosts) as (_, (first, _), ports):
             address, port = ports[0].split(":")
-            with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as liar:
-                for data in (b"", b"x" * 256, lie[:-1], bytes(60000), lie):
-                    liar.sendto(data, (address, int(port)))
+            with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as attacker:
+                for data in (b"", b"x" * 256, false_report[:-1], bytes(60000), false_report):
+                    attacker.sendto(data, (address, int(port)))
             for _ in range(10):
                 assert (await first.ask("/unsafe", timeout_ms=500)).status == 200
 
--- a/tests/test_sentinel.py
+++ b/tests/test_sentinel.py
@@ -1,4 +1,4 @@
-"""Which servers are of no use: one proxy's watch, what proxies tell each other, and lies."""
+"""Failure detection by one proxy, the reports between proxies, and false reports."""
 
 from __future__ import annotations
 
@@ -9,203 +9,227 @@
 from hypothesis import strategies as st
 
 from cloverrouter.fleet import news
-from cloverrouter.fleet.news import MOST_BYTES, MOST_ENTRIES, News
-from cloverrouter.fleet.sentinel import DOUBT_MS, LEFT_OUT_MOST, OWN_MS, Effect, Say, Sentinel, Verdict
+from cloverrouter.fleet.news import MAX_DATAGRAM_BYTES, MAX_ENTRIES, HealthReport
+from cloverrouter.fleet.sentinel import (
+    MAX_EXCLUDED_SHARE,
+    OWN_ANSWER_FRESH_MS,
+    SUSPICION_TIMEOUT_MS,
+    Effect,
+    Say,
+    Sentinel,
+    Verdict,
+)
 
 NAMES = [f"b{i}" for i in range(10)]
-ENTRIES = st.lists(
-    st.tuples(st.binary(min_size=6, max_size=6), st.booleans(), st.integers(0, 5000)), max_size=MOST_ENTRIES
+REPORTS = st.lists(
+    st.tuples(st.binary(min_size=6, max_size=6), st.booleans(), st.integers(0, 5000)), max_size=MAX_ENTRIES
 )
 
 
-def watch(seed: int = 1, instances: int = 40) -> Sentinel:
+def make_detector(seed: int = 1, instances: int = 40) -> Sentinel:
     made = Sentinel(instances, Random(seed))
     made.listed(NAMES)
     return made
 
 
-def said(effects: list[Effect]) -> list[News]:
-    return [item for data in datagrams(effects) for item in news.read(data) or []]
+def reports_in(effects: list[Effect]) -> list[HealthReport]:
+    return [item for data in datagrams_in(effects) for item in news.decode(data) or []]
 
 
-def datagrams(effects: list[Effect]) -> list[bytes]:
+def datagrams_in(effects: list[Effect]) -> list[bytes]:
     return [e.data for e in effects if isinstance(e, Say)]
 
 
-def of(name: str, reached: bool, age_ms: float = 10.0) -> News:
-    return News(news.key(name), reached, age_ms)
+def report(name: str, reachable: bool, age_ms: float = 10.0) -> HealthReport:
+    return HealthReport(news.server_key(name), reachable, age_ms)
 
 
-def told(*items: News) -> bytes:
-    return news.write(items)
+def datagram(*reports: HealthReport) -> bytes:
+    return news.encode(reports)
 
 
-def test_refused_connection_leaves_a_server_out_and_is_told_once() -> None:
-    one = watch()
-    effects = one.refused(1001, "b1")
+def test_refused_connection_excludes_a_server_and_is_reported_once() -> None:
+    detector = make_detector()
+    effects = detector.refused(1001, "b1")
     assert effects[0] == Verdict("b1", False)
-    assert said(effects) == [of("b1", False, 0)]
-    assert one.refused(1002, "b1") == []  # in the same moment, again: nothing is new
-    assert list(one.left_out) == ["b1"]
+    assert reports_in(effects) == [report("b1", False, 0)]
+    assert detector.refused(1002, "b1") == []  # repeated at once: nothing new to report
+    assert list(detector.excluded) == ["b1"]
 
 
-def test_slow_server_is_left_to_the_module_and_one_that_hangs_is_left_out() -> None:
-    one = watch()
-    one.answered(1500, "b1")
-    assert one.unanswered(2000, "b1", sent_ms=1000) == []
-    assert said(one.unanswered(3000, "b1", sent_ms=2000)) == [News(news.key("b1"), False, 1000, doubt=True)]
-    assert one.tick(3000 + DOUBT_MS / 2) == []
-    assert one.tick(3000 + DOUBT_MS) == [Verdict("b1", False)]
+def test_slow_server_stays_eligible_and_a_hung_one_is_excluded() -> None:
+    detector = make_detector()
+    detector.answered(1500, "b1")
+    assert detector.unanswered(2000, "b1", sent_ms=1000) == []
+    assert reports_in(detector.unanswered(3000, "b1", sent_ms=2000)) == [
+        HealthReport(news.server_key("b1"), False, 1000, suspected=True)
+    ]
+    assert detector.tick(3000 + SUSPICION_TIMEOUT_MS / 2) == []
+    assert detector.tick(3000 + SUSPICION_TIMEOUT_MS) == [Verdict("b1", False)]
 
 
-def doubt(fleet: list[Sentinel], doubter: Sentinel, now_ms: float, sent_ms: float) -> int:
-    """One attempt has run out of time: what follows from it among all; the datagrams that were sent."""
-    pending, count = datagrams(doubter.unanswered(now_ms, "b1", sent_ms)), 0
+def spread_suspicion(fleet: list[Sentinel], suspecting: Sentinel, now_ms: float, sent_ms: float) -> int:
+    """Lets one attempt time out and delivers the datagrams that follow; returns how many were sent."""
+    pending, count = datagrams_in(suspecting.unanswered(now_ms, "b1", sent_ms)), 0
     while pending:
         data, count = pending.pop(0), count + 1
-        for one in fleet:
-            pending += datagrams(one.heard(now_ms, data)) if one is not doubter or count > 1 else []
+        for detector in fleet:
+            pending += (
+                datagrams_in(detector.heard(now_ms, data)) if detector is not suspecting or count > 1 else []
+            )
     return count
 
 
-def test_late_answer_of_a_server_that_answers_others_leaves_it_out_nowhere() -> None:
-    """Danger: with traffic spread thin, each late answer has hundreds leave out a server that works."""
-    fleet = [watch(seed, 200) for seed in range(200)]
-    fleet[7].answered(1600, "b1")  # while the other's attempt was out, and more than 500 ms ago
-    assert 0 < doubt(fleet, fleet[0], now_ms=2400, sent_ms=1500) <= 3
+def test_late_answer_of_a_working_server_excludes_it_nowhere() -> None:
+    """Guards against one late answer making hundreds of proxies, each with little traffic, exclude a working
+    server."""
+    fleet = [make_detector(seed, 200) for seed in range(200)]
+    fleet[7].answered(1600, "b1")  # after the other's attempt was sent, but more than 500 ms ago
+    assert 0 < spread_suspicion(fleet, fleet[0], now_ms=2400, sent_ms=1500) <= 3
     for at in range(2400, 5000, 50):
-        assert all(one.tick(at) == [] for one in fleet)
-    # The next late answers of attempts sent before that was known cost no datagram.
-    assert doubt(fleet, fleet[1], now_ms=2450, sent_ms=1550) == 0
-
-
-def test_server_that_answers_nobody_is_left_out_by_all_within_moments() -> None:
-    fleet = [watch(seed, 200) for seed in range(200)]
-    for one in fleet:
-        one.answered(1000, "b1")
-    assert doubt(fleet, fleet[0], now_ms=2400, sent_ms=1500) == 1
-    for one in fleet:
-        assert one.tick(2400 + DOUBT_MS) == [Verdict("b1", False)]
-    # Tried again in vain: no doubt any more, it stays out.
+        assert all(detector.tick(at) == [] for detector in fleet)
+    # Further timeouts of attempts sent before the refutation cause no datagram.
+    assert spread_suspicion(fleet, fleet[1], now_ms=2450, sent_ms=1550) == 0
+
+
+def test_server_that_answers_nobody_is_soon_excluded_by_all() -> None:
+    fleet = [make_detector(seed, 200) for seed in range(200)]
+    for detector in fleet:
+        detector.answered(1000, "b1")
+    assert spread_suspicion(fleet, fleet[0], now_ms=2400, sent_ms=1500) == 1
+    for detector in fleet:
+        assert detector.tick(2400 + SUSPICION_TIMEOUT_MS) == [Verdict("b1", False)]
+    # Tried again without an answer: excluded without another suspicion.
     again = next(at for at in range(2600, 30_000, 100) if fleet[3].tick(at))
     assert fleet[3].unanswered(again + 900, "b1", sent_ms=again)[0] == Verdict("b1", False)
 
 
-def test_answer_that_comes_in_the_moment_of_doubt_ends_it_for_all() -> None:
-    fleet = [watch(seed, 200) for seed in range(20)]
-    assert doubt(fleet, fleet[0], now_ms=2400, sent_ms=1500) == 1
-    for data in datagrams(fleet[5].answered(2440, "b1")):
-        for one in fleet:
-            one.heard(2445, data)
-    assert all(one.tick(2400 + 2 * DOUBT_MS) == [] for one in fleet)
-    assert not any(list(one.left_out) for one in fleet)
+def test_answer_in_time_ends_a_suspicion_for_all() -> None:
+    fleet = [make_detector(seed, 200) for seed in range(20)]
+    assert spread_suspicion(fleet, fleet[0], now_ms=2400, sent_ms=1500) == 1
+    for data in datagrams_in(fleet[5].answered(2440, "b1")):
+        for detector in fleet:
+            detector.heard(2445, data)
+    assert all(detector.tick(2400 + 2 * SUSPICION_TIMEOUT_MS) == [] for detector in fleet)
+    assert not any(list(detector.excluded) for detector in fleet)
 
 
-def test_doubt_of_a_server_that_leaves_the_list_is_dropped() -> None:
-    one = watch()
-    one.unanswered(3000, "b1", sent_ms=2000)
-    one.listed([name for name in NAMES if name != "b1"])
-    assert one.tick(4000) == []
+def test_suspicion_of_a_server_that_leaves_the_list_is_dropped() -> None:
+    detector = make_detector()
+    detector.unanswered(3000, "b1", sent_ms=2000)
+    detector.listed([name for name in NAMES if name != "b1"])
+    assert detector.tick(4000) == []
 
 
-def test_tried_again_after_its_rest_and_back_for_all_with_the_first_answer() -> None:
-    one, other = watch(1), watch(2)
-    for data in datagrams(one.refused(1000, "b1")):
+def test_excluded_server_is_retried_and_readmitted_by_all_with_the_first_answer() -> None:
+    detector, other = make_detector(1), make_detector(2)
+    for data in datagrams_in(detector.refused(1000, "b1")):
         other.heard(50_000, data)
-    at = next(at for at in range(1000, 30_000, 100) if one.tick(at))
-    assert one.rest_ms / 2 <= at - 1000 <= 1.5 * one.rest_ms + 100
-    assert list(other.left_out) == ["b1"]
-    for data in datagrams(one.answered(at + 50, "b1")):
+    at = next(at for at in range(1000, 30_000, 100) if detector.tick(at))
+    assert detector.exclusion_ms / 2 <= at - 1000 <= 1.5 * detector.exclusion_ms + 100
+    assert list(other.excluded) == ["b1"]
+    for data in datagrams_in(detector.answered(at + 50, "b1")):
         assert other.heard(50_000 + at, data) == [Verdict("b1", True)]
-    assert one.answered(at + 60, "b1") == []
+    assert detector.answered(at + 60, "b1") == []
 
 
-def test_one_datagram_spares_the_others_and_keeps_them_away() -> None:
-    """Forty that meet a server that hangs for a minute, each sending to it as soon as it may: without news
-    each pays by itself; with them few do."""
-    losses = {}
-    for talk in (False, True):
-        fleet = [watch(seed) for seed in range(40)]
-        losses[talk] = 0
+def test_reports_spare_most_proxies_a_hung_server() -> None:
+    """Forty proxies, each sending to a server that hangs for a minute as soon as it may: without reports each
+    loses requests on its own, with reports few do."""
+    lost = {}
+    for with_reports in (False, True):
+        fleet = [make_detector(seed) for seed in range(40)]
+        lost[with_reports] = 0
         for at in range(0, 60_000, 250):
-            for number, one in enumerate(fleet):
-                one.tick(at)
-                if "b1" in one.left_out:
+            for number, detector in enumerate(fleet):
+                detector.tick(at)
+                if "b1" in detector.excluded:
                     continue
-                losses[talk] += 1
-                for data in datagrams(one.unanswered(at, "b1", sent_ms=at - 900)):
+                lost[with_reports] += 1
+                for data in datagrams_in(detector.unanswered(at, "b1", sent_ms=at - 900)):
                     for other in fleet[:number] + fleet[number + 1 :]:
-                        if talk:
+                        if with_reports:
                             other.heard(at, data)
-    assert losses[True] < losses[False] / 4
+    assert lost[True] < lost[False] / 4
 
 
-def test_news_that_come_late_change_nothing() -> None:
-    one = watch()
-    one.heard(10_000, told(of("b1", False, 10)))
-    assert one.heard(10_100, told(of("b1", True, 5))) == [Verdict("b1", True)]
-    assert one.heard(10_200, told(of("b1", False, 300))) == []  # seen before it was up again
-    assert one.heard(10_300, told(of("b1", False, 60_000))) == []
+def test_late_reports_change_nothing() -> None:
+    detector = make_detector()
+    detector.heard(10_000, datagram(report("b1", False, 10)))
+    assert detector.heard(10_100, datagram(report("b1", True, 5))) == [Verdict("b1", True)]
+    assert detector.heard(10_200, datagram(report("b1", False, 300))) == []  # observed before it was up again
+    assert detector.heard(10_300, datagram(report("b1", False, 60_000))) == []
 
 
-def test_whoever_was_answered_lately_contradicts() -> None:
-    one, other = watch(1), watch(2)
-    one.answered(1100, "b1")
-    effects = one.heard(1200, told(of("b1", False)))
-    assert said(effects) == [of("b1", True, 0)] and not list(one.left_out)
-    other.heard(1200, told(of("b1", False)))
-    assert other.heard(1210, datagrams(effects)[0]) == [Verdict("b1", True)]
-    assert one.heard(1200 + OWN_MS, told(of("b1", False, 0))) == [Verdict("b1", False)]  # by then it is old
+def test_proxy_with_a_recent_answer_refutes() -> None:
+    detector, other = make_detector(1), make_detector(2)
+    detector.answered(1100, "b1")
+    effects = detector.heard(1200, datagram(report("b1", False)))
+    assert reports_in(effects) == [report("b1", True, 0)] and not list(detector.excluded)
+    other.heard(1200, datagram(report("b1", False)))
+    assert other.heard(1210, datagrams_in(effects)[0]) == [Verdict("b1", True)]
+    assert detector.heard(1200 + OWN_ANSWER_FRESH_MS, datagram(report("b1", False, 0))) == [
+        Verdict("b1", False)
+    ]  # by then the answer is old
 
 
-def test_liar_can_leave_out_no_more_than_half_and_not_for_long() -> None:
-    one = watch()
-    lies = told(*(of(name, False) for name in NAMES))
-    verdicts = [e for e in one.heard(5000, lies) if isinstance(e, Verdict)]
-    assert 1 <= len(verdicts) <= LEFT_OUT_MOST * len(NAMES)
-    assert len(one.tick(5000 + 1.5 * one.rest_ms)) == len(verdicts)
-    assert not list(one.left_out)
+def test_false_reports_exclude_at_most_half_and_not_for_long() -> None:
+    detector = make_detector()
+    false_reports = datagram(*(report(name, False) for name in NAMES))
+    verdicts = [e for e in detector.heard(5000, false_reports) if isinstance(e, Verdict)]
+    assert 1 <= len(verdicts) <= MAX_EXCLUDED_SHARE * len(NAMES)
+    assert len(detector.tick(5000 + 1.5 * detector.exclusion_ms)) == len(verdicts)
+    assert not list(detector.excluded)
 
 
-def test_one_proxy_cut_off_from_all_goes_on_trying_half_of_them() -> None:
-    one = watch()
+def test_proxy_cut_off_from_all_servers_goes_on_trying_half_of_them() -> None:
+    detector = make_detector()
     for name in NAMES:
-        one.refused(1000, name)
-    assert len(list(one.left_out)) == LEFT_OUT_MOST * len(NAMES)
+        detector.refused(1000, name)
+    assert len(list(detector.excluded)) == MAX_EXCLUDED_SHARE * len(NAMES)
 
 
-def test_hearsay_about_servers_that_are_not_listed_is_no_news() -> None:
-    one = watch()
-    assert one.heard(1000, told(of("stranger", False), of("other", True))) == []
-    one.heard(1000, told(of("b1", False)))
-    one.listed(NAMES[2:])
-    assert list(one.left_out) == []
-    assert one.answered(1100, "b1") == one.refused(1100, "b1") == one.unanswered(1100, "b1", 0) == []
+def test_reports_about_unlisted_servers_are_ignored() -> None:
+    detector = make_detector()
+    assert detector.heard(1000, datagram(report("stranger", False), report("other", True))) == []
+    detector.heard(1000, datagram(report("b1", False)))
+    detector.listed(NAMES[2:])
+    assert list(detector.excluded) == []
+    assert (
+        detector.answered(1100, "b1")
+        == detector.refused(1100, "b1")
+        == detector.unanswered(1100, "b1", 0)
+        == []
+    )
 
 
-def test_the_larger_the_fleet_the_longer_the_rest_up_to_a_bound() -> None:
-    rests = [watch(instances=n).rest_ms for n in (1, 5, 40, 400, 5000)]
-    assert rests == sorted(rests) and rests[0] == 1000 and rests[-1] == rests[-2] == 10_000
+def test_exclusion_time_grows_with_the_fleet_up_to_a_bound() -> None:
+    exclusions = [make_detector(instances=n).exclusion_ms for n in (1, 5, 40, 400, 5000)]
+    assert (
+        exclusions == sorted(exclusions)
+        and exclusions[0] == 1000
+        and exclusions[-1] == exclusions[-2] == 10_000
+    )
 
 
 @given(st.binary(max_size=400))
-def test_foreign_datagrams_are_counted_and_dropped(data: bytes) -> None:
-    one = watch()
-    found = news.read(data)
-    effects = one.heard(1000, data)
-    assert one.unread == (found is None)
+def test_malformed_datagrams_are_counted_and_dropped(data: bytes) -> None:
+    detector = make_detector()
+    found = news.decode(data)
+    effects = detector.heard(1000, data)
+    assert detector.malformed_datagrams == (found is None)
     assert not effects or found
 
 
-@given(ENTRIES)
-def test_news_come_out_as_they_went_in_and_fit(items: list[tuple[bytes, bool, int]]) -> None:
-    sent = [News(server, reached, float(age_ms)) for server, reached, age_ms in items]
-    data = news.write(sent)
-    assert len(data) <= MOST_BYTES and news.read(data) == sent
-    assert news.read(data[:-1]) is None and news.read(data + b"x") is None
-    assert news.read(bytes([data[0], data[1] + 1]) + data[2:]) is None
+@given(REPORTS)
+def test_reports_survive_encoding_and_fit(items: list[tuple[bytes, bool, int]]) -> None:
+    sent = [HealthReport(server, reachable, float(age_ms)) for server, reachable, age_ms in items]
+    data = news.encode(sent)
+    assert len(data) <= MAX_DATAGRAM_BYTES and news.decode(data) == sent
+    assert news.decode(data[:-1]) is None and news.decode(data + b"x") is None
+    assert news.decode(bytes([data[0], data[1] + 1]) + data[2:]) is None
 
 
-def test_more_than_fits_is_refused() -> None:
+def test_too_many_reports_are_refused() -> None:
     with pytest.raises(ValueError, match="allowed are"):
-        news.write([of("b1", True)] * (MOST_ENTRIES + 1))
+        news.encode([report("b1", True)] * (MAX_ENTRIES + 1))
