--- a/cloverrouter/handed.py
+++ b/cloverrouter/handed.py
@@ -1,4 +1,4 @@
-"""What a balancer has come to know, for operators and for one that takes over. Nothing here decides."""
+"""A balancer's counts for operators, and its state for a successor process. Nothing here makes decisions."""
 
 from __future__ import annotations
 
@@ -14,13 +14,14 @@
 
 
 def census(balancer: Balancer, now_ms: float) -> EndpointCounts:
-    """How many servers are listed, and how many of them are left out now for what they are."""
+    """Returns how many servers are listed, and how many of them are avoided now."""
     endpoints = balancer.membership.endpoints.values()
     return EndpointCounts(len(endpoints), sum(e.avoided(now_ms) for e in endpoints))
 
 
 def memory_of(balancer: Balancer) -> BalancerState:
-    """For a balancer that takes over, before either is told its part."""
+    """Returns the state for the balancer that takes over. To be called before either of them is assigned its
+    share of the limits."""
     members = balancer.membership
     return BalancerState(
         cordons=tuple(members.cordons),
@@ -42,27 +43,27 @@
             for name, e in members.endpoints.items()
         ),
         classes=tuple(
-            LatencyEstimates(name, usual.mean_ms, usual.base_ms, usual.slow_ratio, usual.seen)
-            for name, usual in balancer.latencies.items()
+            LatencyEstimates(name, latency.mean_ms, latency.base_ms, latency.slow_ratio, latency.seen)
+            for name, latency in balancer.latencies.items()
         ),
     )
 
 
-def restored(settings: Settings, seed: int, memory: BalancerState | None) -> Balancer:
-    """A new balancer that goes on with what the one before knew; figures that can't be are mended."""
+def restored(settings: Settings, seed: int, state: BalancerState | None) -> Balancer:
+    """Returns a new balancer that continues from its predecessor's state; values out of range are clamped."""
     balancer = Balancer(settings, seed)
-    if memory is None:
+    if state is None:
         return balancer
     members = balancer.membership
-    members.cordons = dict.fromkeys(memory.cordons)
-    members.names = dict.fromkeys(memory.listed)
-    members.back_ms = dict(memory.back_ms)
-    members.restored_estimates = {e.name: e for e in memory.endpoints}
-    balancer.budget.tokens = min(BUDGET_CAPACITY, memory.tokens)
-    balancer.restored_peak_rate, balancer.flow.limit = memory.peak_rate, memory.flow_limit
-    for then in memory.classes:
-        usual = balancer.latencies.get(then.name)
-        if usual is not None:
-            usual.mean_ms, usual.base_ms = max(0.01, then.mean_ms), max(0.01, then.base_ms)
-            usual.slow_ratio, usual.seen = max(1.0, then.slow_ratio), then.seen
+    members.cordons = dict.fromkeys(state.cordons)
+    members.names = dict.fromkeys(state.listed)
+    members.back_ms = dict(state.back_ms)
+    members.restored_estimates = {e.name: e for e in state.endpoints}
+    balancer.budget.tokens = min(BUDGET_CAPACITY, state.tokens)
+    balancer.restored_peak_rate, balancer.flow.limit = state.peak_rate, state.flow_limit
+    for estimates in state.classes:
+        latency = balancer.latencies.get(estimates.name)
+        if latency is not None:
+            latency.mean_ms, latency.base_ms = max(0.01, estimates.mean_ms), max(0.01, estimates.base_ms)
+            latency.slow_ratio, latency.seen = max(1.0, estimates.slow_ratio), estimates.seen
     return balancer
--- a/cloverrouter/proxy/__init__.py
+++ b/cloverrouter/proxy/__init__.py
@@ -1,1 +1,1 @@
-"""The real client proxy: the decisions of ``decide.py`` on sockets. Start it with ``python -m``."""
+"""The client proxy: the decisions of ``decide`` applied to real sockets. Start it with ``python -m``."""
--- a/cloverrouter/proxy/__main__.py
+++ b/cloverrouter/proxy/__main__.py
@@ -10,16 +10,16 @@
 
 from cloverrouter.proxy import config, handover
 from cloverrouter.proxy.config import Config
-from cloverrouter.proxy.handover import Inheritance
+from cloverrouter.proxy.handover import ReceivedHandover
 from cloverrouter.proxy.program import Program
 
 log = logging.getLogger("cloverrouter.proxy")
 
 
-async def serve(told: Config, inherited: Inheritance | None) -> int:
-    """Run until SIGTERM, or until the module fails; the exit code."""
+async def serve(configuration: Config, inherited: ReceivedHandover | None) -> int:
+    """Runs until SIGTERM, or until the balancer fails; returns the exit code."""
     loop = asyncio.get_running_loop()
-    program = Program(told, inherited)
+    program = Program(configuration, inherited)
     loop.add_signal_handler(signal.SIGHUP, program.reload)
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, program.stop)
@@ -30,16 +30,17 @@
     logging.basicConfig(
         level=logging.INFO, stream=sys.stderr, format="%(asctime)s %(levelname)s %(name)s: %(message)s"
     )
-    # Danger: SIGHUP's default action ends the process; it may come before the loop takes it, or after.
+    # SIGHUP ends the process by default, and it may arrive before or after the time in which the loop handles
+    # it.
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
     try:
-        told = config.load(os.environ)
+        configuration = config.load(os.environ)
     except (KeyError, ValueError, TypeError, AttributeError, OSError) as error:
         path = os.environ.get("PROXY_CONFIG", "no file named")
         log.critical("no usable configuration: %s: %s", path, error)
         return 2
-    inherited = handover.take(handover.path_for(told.listen))
-    return asyncio.run(serve(told, inherited))
+    inherited = handover.take_over(handover.path_for(configuration.listen))
+    return asyncio.run(serve(configuration, inherited))
 
 
 if __name__ == "__main__":
--- a/cloverrouter/proxy/admin.py
+++ b/cloverrouter/proxy/admin.py
@@ -1,7 +1,7 @@
-"""The operators' listener: HTTP/1.1, one call a connection. It carries calls out through `Operations`.
+"""The operators' HTTP/1.1 listener, with one request per connection. Requests are executed by `Operations`.
 
-Callers that send nothing, or half a call, hold one of a bounded number of connections for a bounded time;
-when all are taken the one that has waited longest makes room, so none of them can block the next call.
+The number of connections and the duration of each are bounded, so that clients that send nothing, or half a
+request, cannot block others: when all connections are in use, a new one replaces the oldest.
 """
 
 from __future__ import annotations
@@ -17,24 +17,24 @@
 from cloverrouter.http.fields import phrase
 from cloverrouter.proxy.config import Address
 
-MOST_CALLERS = 24
-CALL_S = 2.0  # from connecting to the call's last byte, and again to the end of the connection
-MOST_HEAD = 8 * 1024
-MOST_BODY = 1024  # a server's id is a short word
+MAX_CONNECTIONS = 24
+CALL_TIMEOUT_S = 2.0  # from connecting to the request's last byte, and again from the answer to the close
+MAX_HEAD_BYTES = 8 * 1024
+MAX_BODY_BYTES = 1024  # enough for a server's id
 BACKLOG = 256
 Reply = tuple[int, str]
 log = logging.getLogger(__name__)
 
 
 class Operations(Protocol):
-    """What operators can ask for."""
+    """The operations that operators can request."""
 
     def healthy(self) -> bool: ...
 
-    def figures(self) -> str: ...
+    def metrics_text(self) -> str: ...
 
     def cordon(self, endpoint: str, on: bool) -> bool:
-        """False: no such id was ever listed, and nothing has changed."""
+        """Starts or ends a cordon. Returns False, and changes nothing, if the id was never listed."""
         ...
 
     def quiesce(self, on: bool) -> None: ...
@@ -45,18 +45,18 @@
 
 
 def stats(operations: Operations, body: bytes) -> Reply:
-    return 200, operations.figures()
+    return 200, operations.metrics_text()
 
 
 def cordon(operations: Operations, body: bytes) -> Reply:
-    return _ban(operations, body, True)
+    return _set_cordon(operations, body, True)
 
 
 def uncordon(operations: Operations, body: bytes) -> Reply:
-    return _ban(operations, body, False)
+    return _set_cordon(operations, body, False)
 
 
-def _ban(operations: Operations, body: bytes, on: bool) -> Reply:
+def _set_cordon(operations: Operations, body: bytes, on: bool) -> Reply:
     try:
         endpoint = body.decode().strip()
     except UnicodeDecodeError:
@@ -78,7 +78,7 @@
     return 200, "back to work\n"
 
 
-CALLS: dict[bytes, tuple[bytes, Callable[[Operations, bytes], Reply]]] = {
+ROUTES: dict[bytes, tuple[bytes, Callable[[Operations, bytes], Reply]]] = {
     b"/admin/health": (b"GET", health),
     b"/admin/stats": (b"GET", stats),
     b"/admin/cordon": (b"POST", cordon),
@@ -88,66 +88,66 @@
 }
 
 
-class Caller(asyncio.Protocol):
-    """One connection, for one call."""
+class AdminConnection(asyncio.Protocol):
+    """One connection, for one request."""
 
     def __init__(self, admin: Admin) -> None:
         self._admin = admin
         self._parser: httptools.HttpRequestParser | None = httptools.HttpRequestParser(self)
         self._transport: asyncio.Transport | None = None
-        self._timer = asyncio.get_running_loop().call_later(CALL_S, self.end)
+        self._timer = asyncio.get_running_loop().call_later(CALL_TIMEOUT_S, self.abort)
         self._target = b""
         self._body = bytearray()
-        self._head = 0
+        self._head_bytes = 0
         self._in_head = True
-        self._framed = 0
-        self._error = 0
+        self._length_headers = 0
+        self._error_status = 0
         self._answered = self._complete = False
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self._transport = cast(asyncio.Transport, transport)
-        self._admin.came(self)
+        self._admin.connection_opened(self)
 
     def connection_lost(self, exc: Exception | None) -> None:
         self._transport = self._parser = None
         self._timer.cancel()
-        self._admin.left(self)
+        self._admin.connection_closed(self)
 
     def data_received(self, data: bytes) -> None:
         if self._answered or self._parser is None:
             return
         if self._in_head:
-            self._head += len(data)
+            self._head_bytes += len(data)
         try:
             self._parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade):
-            self._error = self._error or 400
-        if self._in_head and self._head > MOST_HEAD:
-            self._error = self._error or 431
-        if self._error:
-            self._answer(self._error, phrase(self._error).lower() + "\n")
+            self._error_status = self._error_status or 400
+        if self._in_head and self._head_bytes > MAX_HEAD_BYTES:
+            self._error_status = self._error_status or 431
+        if self._error_status:
+            self._answer(self._error_status, phrase(self._error_status).lower() + "\n")
         elif self._complete:
-            self._carry_out()
+            self._dispatch()
 
-    def end(self) -> None:
+    def abort(self) -> None:
         if self._transport is not None:
             self._transport.abort()
 
-    def _carry_out(self) -> None:
+    def _dispatch(self) -> None:
         assert self._parser is not None
         path = self._target.partition(b"?")[0]
-        if path not in CALLS:
+        if path not in ROUTES:
             self._answer(404, "no such call\n")
             return
-        method, call = CALLS[path]
+        method, handler = ROUTES[path]
         if self._parser.get_method() != method:
             self._answer(405, f"this call is a {method.decode()}\n", f"Allow: {method.decode()}\r\n")
             return
         try:
-            status, text = call(self._admin.operations, bytes(self._body))
+            status, text = handler(self._admin.operations, bytes(self._body))
         except Exception:
-            # Danger: one call that fails must not end the caller's connection without an answer.
-            log.exception("the call %s failed", path.decode("latin-1"))
+            # A failed request must still be answered before the connection ends.
+            log.exception("operator request %s failed", path.decode("latin-1"))
             status, text = 500, "the call failed\n"
         self._answer(status, text)
 
@@ -161,13 +161,14 @@
             f"Content-Length: {len(body)}\r\nConnection: close\r\n\r\n"
         )
         self._transport.write(head.encode() + body)
-        # What still comes is read and dropped until then, or a reset would overtake the answer.
+        # Until the close, further input is read and dropped: unread input would cause a reset, which could
+        # discard the answer.
         if self._transport.can_write_eof():
             self._transport.write_eof()
         self._timer.cancel()
-        self._timer = asyncio.get_running_loop().call_later(CALL_S, self.end)
+        self._timer = asyncio.get_running_loop().call_later(CALL_TIMEOUT_S, self.abort)
 
-    # httptools
+    # Callbacks of httptools
 
     def on_url(self, url: bytes) -> None:
         self._target += url
@@ -175,18 +176,18 @@
     def on_header(self, name: bytes, value: bytes) -> None:
         name = name.lower()
         if name in (b"content-length", b"transfer-encoding"):
-            self._framed += 1
-            if self._framed > 1:
-                self._error = self._error or 400  # which of them counts is anybody's guess
-        if name == b"content-length" and value.isdigit() and int(value) > MOST_BODY:
-            self._error = self._error or 413
+            self._length_headers += 1
+            if self._length_headers > 1:
+                self._error_status = self._error_status or 400  # the message's length would be ambiguous
+        if name == b"content-length" and value.isdigit() and int(value) > MAX_BODY_BYTES:
+            self._error_status = self._error_status or 413
 
     def on_headers_complete(self) -> None:
         self._in_head = False
 
     def on_body(self, body: bytes) -> None:
-        if len(self._body) + len(body) > MOST_BODY:
-            self._error = self._error or 413
+        if len(self._body) + len(body) > MAX_BODY_BYTES:
+            self._error_status = self._error_status or 413
         else:
             self._body += body
 
@@ -195,32 +196,32 @@
 
 
 class Admin:
-    """The listener and those who call there."""
+    """The listener and its connections."""
 
     def __init__(self, operations: Operations) -> None:
         self.operations = operations
         self._server: asyncio.Server | None = None
-        self._callers: dict[Caller, None] = {}  # the longest there first
+        self._connections: dict[AdminConnection, None] = {}  # the oldest first
 
     async def listen(self, address: Address) -> Address:
         loop = asyncio.get_running_loop()
         self._server = await loop.create_server(
-            lambda: Caller(self), *address, backlog=BACKLOG, reuse_address=True
+            lambda: AdminConnection(self), *address, backlog=BACKLOG, reuse_address=True
         )
         sock: socket.socket = self._server.sockets[0]
         host, port = sock.getsockname()[:2]
         return host, port
 
-    def came(self, caller: Caller) -> None:
-        self._callers[caller] = None
-        if len(self._callers) > MOST_CALLERS:
-            next(iter(self._callers)).end()
+    def connection_opened(self, connection: AdminConnection) -> None:
+        self._connections[connection] = None
+        if len(self._connections) > MAX_CONNECTIONS:
+            next(iter(self._connections)).abort()
 
-    def left(self, caller: Caller) -> None:
-        self._callers.pop(caller, None)
+    def connection_closed(self, connection: AdminConnection) -> None:
+        self._connections.pop(connection, None)
 
     def close(self) -> None:
         if self._server is not None:
             self._server.close()
-        for caller in list(self._callers):
-            caller.end()
+        for connection in list(self._connections):
+            connection.abort()
--- a/cloverrouter/proxy/checked.py
+++ b/cloverrouter/proxy/checked.py
@@ -1,7 +1,7 @@
-"""What a configuration must hold for the program to start, and what is said where it does not.
+"""Validation of the configuration, and the errors it reports.
 
-Only what would crash the program, or make it break a rule, is refused: a key that is not known, or a figure
-that is odd but can be worked with, is another deployment's business.
+Only values with which the program would crash or break a rule are refused. Unknown keys, and unusual values
+that work, are accepted: other deployments may need them.
 """
 
 from __future__ import annotations
@@ -15,60 +15,68 @@
 
 
 class ConfigError(ValueError):
-    """Names the key, what was found there, and what is allowed."""
+    """An invalid value. The message names the key, the value found there, and what is allowed."""
 
     def __init__(self, key: str, found: object, allowed: str) -> None:
-        said = "nothing" if found is MISSING else _short(found)
-        super().__init__(f"{key}: found {said}, allowed is {allowed}")
+        found_text = "nothing" if found is MISSING else _abbreviated(found)
+        super().__init__(f"{key}: found {found_text}, allowed is {allowed}")
 
 
-def _short(found: object) -> str:
+def _abbreviated(found: object) -> str:
     text = repr(found)
     return text if len(text) <= 80 else f"{text[:77]}..."
 
 
 @dataclass(frozen=True, slots=True)
 class Number:
-    """A finite number, or none at all where it may be left out."""
+    """Accepts finite numbers within bounds."""
 
-    least: float | None = None
-    above: float | None = None
-    most: float | None = None
-    whole: bool = False
+    minimum: float | None = None
+    exclusive_minimum: float | None = None
+    maximum: float | None = None
+    integer: bool = False
 
-    def takes(self, value: Any) -> bool:
+    def accepts(self, value: Any) -> bool:
         if isinstance(value, bool) or not isinstance(value, int | float) or not isfinite(value):
             return False
         return not (
-            (self.least is not None and value < self.least)
-            or (self.above is not None and value <= self.above)
-            or (self.most is not None and value > self.most)
-            or (self.whole and value != int(value))
+            (self.minimum is not None and value < self.minimum)
+            or (self.exclusive_minimum is not None and value <= self.exclusive_minimum)
+            or (self.maximum is not None and value > self.maximum)
+            or (self.integer and value != int(value))
         )
 
     def __str__(self) -> str:
         bounds = [
-            f"{word} {bound:g}"
-            for word, bound in (("at least", self.least), ("above", self.above), ("at most", self.most))
+            f"{description} {bound:g}"
+            for description, bound in (
+                ("at least", self.minimum),
+                ("above", self.exclusive_minimum),
+                ("at most", self.maximum),
+            )
             if bound is not None
         ]
-        return " ".join(["a whole number" if self.whole else "a number", *bounds])
+        return " ".join(["a whole number" if self.integer else "a number", *bounds])
 
 
 @dataclass(frozen=True, slots=True)
 class Text:
-    words: tuple[str, ...] = ()
+    """Accepts non-empty strings, or only the choices if there are any."""
 
-    def takes(self, value: Any) -> bool:
-        return isinstance(value, str) and bool(value) and (not self.words or value in self.words)
+    choices: tuple[str, ...] = ()
+
+    def accepts(self, value: Any) -> bool:
+        return isinstance(value, str) and bool(value) and (not self.choices or value in self.choices)
 
     def __str__(self) -> str:
-        return f"one of {', '.join(self.words)}" if self.words else "a text"
+        return f"one of {', '.join(self.choices)}" if self.choices else "a text"
 
 
 @dataclass(frozen=True, slots=True)
 class Flag:
-    def takes(self, value: Any) -> bool:
+    """Accepts booleans."""
+
+    def accepts(self, value: Any) -> bool:
         return isinstance(value, bool)
 
     def __str__(self) -> str:
@@ -76,25 +84,25 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Kind:
-    """A value of a JSON kind, which is looked into further where that is needed."""
+class JsonType:
+    """Accepts values of one JSON type, whose content may be checked further."""
 
-    kind: type
-    word: str
+    python_type: type
+    description: str
 
-    def takes(self, value: Any) -> bool:
-        return isinstance(value, self.kind)
+    def accepts(self, value: Any) -> bool:
+        return isinstance(value, self.python_type)
 
     def __str__(self) -> str:
-        return self.word
+        return self.description
 
 
-Allowed = Number | Text | Flag | Kind
-OBJECT, LIST, WORD = Kind(dict, "an object"), Kind(list, "a list"), Kind(str, "a text")
-POSITIVE, NOT_NEGATIVE, ANY = Number(above=0), Number(least=0), Number()
+Allowed = Number | Text | Flag | JsonType
+OBJECT, LIST, TEXT = JsonType(dict, "an object"), JsonType(list, "a list"), JsonType(str, "a text")
+POSITIVE, NOT_NEGATIVE, ANY = Number(exclusive_minimum=0), Number(minimum=0), Number()
 
-# By key: what is allowed, and whether it has to be there.
-CLASS: dict[str, tuple[Allowed, bool]] = {
+# By key: what is allowed, and whether the key is required.
+REQUEST_CLASS: dict[str, tuple[Allowed, bool]] = {
     "name": (Text(), True),
     "aim_ms": (POSITIVE, True),
     "deadline_ms": (POSITIVE, True),
@@ -107,7 +115,7 @@
     "stream": (Flag(), False),
 }
 BOUNDS: dict[str, tuple[Allowed, bool]] = {
-    "max_attempts": (Number(least=1, whole=True), True),
+    "max_attempts": (Number(minimum=1, integer=True), True),
     "parallel_tries": (Flag(), False),
     "cancel": (Flag(), False),
     "probes": (Flag(), False),
@@ -119,7 +127,7 @@
     "max_open": (NOT_NEGATIVE, False),
 }
 SAFETY: dict[str, tuple[Allowed, bool]] = {
-    "cold_share": (Number(above=0, most=1), True),
+    "cold_share": (Number(exclusive_minimum=0, maximum=1), True),
     "cold_ms": (NOT_NEGATIVE, True),
     "fall_multiple": (POSITIVE, True),
     "fall_ms": (POSITIVE, True),
@@ -134,20 +142,20 @@
     "bounds": (OBJECT, True),
     "safety": (OBJECT, True),
     "categories": (LIST, True),
-    "balancers": (Number(least=1, whole=True), True),
-    "ordinal": (Number(least=0, whole=True), False),
-    "zone": (WORD, False),
-    "discovery": (WORD, False),
+    "balancers": (Number(minimum=1, integer=True), True),
+    "ordinal": (Number(minimum=0, integer=True), False),
+    "zone": (TEXT, False),
+    "discovery": (TEXT, False),
     "reporting": (OBJECT, False),
     "prices": (OBJECT, False),
     "projects": (LIST, False),
     "over_share_worth": (ANY, False),
 }
 LIMITS: dict[str, tuple[Allowed, bool]] = {
-    "sockets": (Number(least=1), False),
+    "sockets": (Number(minimum=1), False),
     "memory_mb": (POSITIVE, False),
 }
-WHOLE: dict[str, tuple[Allowed, bool]] = {
+ROOT: dict[str, tuple[Allowed, bool]] = {
     "settings": (OBJECT, True),
     "limits": (OBJECT, False),
     "peers": (LIST, False),
@@ -155,51 +163,51 @@
 }
 
 
-def check(told: Any) -> None:
-    """Raises ConfigError for the first thing that is wrong."""
-    if not isinstance(told, dict):
-        raise ConfigError("the file", told, "an object")
-    _table(told, "", WHOLE)
-    _table(told.get("limits") or {}, "limits.", LIMITS)
-    facts = told["settings"]
-    _table(facts, "settings.", SETTINGS)
-    _table(facts["bounds"], "settings.bounds.", BOUNDS)
-    _table(facts["safety"], "settings.safety.", SAFETY)
-    _table(facts.get("prices") or {}, "settings.prices.", PRICES)
-    _all(facts["categories"], "settings.categories", CLASS)
-    _all(facts.get("projects") or [], "settings.projects", TENANT)
-    fields = (facts.get("reporting") or {}).get("fields", [])
+def check(document: Any) -> None:
+    """Raises ConfigError for the first invalid value."""
+    if not isinstance(document, dict):
+        raise ConfigError("the file", document, "an object")
+    _check_object(document, "", ROOT)
+    _check_object(document.get("limits") or {}, "limits.", LIMITS)
+    settings = document["settings"]
+    _check_object(settings, "settings.", SETTINGS)
+    _check_object(settings["bounds"], "settings.bounds.", BOUNDS)
+    _check_object(settings["safety"], "settings.safety.", SAFETY)
+    _check_object(settings.get("prices") or {}, "settings.prices.", PRICES)
+    _check_list(settings["categories"], "settings.categories", REQUEST_CLASS)
+    _check_list(settings.get("projects") or [], "settings.projects", TENANT)
+    fields = (settings.get("reporting") or {}).get("fields", [])
     if not isinstance(fields, list) or not all(isinstance(name, str) for name in fields):
         raise ConfigError("settings.reporting.fields", fields, "a list of texts")
-    if not facts["categories"]:
+    if not settings["categories"]:
         raise ConfigError("settings.categories", [], "at least one class")
-    if facts.get("ordinal") is not None and facts["ordinal"] >= facts["balancers"]:
-        most = f"a number below settings.balancers, which is {facts['balancers']:g}"
-        raise ConfigError("settings.ordinal", facts["ordinal"], most)
-    for number, name in _twice(facts["categories"]):
-        raise ConfigError(f"settings.categories[{number}].name", name, "a name that no other class has")
+    if settings.get("ordinal") is not None and settings["ordinal"] >= settings["balancers"]:
+        allowed = f"a number below settings.balancers, which is {settings['balancers']:g}"
+        raise ConfigError("settings.ordinal", settings["ordinal"], allowed)
+    for index, name in _duplicate_names(settings["categories"]):
+        raise ConfigError(f"settings.categories[{index}].name", name, "a name that no other class has")
 
 
-def _table(told: dict[str, Any], where: str, keys: dict[str, tuple[Allowed, bool]]) -> None:
-    for key, (allowed, needed) in keys.items():
-        value = told.get(key, MISSING)
-        if value is MISSING or (value is None and not needed):
-            if needed:
-                raise ConfigError(f"{where}{key}", value, str(allowed))
-        elif not allowed.takes(value):
-            raise ConfigError(f"{where}{key}", value, str(allowed))
+def _check_object(table: dict[str, Any], path: str, keys: dict[str, tuple[Allowed, bool]]) -> None:
+    for key, (allowed, required) in keys.items():
+        value = table.get(key, MISSING)
+        if value is MISSING or (value is None and not required):
+            if required:
+                raise ConfigError(f"{path}{key}", value, str(allowed))
+        elif not allowed.accepts(value):
+            raise ConfigError(f"{path}{key}", value, str(allowed))
 
 
-def _all(told: list[Any], where: str, keys: dict[str, tuple[Allowed, bool]]) -> None:
-    for number, each in enumerate(told):
-        if not isinstance(each, dict):
-            raise ConfigError(f"{where}[{number}]", each, "an object")
-        _table(each, f"{where}[{number}].", keys)
+def _check_list(items: list[Any], path: str, keys: dict[str, tuple[Allowed, bool]]) -> None:
+    for index, item in enumerate(items):
+        if not isinstance(item, dict):
+            raise ConfigError(f"{path}[{index}]", item, "an object")
+        _check_object(item, f"{path}[{index}].", keys)
 
 
-def _twice(told: list[dict[str, Any]]) -> Iterator[tuple[int, str]]:
+def _duplicate_names(items: list[dict[str, Any]]) -> Iterator[tuple[int, str]]:
     seen: set[str] = set()
-    for number, each in enumerate(told):
-        if each["name"] in seen:
-            yield number, each["name"]
-        seen.add(each["name"])
+    for index, item in enumerate(items):
+        if item["name"] in seen:
+            yield index, item["name"]
+        seen.add(item["name"])
--- a/cloverrouter/proxy/discovery.py
+++ b/cloverrouter/proxy/discovery.py
@@ -1,4 +1,4 @@
-"""The watch on discovery: calls in a row on one connection, each with a time-out of its own."""
+"""Watches the list of servers: long-polls discovery with successive requests on one connection."""
 
 from __future__ import annotations
 
@@ -14,36 +14,39 @@
 
 from cloverrouter.proxy.config import Address, HostList, UnixClock, read_list
 
-# Danger: a watch that has fallen silent looks just like one that waits; only after the wait can it be told.
-HOLD_MS = 3_000
-GRACE_S = 2.0  # over what a call may take: from then on discovery is taken to be silent
-CONNECT_S = 1.0
-MOST_BYTES = 4 * 1024 * 1024
-# An empty answer sooner than this is from an agent that does not wait: it is not to be asked in a loop.
-HASTY_S = 0.05
-PAUSE_S = 0.1  # well within the 200 ms after which a watch has ended
-PUSHED_FIRST_S, PUSHED_MOST_S = 0.1, 2.0
-# Danger: what the agent has counts as told also while no call is out. So no pause between calls may be longer
-# than this part of the grace in which a server that drains may still be sent something.
-GRACE_SHARE = 0.4
-# Where a list is at hand from before, the agent is asked what has changed before anything is sent. Silent for
-# so long, it has nothing to tell, or discovery is down: the list at hand must do.
-FIRST_ANSWER_S = 0.25
-ROUNDS = 10  # in which that time is waited out
+# How long a request waits for a change. A discovery agent that has failed can't be told from one that has
+# nothing to report before this time is over.
+LONG_POLL_MS = 3_000
+RESPONSE_MARGIN_S = 2.0  # a request that exceeds its wait by this much has failed
+CONNECT_TIMEOUT_S = 1.0
+MAX_RESPONSE_BYTES = 4 * 1024 * 1024
+# An empty answer sooner than this comes from an agent that does not wait for changes. The next request is
+# then delayed, lest the agent be polled in a busy loop.
+IMMEDIATE_RESPONSE_S = 0.05
+EMPTY_RESPONSE_DELAY_S = 0.1  # well within the 200 ms after which a watch counts as ended
+MIN_BACKOFF_S, MAX_BACKOFF_S = 0.1, 2.0
+# A change counts as announced once the agent has it, even while no request is waiting there. So a delay
+# between requests must stay below this fraction of the grace period in which a draining server may still be
+# sent to.
+DRAIN_GRACE_SHARE = 0.4
+# A proxy that starts with a restored list asks the agent for changes before it sends anything. After this
+# time without an answer, nothing has changed or discovery is down, and the proxy uses the list it has.
+FIRST_RESPONSE_TIMEOUT_S = 0.25
+WAIT_STEPS = 10  # the wait is divided into so many iterations of the loop
 log = logging.getLogger(__name__)
 
 
 class DiscoveryError(Exception):
-    """A call brought no list."""
+    """A request to discovery returned no list."""
 
 
-class _Reply:
-    """What httptools tells of one answer."""
+class _Response:
+    """Receives one response from httptools."""
 
     def __init__(self) -> None:
         self.body = bytearray()
         self.complete = False
-        self.keep = False
+        self.keep_alive = False
         self.parser = httptools.HttpResponseParser(self)
 
     def on_body(self, body: bytes) -> None:
@@ -51,67 +54,68 @@
 
     def on_message_complete(self) -> None:
         self.complete = True
-        self.keep = self.parser.should_keep_alive()
+        self.keep_alive = self.parser.should_keep_alive()
 
 
 class Watch:
-    """Keeps a list up to date.
+    """Keeps the list of servers up to date.
 
-    `on_list` gets each whole answer; `on_failure` is told of a failed call, after which nothing is
-    asked until the next `start`, unless the list is pushed: then the watch goes on by itself.
+    Calls `on_list` with each list or change received, and `on_failure` after a failed request. With
+    `retry_on_failure` the watch then retries with a backoff; otherwise it ends until the next `start`.
     """
 
     def __init__(
         self,
         address: Address,
         clock: UnixClock,
-        pushed: bool,
+        retry_on_failure: bool,
         on_list: Callable[[HostList], None],
         on_failure: Callable[[], None],
         random: Random | None = None,
         drain_grace_ms: float = 500.0,
     ) -> None:
-        self._most_s = min(PUSHED_MOST_S, max(HASTY_S, GRACE_SHARE * drain_grace_ms / 1000))
-        self._first_s = min(PUSHED_FIRST_S, self._most_s / 2)
+        self._max_backoff_s = min(
+            MAX_BACKOFF_S, max(IMMEDIATE_RESPONSE_S, DRAIN_GRACE_SHARE * drain_grace_ms / 1000)
+        )
+        self._min_backoff_s = min(MIN_BACKOFF_S, self._max_backoff_s / 2)
         self._address = address
         self._clock = clock
-        self._pushed = pushed
+        self._retry_on_failure = retry_on_failure
         self._on_list = on_list
         self._on_failure = on_failure
         self._random = random or Random()
         self._task: asyncio.Task[None] | None = None
         self._streams: tuple[asyncio.StreamReader, asyncio.StreamWriter] | None = None
         self.version: int | None = None
-        self._was_spoilt = False  # the last answer, or a part of it
-        self._left_out: list[Any] = []
-        self._settled = asyncio.Event()  # the first call has ended, well or not
-        self._last = False  # no call follows the one that is out
-        self.hold_ms = HOLD_MS
-        self.grace_s = GRACE_S
+        self._last_malformed = False  # the last answer, or a part of it, was malformed
+        self._skipped_entries: list[Any] = []
+        self._first_call_ended = asyncio.Event()  # successfully or not
+        self._retired = False  # no request follows the current one
+        self.hold_ms = LONG_POLL_MS
+        self.grace_s = RESPONSE_MARGIN_S
 
     def start(self) -> None:
         if self._task is None or self._task.done():
             self._task = asyncio.get_running_loop().create_task(self._run())
 
     async def caught_up(self) -> None:
-        """Until the agent has told what it has, or has let `FIRST_ANSWER_S` pass.
+        """Waits for the first answer of the agent, at most `FIRST_RESPONSE_TIMEOUT_S`.
 
-        Danger: what happened while this process was down counts as told the moment the agent has it. A
-        proxy that serves by its old list until a call comes round sends to servers that it was told are
-        gone. And a process that is just starting may be given no time for longer than all of the wait: the
-        clock has gone on then, while an answer that lies there has not been read. So it is waited in rounds
-        of the loop.
+        A change made while this process was down counts as announced once the agent has it. A proxy that
+        used its old list until the first answer would send to servers that have been announced as gone. A
+        starting process may also be suspended for longer than the whole wait, with an answer already in the
+        socket's buffer; so the wait is divided into several iterations of the loop, which read it.
         """
-        for _ in range(ROUNDS):
+        for _ in range(WAIT_STEPS):
             with suppress(TimeoutError):
-                async with asyncio.timeout(FIRST_ANSWER_S / ROUNDS):
-                    await self._settled.wait()
+                async with asyncio.timeout(FIRST_RESPONSE_TIMEOUT_S / WAIT_STEPS):
+                    await self._first_call_ended.wait()
                     return
 
     def retire(self) -> None:
-        """Another watch takes over: the call that is out is the last. Danger: what its agent has written
-        already counts as told, also if nobody has read it when the other one is named."""
-        self._last = True
+        """Ends the watch after the current request, because another watch takes over. The request is not
+        cancelled: a change that its agent has already written counts as announced, read or not."""
+        self._retired = True
 
     def stop(self) -> None:
         task, self._task = self._task, None
@@ -122,90 +126,91 @@
     async def _run(self) -> None:
         backoff_s = 0.0
         while True:
-            asked_s = asyncio.get_running_loop().time()
+            started_s = asyncio.get_running_loop().time()
             try:
-                found = await self._call()
+                hosts = await self._call()
             except Exception as error:
-                # Danger: an answer that can't be read in a way nobody thought of would end the watch for
-                # good. Nothing of the module's runs in here: its crashes are not hidden.
+                # Catches everything: an answer that fails to parse in an unforeseen way would end the watch
+                # for good. No code of the balancer runs here, so its crashes are not hidden.
                 log.warning("discovery: %s: %s", type(error).__name__, error)
                 self._close()
-                if self._last:
+                if self._retired:
                     return
                 if not isinstance(error, OSError | EOFError | DiscoveryError):
-                    self.version = None  # what follows on it can't be trusted: ask for the whole list
-                self._settled.set()
+                    self.version = None  # further changes can't be trusted: request the whole list
+                self._first_call_ended.set()
                 self._on_failure()
-                if not self._pushed:
+                if not self._retry_on_failure:
                     return
-                if backoff_s == 0:  # a watch that was there until now is opened anew at once
-                    backoff_s = self._first_s
+                if backoff_s == 0:  # retry a watch that worked until now at once
+                    backoff_s = self._min_backoff_s
                     continue
-                # Decorrelated, at the bound as well: proxies that failed as one do not come back as one.
-                widest_s = min(self._most_s, 3 * backoff_s) - self._first_s
-                backoff_s = self._first_s + self._random.random() * widest_s
+                # Decorrelated jitter, also at the upper bound, so that proxies that fail at the same time
+                # do not retry at the same time.
+                range_s = min(self._max_backoff_s, 3 * backoff_s) - self._min_backoff_s
+                backoff_s = self._min_backoff_s + self._random.random() * range_s
                 await asyncio.sleep(backoff_s)
                 continue
             backoff_s = 0.0
-            self.version = found.version
-            self._on_list(found)
-            if self._last:
+            self.version = hosts.version
+            self._on_list(hosts)
+            if self._retired:
                 self._close()
                 return
-            if not self._settled.is_set():
-                self._settled.set()
+            if not self._first_call_ended.is_set():
+                self._first_call_ended.set()
                 continue
-            if not found.entries and asyncio.get_running_loop().time() - asked_s < HASTY_S:
-                await asyncio.sleep(PAUSE_S)
+            if not hosts.entries and asyncio.get_running_loop().time() - started_s < IMMEDIATE_RESPONSE_S:
+                await asyncio.sleep(EMPTY_RESPONSE_DELAY_S)
 
     async def _call(self) -> HostList:
-        target, hold_s = "/v1/servers", 0.0
+        target, long_poll_s = "/v1/servers", 0.0
         if self.version is not None:
-            hold_ms = self.hold_ms if self._settled.is_set() else 0
-            target, hold_s = f"{target}?from={self.version}&hold_ms={hold_ms}", hold_ms / 1000
-        async with asyncio.timeout(hold_s + self.grace_s):
+            hold_ms = self.hold_ms if self._first_call_ended.is_set() else 0
+            target, long_poll_s = f"{target}?from={self.version}&hold_ms={hold_ms}", hold_ms / 1000
+        async with asyncio.timeout(long_poll_s + self.grace_s):
             status, body = await self._get(target)
         if status != 200:
-            raise DiscoveryError(f"answered {status}")
-        return self._read(json.loads(body))
+            raise DiscoveryError(f"answered with status {status}")
+        return self._parse(json.loads(body))
 
-    def _read(self, message: Any) -> HostList:
-        """Raises ValueError for a list that is not to be applied, after which the whole list is asked for.
+    def _parse(self, message: Any) -> HostList:
+        """Raises ValueError for a list that must not be applied; the whole list is requested next.
 
-        Danger: one entry that stays spoilt would hide the drains of all others. So when the whole list has
-        been asked for because of that, and is spoilt as well, what can be read of it counts.
+        An entry that stays malformed would hide the drains of all others. So if the whole list was requested
+        for that reason and is malformed as well, its valid entries are used.
         """
-        spoilt: list[Any] | None = [] if self._was_spoilt and self.version is None else None
-        self._was_spoilt = True
-        found = read_list(message, self._clock, spoilt)
-        if self.version is None and not found.full:
-            raise ValueError("changes came for the whole list")
-        if self.version is not None and not found.full and found.version < self.version:
-            raise ValueError(f"changes came for version {found.version}, which is before {self.version}")
-        self._was_spoilt = bool(spoilt)
-        if spoilt and spoilt != self._left_out:
-            log.warning("discovery: %d entries can't be read and are left out: %r", len(spoilt), spoilt[:3])
-        self._left_out = spoilt or []
-        return found
+        unreadable: list[Any] | None = [] if self._last_malformed and self.version is None else None
+        self._last_malformed = True
+        hosts = read_list(message, self._clock, unreadable)
+        if self.version is None and not hosts.full:
+            raise ValueError("requested the whole list, but received changes")
+        if self.version is not None and not hosts.full and hosts.version < self.version:
+            raise ValueError(f"received changes for version {hosts.version}, older than {self.version}")
+        self._last_malformed = bool(unreadable)
+        if unreadable and unreadable != self._skipped_entries:
+            log.warning("discovery: skipped %d malformed entries: %r", len(unreadable), unreadable[:3])
+        self._skipped_entries = unreadable or []
+        return hosts
 
     async def _get(self, target: str) -> tuple[int, bytes]:
         if self._streams is None:
-            async with asyncio.timeout(CONNECT_S):
+            async with asyncio.timeout(CONNECT_TIMEOUT_S):
                 self._streams = await asyncio.open_connection(*self._address)
         reader, writer = self._streams
         host, port = self._address
         writer.write(f"GET {target} HTTP/1.1\r\nHost: {host}:{port}\r\n\r\n".encode())
-        reply = _Reply()
-        while not reply.complete:
+        response = _Response()
+        while not response.complete:
             data = await reader.read(65536)
             if not data:
-                raise EOFError("the answer ended early")
-            reply.parser.feed_data(data)
-            if len(reply.body) > MOST_BYTES:
-                raise DiscoveryError("the answer does not end")
-        if not reply.keep:
+                raise EOFError("connection closed before the end of the response")
+            response.parser.feed_data(data)
+            if len(response.body) > MAX_RESPONSE_BYTES:
+                raise DiscoveryError("the response is too large")
+        if not response.keep_alive:
             self._close()
-        return reply.parser.get_status_code(), bytes(reply.body)
+        return response.parser.get_status_code(), bytes(response.body)
 
     def _close(self) -> None:
         if self._streams is not None:
--- a/cloverrouter/proxy/handover.py
+++ b/cloverrouter/proxy/handover.py
@@ -1,11 +1,12 @@
-"""From an old process to a new one: the listening socket, what the old one knows, and a line between them.
+"""The handover from an old process to a new one: the listening socket, the balancer's state, and a link.
 
-The old process listens on a Unix socket in the temporary folder. A new one that finds it there gets the
-clients' listening socket itself (SCM_RIGHTS), so there is one accept queue and nothing in it is lost when
-the old process closes its copy. Until one of them ends they tell each other what operators asked of either.
+The old process listens on a Unix socket in the temporary directory. A new process that finds it there
+receives the clients' listening socket itself (SCM_RIGHTS), so that there is one accept queue, and nothing in
+it is lost when the old process closes its copy. Until one of them ends, each forwards operators' requests to
+the other over the link.
 
-Whatever goes wrong on the way, the new process starts plainly: a peer that is dead, silent or talks
-nonsense must not keep a new version from coming up.
+If anything fails, the new process starts without a handover: an old process that is dead, silent or sends
+invalid data must not prevent a new version from starting.
 """
 
 from __future__ import annotations
@@ -26,51 +27,54 @@
 from cloverrouter.interface import BalancerState, EndpointEstimates, LatencyEstimates
 from cloverrouter.proxy.config import Address, Json
 
-VERSION = 1  # of the state; the listening socket is of use whatever the state's version
-ANSWER_S = 1.5  # for the whole handover, seen from the new process
-HELLO_S = 1.0  # for the new process to say what it wants
-MOST_STATE = 8 * 1024 * 1024
-MOST_LINE = 64 * 1024
-HEADER = 8  # the state's length in bytes, as hexadecimal digits
+VERSION = 1  # of the state; the listening socket is taken over whatever the state's version
+HANDOVER_TIMEOUT_S = 1.5  # for the whole handover, on the new process's side
+REQUEST_TIMEOUT_S = 1.0  # for the new process to send its request
+MAX_STATE_BYTES = 8 * 1024 * 1024
+MAX_LINE_BYTES = 64 * 1024
+HEADER_BYTES = 8  # the state's length in bytes, as hexadecimal digits
 log = logging.getLogger(__name__)
 
 
 def path_for(listen: Address) -> Path:
-    """Named for the clients' address: other client proxies may share the folder."""
+    """Returns the path of the handover socket. It contains the listening address, because other client
+    proxies may use the same directory."""
     host = listen[0].replace(":", "_")
     return Path(os.environ.get("TMPDIR") or tempfile.gettempdir(), f"cypresswinch-{host}-{listen[1]}.sock")
 
 
-def write_memory(memory: BalancerState) -> Json:
-    return asdict(memory)
+def encode_state(balancer_state: BalancerState) -> Json:
+    """Returns the state as a JSON object whose keys are the names of its fields."""
+    return asdict(balancer_state)
 
 
-def read_memory(found: Any, now_ms: float) -> BalancerState:
-    """Raises ValueError for anything but a memory: the module believes what it is handed."""
+def decode_state(raw: Any, now_ms: float) -> BalancerState:
+    """Reads a state written by `encode_state`. Raises ValueError for an invalid one: the balancer does not
+    check what it is given. Times after `now_ms` are set to it."""
 
     def number(value: Any) -> float:
         if isinstance(value, bool) or not isinstance(value, int | float) or not 0 <= value < 1e15:
-            raise ValueError(f"not a figure: {value!r}")
+            raise ValueError(f"not a number in range: {value!r}")
         return float(value)
 
     def text(value: Any) -> str:
         if not isinstance(value, str):
-            raise ValueError(f"not a name: {value!r}")
+            raise ValueError(f"not a string: {value!r}")
         return value
 
     def names(value: Any) -> tuple[str, ...]:
         if not isinstance(value, list):
-            raise ValueError(f"not names: {value!r}")
+            raise ValueError(f"not a list: {value!r}")
         return tuple(map(text, value))
 
     try:
         return BalancerState(
-            cordons=names(found["cordons"]),
-            listed=names(found["listed"]),
-            back_ms=tuple((text(name), min(now_ms, number(at_ms))) for name, at_ms in found["back_ms"]),
-            tokens=number(found["tokens"]),
-            peak_rate=number(found["peak_rate"]),
-            flow_limit=number(found["flow_limit"]),
+            cordons=names(raw["cordons"]),
+            listed=names(raw["listed"]),
+            back_ms=tuple((text(name), min(now_ms, number(at_ms))) for name, at_ms in raw["back_ms"]),
+            tokens=number(raw["tokens"]),
+            peak_rate=number(raw["peak_rate"]),
+            flow_limit=number(raw["flow_limit"]),
             endpoints=tuple(
                 EndpointEstimates(
                     name=text(e["name"]),
@@ -79,10 +83,10 @@
                     slowness=max(0.01, number(e["slowness"])),
                     limit=number(e["limit"]),
                     latency_ms=number(e["latency_ms"]),
-                    # It can be overdrawn by a part of one request, which is then a little less than nothing.
+                    # It may be overdrawn by a fraction of one request, and then be slightly negative.
                     cold_credit=None if e["cold_credit"] is None else number(max(0, e["cold_credit"])),
                 )
-                for e in found["endpoints"]
+                for e in raw["endpoints"]
             ),
             classes=tuple(
                 LatencyEstimates(
@@ -92,15 +96,15 @@
                     slow_ratio=number(c["slow_ratio"]),
                     seen=int(number(c["seen"])),
                 )
-                for c in found["classes"]
+                for c in raw["classes"]
             ),
         )
     except (KeyError, TypeError, AttributeError) as error:
-        raise ValueError(f"not a memory: {error!r}") from error
+        raise ValueError(f"not a balancer state: {error!r}") from error
 
 
 class Link:
-    """A line to the other process: JSON objects, one a line, either way."""
+    """The link to the other process: JSON objects in both directions, one a line."""
 
     def __init__(
         self, sock: socket.socket, on_message: Callable[[Link, Json], None], on_end: Callable[[Link], None]
@@ -109,13 +113,14 @@
         self._on_message = on_message
         self._on_end = on_end
         self._writer: asyncio.StreamWriter | None = None
-        self._early: list[bytes] = []  # said before the streams were up
+        self._pending_lines: list[bytes] = []  # sent before the streams were open
         self._task = asyncio.get_running_loop().create_task(self._read())
 
-    def say(self, message: Json) -> None:
+    def send(self, message: Json) -> None:
+        """Sends a message, once the link is open."""
         line = json.dumps(message).encode() + b"\n"
         if self._writer is None:
-            self._early.append(line)
+            self._pending_lines.append(line)
         else:
             self._writer.write(line)
 
@@ -129,22 +134,22 @@
     async def _read(self) -> None:
         try:
             self._sock.setblocking(False)
-            reader, self._writer = await asyncio.open_connection(sock=self._sock, limit=MOST_LINE)
-            self._writer.writelines(self._early)
+            reader, self._writer = await asyncio.open_connection(sock=self._sock, limit=MAX_LINE_BYTES)
+            self._writer.writelines(self._pending_lines)
             while line := await reader.readline():
                 message = json.loads(line)
                 if not isinstance(message, dict):
                     raise ValueError("not an object")
                 self._on_message(self, message)
         except (OSError, ValueError) as error:
-            log.warning("the line to the other process: %s: %s", type(error).__name__, error)
+            log.warning("link to the other process: %s: %s", type(error).__name__, error)
         if self._writer is not None:
             self._writer.close()
         self._on_end(self)
 
 
-class Giver:
-    """The old process's side: waits for a new one, and gives."""
+class HandoverServer:
+    """The old process's side: waits for a new process and hands over to it."""
 
     def __init__(
         self,
@@ -162,19 +167,19 @@
         self._task: asyncio.Task[None] | None = None
 
     def start(self) -> None:
-        """Take the name over, from a predecessor too: a rename leaves no moment without one."""
-        own = self._path.with_name(f"{self._path.name}.{os.getpid()}")
-        own.unlink(missing_ok=True)
+        """Listens on the handover path. The rename replaces a predecessor's socket atomically."""
+        own_path = self._path.with_name(f"{self._path.name}.{os.getpid()}")
+        own_path.unlink(missing_ok=True)
         self._sock.setblocking(False)
-        # A Unix address is short, and the folder's name may be long: go by the folder's descriptor.
+        # The path may be too long for a Unix socket address; the directory's descriptor shortens it.
         folder = os.open(self._path.parent, os.O_PATH | os.O_DIRECTORY)
         try:
-            self._sock.bind(f"/proc/self/fd/{folder}/{own.name}")
+            self._sock.bind(f"/proc/self/fd/{folder}/{own_path.name}")
         finally:
             os.close(folder)
-        os.chmod(own, 0o600)
+        os.chmod(own_path, 0o600)
         self._sock.listen(4)
-        os.rename(own, self._path)
+        os.rename(own_path, self._path)
         self._inode = os.stat(self._path).st_ino
         self._task = asyncio.get_running_loop().create_task(self._serve())
 
@@ -183,7 +188,7 @@
             self._task.cancel()
         self._sock.close()
         with contextlib.suppress(OSError):
-            if os.stat(self._path).st_ino == self._inode:  # a successor's stays
+            if os.stat(self._path).st_ino == self._inode:  # not if a successor has replaced it
                 os.unlink(self._path)
 
     async def _serve(self) -> None:
@@ -191,80 +196,84 @@
         while True:
             peer, _ = await loop.sock_accept(self._sock)
             try:
-                async with asyncio.timeout(HELLO_S):
+                async with asyncio.timeout(REQUEST_TIMEOUT_S):
                     peer.setblocking(False)
-                    hello = await loop.sock_recv(peer, 256)
-                    if hello.strip() != b"take over":
-                        raise ValueError(f"not a greeting: {hello!r}")
+                    request = await loop.sock_recv(peer, 256)
+                    if request.strip() != b"take over":
+                        raise ValueError(f"not a handover request: {request!r}")
                     state = json.dumps({"version": VERSION, **self._state()}).encode()
                     socket.send_fds(peer, [b"%08x" % len(state)], [self._listener.fileno()])
                     await loop.sock_sendall(peer, state)
-            except (OSError, ValueError) as error:  # TimeoutError among them
-                log.warning("handing over failed: %s: %s", type(error).__name__, error)
+            except (OSError, ValueError) as error:  # includes TimeoutError
+                log.warning("handover to a new process failed: %s: %s", type(error).__name__, error)
                 peer.close()
                 continue
             self._on_link(peer)
 
 
 @dataclass(slots=True)
-class Inheritance:
-    listener: socket.socket
-    peer: socket.socket
-    state: Json  # empty: of a version that is not understood, or unreadable
+class ReceivedHandover:
+    """What a new process has received from the old one."""
 
+    listener: socket.socket  # the clients' listening socket
+    peer: socket.socket  # the connection for a `Link`
+    state: Json  # empty if its version is not supported, or it is unreadable
 
-def take(path: Path) -> Inheritance | None:
-    """What the process before has to give; None where there is none, or none that can be used.
 
-    Blocks, for a bounded time: a process that has not begun has nothing else to do.
+def take_over(path: Path) -> ReceivedHandover | None:
+    """Returns what the old process hands over; None if there is no old process, or the handover fails.
+
+    Blocks for at most `HANDOVER_TIMEOUT_S`: a process that has not started yet has nothing else to do.
     """
-    until = time.monotonic() + ANSWER_S
+    deadline_s = time.monotonic() + HANDOVER_TIMEOUT_S
     peer = socket.socket(socket.AF_UNIX)
-    found: list[int] = []
+    descriptors: list[int] = []
     try:
         folder = os.open(path.parent, os.O_PATH | os.O_DIRECTORY)
         try:
-            peer.settimeout(ANSWER_S)
+            peer.settimeout(HANDOVER_TIMEOUT_S)
             peer.connect(f"/proc/self/fd/{folder}/{path.name}")
         finally:
             os.close(folder)
         peer.sendall(b"take over\n")
-        header, found, _, _ = socket.recv_fds(peer, HEADER, 4)
-        if not found:
-            raise ValueError("no listening socket came")
-        while len(header) < HEADER:
-            header += _more(peer, HEADER - len(header), until)
+        header, descriptors, _, _ = socket.recv_fds(peer, HEADER_BYTES, 4)
+        if not descriptors:
+            raise ValueError("received no listening socket")
+        while len(header) < HEADER_BYTES:
+            header += _receive(peer, HEADER_BYTES - len(header), deadline_s)
         size = int(header, 16)
-        if size > MOST_STATE:
-            raise ValueError(f"a state of {size} bytes")
+        if size > MAX_STATE_BYTES:
+            raise ValueError(f"a state of {size} bytes is too large")
         data = bytearray()
         while len(data) < size:
-            data += _more(peer, size - len(data), until)
-        listener = socket.socket(fileno=found.pop(0))
+            data += _receive(peer, size - len(data), deadline_s)
+        listener = socket.socket(fileno=descriptors.pop(0))
         listener.setblocking(False)
-        return Inheritance(listener, peer, _read_state(bytes(data)))
+        return ReceivedHandover(listener, peer, _read_state(bytes(data)))
     except (FileNotFoundError, ConnectionRefusedError):
-        log.info("no process before this one")
+        log.info("no previous process to take over from")
     except (OSError, ValueError) as error:
-        log.warning("nothing usable from the process before: %s: %s", type(error).__name__, error)
+        log.warning("handover from the previous process failed: %s: %s", type(error).__name__, error)
     finally:
-        for number in found:
-            os.close(number)
+        for descriptor in descriptors:
+            os.close(descriptor)
     peer.close()
     return None
 
 
-def _more(peer: socket.socket, size: int, until: float) -> bytes:
-    peer.settimeout(max(0.001, until - time.monotonic()))
+def _receive(peer: socket.socket, size: int, deadline_s: float) -> bytes:
+    peer.settimeout(max(0.001, deadline_s - time.monotonic()))
     data = peer.recv(min(size, 65536))
     if not data:
-        raise ValueError("the handover ended early")
+        raise ValueError("connection closed before the end of the state")
     return data
 
 
 def _read_state(data: bytes) -> Json:
     state: Any = json.loads(data)
     if not isinstance(state, dict) or state.get("version") != VERSION:
-        log.warning("the process before speaks another version: only its listening socket is taken over")
+        log.warning(
+            "the previous process uses another version of the state: only its listening socket is taken over"
+        )
         return {}
     return state
--- a/cloverrouter/proxy/messages.py
+++ b/cloverrouter/proxy/messages.py
@@ -1,4 +1,4 @@
-"""What the parts of the client proxy hand to one another: a client's call and a host's answer."""
+"""The interface between the parts of the client proxy: a client's request and a server's answer."""
 
 from __future__ import annotations
 
@@ -8,24 +8,25 @@
 from cloverrouter.http.sockets import hung_up as hung_up
 from cloverrouter.proxy.streams import Sink, Source, StreamHead, Upload
 
-SMALL = 64 * 1024  # bodies up to this are held whole, so that they can be sent again
-MAX_BODY = 34 * 1024 * 1024  # of either side; what is larger is not one of ours
+SMALL = 64 * 1024  # bodies up to this size are buffered whole, so that they can be sent again
+MAX_BODY = 34 * 1024 * 1024  # of requests and answers; larger ones are refused
 MAX_HEAD = 16 * 1024
 
 
 @dataclass(frozen=True, slots=True)
 class Answer:
-    """A host's whole answer."""
+    """A server's complete answer."""
 
     status: int
     body: bytes
     content_type: bytes
-    never_ran: bool  # the host says that it has not begun the request
-    report: bytes | None  # its load report, unread
+    never_ran: bool  # the server states that it has not begun to execute the request
+    report: bytes | None  # its load report, not yet parsed
 
 
 class Call(ABC):
-    """One request of a client. Exactly one of the three answers is given; later ones go nowhere."""
+    """One request of a client. It gets one answer, by `served`, `refused`, `failed` or `begun`; further
+    ones have no effect."""
 
     __slots__ = (
         "arrived_ms",
@@ -44,35 +45,41 @@
         "upload",
     )
 
-    arrived_ms: float  # when its last byte had come
+    arrived_ms: float  # when its last byte was received
     method: bytes
     target: bytes
     request_id: bytes
     idempotency_key: bytes
     content_type: bytes
     body: bytes
-    upload: Upload | None  # the body, where it is too large to be held
+    upload: Upload | None  # the body, if it is too large to be buffered
     class_name: str
     tenant: str | None
     key: str | None
-    timeout_ms: float | None  # how long the client waits; None: it did not say
+    timeout_ms: float | None  # how long the client waits; None: not stated
     cost_ms: float | None
     repeat: bool
 
     def left(self) -> bool:
-        """Has its client gone? Asked right before anything of it goes out. Danger: a process that stood still
-        for a while sends on first and hears of the leaving next."""
+        """Returns whether the client has closed its connection. To be checked right before a request is sent:
+        a process that was suspended would otherwise send it before it learns that the client is gone."""
         return False
 
     @abstractmethod
-    def served(self, answer: Answer) -> None: ...
+    def served(self, answer: Answer) -> None:
+        """Sends a server's complete answer to the client."""
+        ...
 
     @abstractmethod
-    def refused(self, retry_after_ms: float) -> None: ...
+    def refused(self, retry_after_ms: float) -> None:
+        """Tells the client that the request was not executed and may be sent again after `retry_after_ms`."""
+        ...
 
     @abstractmethod
-    def failed(self) -> None: ...
+    def failed(self) -> None:
+        """Tells the client that the request failed; it may have been executed."""
+        ...
 
     @abstractmethod
     def begun(self, head: StreamHead, source: Source) -> Sink:
-        """In place of the three: an answer that is passed on while it comes."""
+        """Starts an answer that is forwarded while it is received."""
--- a/cloverrouter/proxy/peers.py
+++ b/cloverrouter/proxy/peers.py
@@ -1,4 +1,4 @@
-"""Datagrams from client proxy to client proxy. Nothing depends on them: they come late, twice, or never."""
+"""Datagrams between client proxies. Nothing relies on them: they may be late, duplicated or lost."""
 
 from __future__ import annotations
 
@@ -12,36 +12,38 @@
 log = logging.getLogger(__name__)
 
 
-class Peers(asyncio.DatagramProtocol):
-    """The socket for them. `on_news` gets what came."""
+class PeerSocket(asyncio.DatagramProtocol):
+    """The UDP socket for datagrams from and to peers. `on_datagram` gets each datagram received."""
 
-    def __init__(self, told: config.Peers, on_news: Callable[[bytes], None]) -> None:
-        self._told = told
-        self._on_news = on_news
+    def __init__(self, settings: config.PeerSettings, on_datagram: Callable[[bytes], None]) -> None:
+        self._settings = settings
+        self._on_datagram = on_datagram
         self._transport: asyncio.DatagramTransport | None = None
 
     async def open(self) -> None:
-        """Without a socket the proxy works alone; that is logged once."""
+        """Opens the socket. If that fails, logs a warning, and the proxy works without its peers."""
         loop = asyncio.get_running_loop()
         try:
             # Two processes share the address while one takes over from the other.
-            await loop.create_datagram_endpoint(lambda: self, local_addr=self._told.listen, reuse_port=True)
+            await loop.create_datagram_endpoint(
+                lambda: self, local_addr=self._settings.listen, reuse_port=True
+            )
         except OSError as error:
-            log.warning("no news from other proxies: %s", error)
+            log.warning("can't open the socket for datagrams from other proxies: %s", error)
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self._transport = cast(asyncio.DatagramTransport, transport)
 
     def datagram_received(self, data: bytes, addr: object) -> None:
-        self._on_news(data)
+        self._on_datagram(data)
 
     def error_received(self, exc: Exception) -> None:
-        """A peer is not there: that is the others' business."""
+        """Ignores ICMP errors: a peer that is not running needs no handling."""
 
-    def say(self, data: bytes) -> None:
-        """To all of them."""
+    def broadcast(self, data: bytes) -> None:
+        """Sends a datagram to all peers."""
         if self._transport is not None:
-            for address in self._told.to:
+            for address in self._settings.targets:
                 self._transport.sendto(data, address)
 
     def close(self) -> None:
--- a/cloverrouter/proxy/program.py
+++ b/cloverrouter/proxy/program.py
@@ -1,4 +1,4 @@
-"""One client proxy, put together: its parts, what operators ask of it, and how it comes and goes."""
+"""One client proxy: its parts, operators' requests, handover, and shutdown."""
 
 from __future__ import annotations
 
@@ -17,103 +17,109 @@
 from cloverrouter.proxy.discovery import Watch
 from cloverrouter.proxy.figures import Figures, Gauges
 from cloverrouter.proxy.frontend import Frontend
-from cloverrouter.proxy.handover import Giver, Inheritance, Link
+from cloverrouter.proxy.handover import HandoverServer, Link, ReceivedHandover
 from cloverrouter.proxy.node import Node
-from cloverrouter.proxy.peers import Peers
+from cloverrouter.proxy.peers import PeerSocket
 from cloverrouter.proxy.streams import Budget
 from cloverrouter.proxy.upstream import Upstream
 
-# Standard streams, the loop's own, the listeners, discovery, operators' calls, the handover, and some air.
+# Standard streams, the event loop, listeners, discovery, operators' requests, the handover, and a reserve.
 RESERVED_SOCKETS = 48
-POLL_S = 0.02
-SHARE_S = 0.03
-PART = 0.5  # of the module's budgets is for each of two processes that serve beside each other
-READY_S = 5.0  # for a new process to know servers; then it takes over as it is
+POLL_INTERVAL_S = 0.02
+SHARE_INTERVAL_S = 0.03
+CAPACITY_SHARE = 0.5  # of the balancer's limits, for each of two processes that serve at the same time
+READY_TIMEOUT_S = 5.0  # for a new process to learn of servers; it takes over then in any case
 log = logging.getLogger("cloverrouter.proxy")
 
 
 class Program:
-    """Runs until it is told to stop, or until the module fails."""
+    """Runs until `stop` is called or the balancer fails."""
 
-    def __init__(self, told: Config, inherited: Inheritance | None) -> None:
+    def __init__(self, configuration: Config, inherited: ReceivedHandover | None) -> None:
         self._loop = asyncio.get_running_loop()
-        self._told = told
+        self._told = configuration
         self._inherited = inherited
         self._stop = asyncio.Event()
         self._crashes: list[BaseException] = []
-        self._links: list[Link] = []  # to the process before, and to those after
-        self._successor: Link | None = None  # has taken the clients over
+        self._links: list[Link] = []  # to the previous process, and to successors
+        self._successor: Link | None = None  # has taken over the clients
         self._predecessor: Link | None = None
         self._draining = False
-        self._sharing: asyncio.Task[None] | None = None
+        self._sharing_task: asyncio.Task[None] | None = None
         limit = resource.getrlimit(resource.RLIMIT_NOFILE)[0]
-        sockets = min(told.sockets, limit) - RESERVED_SOCKETS
-        classes = {cls.name: cls.idempotency for cls in told.settings.classes}
+        sockets = min(configuration.sockets, limit) - RESERVED_SOCKETS
+        classes = {cls.name: cls.idempotency for cls in configuration.settings.classes}
         self._figures = Figures(classes)
         self._figures.gauges = self._gauges
-        self._figures.configured(True)
-        connect_ms = told.settings.limits.connect_timeout_ms
-        self._upstream = Upstream(sockets // 2, told.conn_idle_ms, connect_ms, self._figures.sent)
-        self._random = Random(told.seed)
-        self._watch = self._watch_at(told.discovery)
-        self._watch_before: Watch | None = None  # at the address before, with its last call out
-        self._state_before = inherited.state if inherited is not None else {}
-        memory = self._memory()
+        self._figures.count_configuration(True)
+        connect_ms = configuration.settings.limits.connect_timeout_ms
+        self._upstream = Upstream(
+            sockets // 2, configuration.conn_idle_ms, connect_ms, self._figures.count_sent
+        )
+        self._random = Random(configuration.seed)
+        self._watch = self._make_watch(configuration.discovery)
+        self._previous_watch: Watch | None = None  # at the previous address, with its last request open
+        self._inherited_state = inherited.state if inherited is not None else {}
+        memory = self._inherited_balancer_state()
         self._peers = (
-            Peers(told.peers, lambda data: self._node.news(data)) if told.peers is not None else None
+            PeerSocket(configuration.peers, lambda data: self._node.news(data))
+            if configuration.peers is not None
+            else None
         )
         self._node = Node(
-            told.settings,
-            told.seed,
+            configuration.settings,
+            configuration.seed,
             self._upstream,
             lambda: self._watch.start(),
             self._crash,
             memory,
-            self._peers.say if self._peers is not None else None,
+            self._peers.broadcast if self._peers is not None else None,
+        )
+        self._frontend = Frontend(
+            self._node, classes, sockets // 2, self._figures, Budget(configuration.memory_mb)
         )
-        self._frontend = Frontend(self._node, classes, sockets // 2, self._figures, Budget(told.memory_mb))
         self._admin = Admin(self)
-        self._giver: Giver | None = None
+        self._handover_server: HandoverServer | None = None
 
     async def run(self) -> int:
-        """The exit code."""
-        told = self._told
-        known = self._known() or told.known
+        """Serves until the program stops; returns the exit code."""
+        configuration = self._told
+        known = self._inherited_hosts() or configuration.known
         if known is not None:
             self._watch.version = known.version
             self._node.listed(ListKind.RESTORED, known)
-        if not told.settings.subscribe or known is None:
+        if not configuration.settings.subscribe or known is None:
             self._watch.start()
             if known is not None:
                 await self._watch.caught_up()
         if self._peers is not None:
             await self._peers.open()
-        if told.control is not None:
-            await self._admin.listen(told.control)
+        if configuration.control is not None:
+            await self._admin.listen(configuration.control)
         if self._inherited is not None:
             await self._take_over(self._inherited)
         else:
-            await self._frontend.listen(told.listen)
-        self._offer()
-        log.info("%s serves at %s:%d", told.name, *told.listen)
+            await self._frontend.listen(configuration.listen)
+        self._offer_handover()
+        log.info("%s serves at %s:%d", configuration.name, *configuration.listen)
 
         await self._stop.wait()
         if not self._crashes:
-            await self._drain()
+            await self._shut_down()
         self._admin.close()
-        if self._giver is not None:
-            self._giver.stop()
+        if self._handover_server is not None:
+            self._handover_server.stop()
         for link in list(self._links):
             link.close()
-        if self._sharing is not None:
-            self._sharing.cancel()
+        if self._sharing_task is not None:
+            self._sharing_task.cancel()
         self._watch.stop()
-        if self._watch_before is not None:
-            self._watch_before.stop()
+        if self._previous_watch is not None:
+            self._previous_watch.stop()
         if self._peers is not None:
             self._peers.close()
         if self._crashes:
-            log.critical("the decisions crashed", exc_info=self._crashes[0])
+            log.critical("the balancer failed", exc_info=self._crashes[0])
             return 1
         return 0
 
@@ -124,14 +130,14 @@
         self._crashes.append(error)
         self._stop.set()
 
-    def _watch_at(self, address: Address) -> Watch:
+    def _make_watch(self, address: Address) -> Watch:
         settings = self._told.settings
 
-        def on_list(found: HostList) -> None:
-            if watch is self._watch and self._watch_before is not None:
-                self._watch_before.stop()
-                self._watch_before = None
-            self._node.listed(ListKind.FULL if found.full else ListKind.DELTA, found)
+        def on_list(hosts: HostList) -> None:
+            if watch is self._watch and self._previous_watch is not None:
+                self._previous_watch.stop()
+                self._previous_watch = None
+            self._node.listed(ListKind.FULL if hosts.full else ListKind.DELTA, hosts)
 
         watch = Watch(
             address,
@@ -144,45 +150,46 @@
         )
         return watch
 
-    def _move(self, address: Address) -> None:
-        """Ask at another address from now on, first for the whole list: versions are not shared. What the one
-        before still tells counts until the new one has answered."""
-        if self._watch_before is not None:
-            self._watch_before.stop()
-        self._watch_before, self._watch = self._watch, self._watch_at(address)
-        self._watch_before.retire()
+    def _switch_discovery(self, address: Address) -> None:
+        """Watches discovery at another address from now on. Its versions are unrelated, so the whole list is
+        requested first. Changes from the previous address are applied until the new one has answered."""
+        if self._previous_watch is not None:
+            self._previous_watch.stop()
+        self._previous_watch, self._watch = self._watch, self._make_watch(address)
+        self._previous_watch.retire()
         self._watch.start()
 
     def reload(self) -> None:
-        """Danger: a bad file must not cost what works; whatever is wrong with it, the watch goes on."""
+        """Reads discovery's address from the file again. Whatever is wrong with the file, the current watch
+        continues."""
         try:
             address = config.reload_discovery(os.environ)
         except Exception as error:
             path = os.environ.get("PROXY_CONFIG", "no file named")
             log.error("configuration not reread: %s: %s: %s", path, type(error).__name__, error)
-            self._figures.configured(False)
+            self._figures.count_configuration(False)
             return
-        self._figures.configured(True)
-        log.info("discovery is at %s:%d from now on", *address)
-        self._move(address)
+        self._figures.count_configuration(True)
+        log.info("discovery moved to %s:%d", *address)
+        self._switch_discovery(address)
 
-    # What operators ask for
+    # Operators' requests
 
     def healthy(self) -> bool:
         return self._frontend.available() and not self._draining
 
-    def figures(self) -> str:
-        return self._figures.text()
+    def metrics_text(self) -> str:
+        return self._figures.render()
 
     def _gauges(self) -> Gauges:
-        census = self._node.census()
-        return Gauges(self._node.owed + self._frontend.waiting, census.listed, census.avoided)
+        counts = self._node.census()
+        return Gauges(self._node.owed + self._frontend.waiting, counts.listed, counts.avoided)
 
     def cordon(self, endpoint: str, on: bool) -> bool:
         known = self._cordon(endpoint, on)
         if known:
-            # Danger: while two processes serve, a ban told to one binds the other as well.
-            self._tell_others({"cordon": endpoint, "on": on})
+            # While two processes serve, a cordon given to one applies to the other as well.
+            self._send_to_links({"cordon": endpoint, "on": on})
         return known
 
     def _cordon(self, endpoint: str, on: bool) -> bool:
@@ -193,98 +200,101 @@
 
     def quiesce(self, on: bool) -> None:
         self._quiesce(on)
-        self._tell_others({"quiesce": on})
+        self._send_to_links({"quiesce": on})
 
     def _quiesce(self, on: bool) -> None:
-        log.info("clients are sent away" if on else "back to work")
+        log.info("asking clients to reconnect elsewhere" if on else "accepting clients again")
         self._frontend.unavailable = on
         if on:
             self._frontend.send_away()
         elif not self._draining and self._successor is None:
             self._frontend.stay()
 
-    def _tell_others(self, message: Json) -> None:
+    def _send_to_links(self, message: Json) -> None:
         for link in self._links:
-            link.say(message)
+            link.send(message)
 
-    # From process to process
+    # Handover between processes
 
-    def _offer(self) -> None:
-        """Let a later process take over from this one."""
+    def _offer_handover(self) -> None:
+        """Lets a later process take over from this one."""
         path = handover.path_for(self._told.listen)
-        self._giver = Giver(path, self._frontend.listener, self._state, self._asked_for)
+        self._handover_server = HandoverServer(
+            path, self._frontend.listener, self._handover_state, self._on_successor
+        )
         try:
-            self._giver.start()
-        except OSError as error:  # a new version then starts beside this one, with a queue of its own
-            log.warning("no handover from here: %s", error)
+            self._handover_server.start()
+        except OSError as error:  # a new version can still start, but with an accept queue of its own
+            log.warning("handover to a later process is not possible: %s", error)
 
-    def _state(self) -> Json:
+    def _handover_state(self) -> Json:
         state: Json = {
             "quiesced": self._frontend.unavailable,
-            "memory": handover.write_memory(self._node.memory()),
+            "memory": handover.encode_state(self._node.memory()),
         }
         known = self._node.known(self._watch.version)
         if known is not None:
             state["known"] = config.write_list(known, self._told.clock)
         return state
 
-    def _known(self) -> HostList | None:
-        state = self._state_before
+    def _inherited_hosts(self) -> HostList | None:
+        state = self._inherited_state
         try:
             return config.read_list(state["known"], self._told.clock) if "known" in state else None
         except ValueError as error:
-            log.warning("the list of the process before is of no use: %s", error)
+            log.warning("ignoring the invalid server list of the previous process: %s", error)
             return None
 
-    def _memory(self) -> BalancerState | None:
-        state = self._state_before
+    def _inherited_balancer_state(self) -> BalancerState | None:
+        state = self._inherited_state
         try:
-            return handover.read_memory(state["memory"], self._loop.time() * 1000) if state else None
+            return handover.decode_state(state["memory"], self._loop.time() * 1000) if state else None
         except (KeyError, ValueError) as error:
-            log.warning("what the process before has learnt is of no use: %s", error)
+            log.warning("ignoring the invalid balancer state of the previous process: %s", error)
             return None
 
-    async def _share(self) -> None:
-        """While there are two processes: the limits count both as one, so each leaves the other the room
-        that it takes up, and has half of the module's budgets.
+    async def _share_capacity(self) -> None:
+        """Divides the limits while two processes serve. Limits on connections and requests apply to both
+        together, so each process sends the other how many it has open; each has half of the
+        balancer's other limits.
 
-        Danger: halves of the sockets are too few for the new one, which soon has all of the clients.
+        The sockets are not halved: the new process soon has all clients, and half would be too few.
         """
-        self._node.take_part(PART)
+        self._node.take_part(CAPACITY_SHARE)
         while self._links:
             open_now = [self._frontend.open, self._upstream.open, self._node.owed]
-            self._tell_others({"open": open_now})
-            await asyncio.sleep(SHARE_S)
+            self._send_to_links({"open": open_now})
+            await asyncio.sleep(SHARE_INTERVAL_S)
         self._node.take_part(1.0)
         self._frontend.leave_room(0)
         self._upstream.leave_room(0)
 
-    def _link(self, sock: socket.socket) -> Link:
-        link = Link(sock, self._heard, self._lost)
+    def _add_link(self, sock: socket.socket) -> Link:
+        link = Link(sock, self._on_message, self._on_link_closed)
         self._links.append(link)
-        if self._sharing is None or self._sharing.done():
-            self._sharing = self._loop.create_task(self._share())
+        if self._sharing_task is None or self._sharing_task.done():
+            self._sharing_task = self._loop.create_task(self._share_capacity())
         return link
 
-    def _asked_for(self, sock: socket.socket) -> None:
-        log.info("a new process takes over")
-        self._link(sock)
+    def _on_successor(self, sock: socket.socket) -> None:
+        log.info("a new process is taking over")
+        self._add_link(sock)
 
-    async def _take_over(self, inherited: Inheritance) -> None:
-        """Begin to accept once there are servers to send to; the old process serves until then."""
-        self._predecessor = self._link(inherited.peer)
-        until_s = self._loop.time() + READY_S
-        while not self._node.ready() and self._predecessor is not None and self._loop.time() < until_s:
+    async def _take_over(self, inherited: ReceivedHandover) -> None:
+        """Begins to accept once there are servers to send to; the old process serves until then."""
+        self._predecessor = self._add_link(inherited.peer)
+        deadline_s = self._loop.time() + READY_TIMEOUT_S
+        while not self._node.ready() and self._predecessor is not None and self._loop.time() < deadline_s:
             if self._stop.is_set():
                 break
-            await asyncio.sleep(POLL_S)
+            await asyncio.sleep(POLL_INTERVAL_S)
         if inherited.state.get("quiesced") is True:
             self._quiesce(True)
         await self._frontend.listen(self._told.listen, inherited.listener)
         if self._predecessor is not None:
-            self._predecessor.say({"ready": True})
+            self._predecessor.send({"ready": True})
 
-    def _heard(self, link: Link, message: Json) -> None:
+    def _on_message(self, link: Link, message: Json) -> None:
         if message.get("ready") is True and link is not self._predecessor:
             self._successor = link
             self._frontend.accept_no_more()
@@ -293,14 +303,14 @@
             self._cordon(message["cordon"], message["on"])
         match message.get("open"):
             case [int(clients), int(servers), int(requests)]:
-                self._node.take_part(PART, requests)
+                self._node.take_part(CAPACITY_SHARE, requests)
                 self._frontend.leave_room(clients)
                 self._upstream.leave_room(servers)
         if isinstance(message.get("quiesce"), bool):
             self._quiesce(message["quiesce"])
 
-    def _lost(self, link: Link) -> None:
-        """The other process has ended, or lost its way."""
+    def _on_link_closed(self, link: Link) -> None:
+        """The other process has ended, or has sent invalid data."""
         if link in self._links:
             self._links.remove(link)
         if link is self._predecessor:
@@ -308,35 +318,37 @@
         elif link is self._successor:
             self._successor = None
             if not self._draining:
-                log.warning("the new process is gone: back to work")
+                log.warning("the new process has ended: accepting clients again")
                 self._frontend.accept_again()
-                # Danger: the name in the folder was the new one's; the next would find nobody behind it.
-                if self._giver is not None:
-                    self._giver.stop()
-                self._offer()
+                # The handover path belonged to the new process: a later process would find no listener there.
+                if self._handover_server is not None:
+                    self._handover_server.stop()
+                self._offer_handover()
                 if not self._frontend.unavailable:
                     self._frontend.stay()
 
-    # Leaving
+    # Shutdown
 
-    async def _drain(self) -> None:
-        """Leave without losing what was taken: carries out what `core.shutdown` says. It ends by itself."""
+    async def _shut_down(self) -> None:
+        """Shuts down without losing accepted requests, by the actions that `core.shutdown` returns. Takes a
+        bounded time."""
         self._draining = True
         loop, frontend, node = self._loop, self._frontend, self._node
-        # The front asks this address whether to come; where another process serves it already, it may.
+        # The load balancer in front checks the health of this address. It stays available while another
+        # process serves it.
         frontend.unavailable = frontend.unavailable or not self._links
         frontend.send_away()
-        leaving = Shutdown()
-        leaving.begin(loop.time(), node.longest_ms / 1000)
-        nobody_waits = taken_in = False
-        while not leaving.over:
-            moving = not node.owed and frontend.moving
-            seen = Observation(
-                node.owed, frontend.open, self._successor is not None, nobody_waits, taken_in, moving
+        shutdown = Shutdown()
+        shutdown.begin(loop.time(), node.longest_ms / 1000)
+        none_waiting = accepted = False
+        while not shutdown.over:
+            in_transit = not node.owed and frontend.moving
+            observation = Observation(
+                node.owed, frontend.open, self._successor is not None, none_waiting, accepted, in_transit
             )
-            nobody_waits = taken_in = False
-            for do in leaving.next_actions(loop.time(), seen):
-                match do:
+            none_waiting = accepted = False
+            for action in shutdown.next_actions(loop.time(), observation):
+                match action:
                     case ShutdownAction.CLOSE_QUIET:
                         frontend.close_idle()
                     case ShutdownAction.CLOSE_SILENT:
@@ -346,11 +358,11 @@
                     case ShutdownAction.HALT:
                         owed = node.owed
                         node.halt()
-                        log.warning("%d requests are failed: no time is left", owed - node.owed)
+                        log.warning("shutdown deadline reached: %d requests failed", owed - node.owed)
                     case ShutdownAction.ACCEPT_WAITING:
-                        taken_in = frontend.take_in()
-                        nobody_waits = not taken_in
-            # Danger: whoever comes between this look and the next would be lost with the listener.
-            if not leaving.over and not nobody_waits:
-                await asyncio.sleep(POLL_S)
+                        accepted = frontend.take_in()
+                        none_waiting = not accepted
+            # No sleep once no connection waits: one that arrived in between would be lost with the listener.
+            if not shutdown.over and not none_waiting:
+                await asyncio.sleep(POLL_INTERVAL_S)
         frontend.close()
--- a/tests/sockets.py
+++ b/tests/sockets.py
@@ -1,4 +1,4 @@
-"""Fake hosts, discovery and clients on loopback, and the program itself, for tests over sockets."""
+"""Fake servers, discovery and clients on loopback, and the client proxy's process, for tests over sockets."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 from pathlib import Path
 from typing import Any
 
-LONG_S = 30.0  # for what surely comes; a test that waits this long has failed
+LONG_S = 30.0  # limit of all waits: a test that waits this long has failed
 Start = Callable[[dict[str, str]], subprocess.Popen[bytes]]
 Respond = Callable[["Seen", asyncio.StreamWriter], Awaitable[None]]
 
@@ -56,7 +56,7 @@
 
 @dataclass
 class Seen:
-    """A request as a host got it."""
+    """A request as a server received it, with the number of its connection."""
 
     message: Message
     connection: int
@@ -71,7 +71,7 @@
 
 
 async def never(seen: Seen, writer: asyncio.StreamWriter) -> None:
-    """No answer, on a connection that stays open."""
+    """Sends no answer and keeps the connection open."""
 
 
 async def reset(seen: Seen, writer: asyncio.StreamWriter) -> None:
@@ -88,7 +88,7 @@
 
 
 class Host:
-    """A host that answers each request with `respond`, and remembers what it got."""
+    """A fake server that answers each request with `respond` and records the requests."""
 
     def __init__(self, name: str, respond: Respond = answer_ok) -> None:
         self.name = name
@@ -137,13 +137,14 @@
 
 
 class Discovery:
-    """Answers a watch when `change` is called; `broken` answers take its place while they last."""
+    """A fake discovery agent. A waiting request is answered when `change` is called. The answers in `broken`
+    are sent first."""
 
     def __init__(self) -> None:
         self.version = 1
         self.entries: dict[str, dict[str, Any]] = {}
         self.changes: list[tuple[int, str]] = []
-        self.broken: list[bytes] = []  # answers to the next calls; an empty one is a reset
+        self.broken: list[bytes] = []  # raw answers to the next requests; an empty one resets the connection
         self.calls: list[str] = []
         self.changed = asyncio.Condition()
 
@@ -194,7 +195,7 @@
 
 
 class Client:
-    """One connection of the application."""
+    """One client connection of the application."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.reader, self.writer = reader, writer
@@ -220,7 +221,7 @@
 
 
 class Proxy:
-    """The program, started as `run` says but with this interpreter."""
+    """The client proxy's processes, run with this interpreter."""
 
     def __init__(self, address: str, stderr: Path, config: Path, start: Start) -> None:
         self.address, self._stderr, self.config, self._start = address, stderr, config, start
@@ -228,7 +229,7 @@
         self.start()
 
     def start(self, **environ: str) -> subprocess.Popen[bytes]:
-        """Start the program, or start it again beside itself; `process` is the latest."""
+        """Starts a process, in addition to those that run already; `process` is the latest."""
         self.process = self._start(environ)
         self.processes.append(self.process)
         return self.process
@@ -239,7 +240,7 @@
         return str(told["control"])
 
     async def call(self, method: str, path: str, body: str = "", control: str = "") -> Message:
-        """An operator's call."""
+        """Sends an operator's request and returns the answer."""
         host, port = (control or self.control).split(":")
         client = Client(*await asyncio.open_connection(host, int(port)))
         head = f"{method} {path} HTTP/1.1\r\nHost: x\r\nContent-Length: {len(body)}\r\n\r\n"
@@ -258,7 +259,7 @@
             await asyncio.sleep(0.02)
 
     def memory_mb(self, figure: str) -> float:
-        """As the system has it: VmRSS, now, or VmHWM, the most so far."""
+        """Returns a figure of the system: VmRSS (current memory) or VmHWM (its maximum so far)."""
         lines = Path(f"/proc/{self.process.pid}/status").read_text().splitlines()
         return next(int(line.split()[1]) / 1024 for line in lines if line.startswith(f"{figure}:"))
 
@@ -299,9 +300,9 @@
     environ: dict[str, str] | None = None,
     told: dict[str, Any] | None = None,
 ) -> AsyncIterator[Proxy]:
-    """The program with these hosts, up and answering."""
+    """Runs the client proxy with these servers; yields it once its health is one of `ready`."""
     discovery.entries.update({host.name: host.entry() for host in hosts})
-    # An address of its own: no other test, and no connection's own end, can hold the port.
+    # An own loopback address: the port can't be in use by another test or by a client's end of a connection.
     host = "127." + ".".join(str(random.randrange(1, 255)) for _ in range(3))
     address = f"{host}:3000"
     more = told or {}
--- a/tests/test_cordon.py
+++ b/tests/test_cordon.py
@@ -1,4 +1,4 @@
-"""Operators leave a server out: whatever the lists say, until they want it back, and across an upgrade."""
+"""Cordons: operators exclude a server, whatever the lists say, until they end it, and across upgrades."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
     Send,
     ShareAssigned,
 )
-from cloverrouter.proxy.handover import read_memory, write_memory
+from cloverrouter.proxy.handover import decode_state, encode_state
 from tests.driver import SETTINGS, Driver, delta, endpoint, full
 from tests.sockets import Discovery, Host, answer_ok, running
 from tests.test_handover import free_port
@@ -42,10 +42,10 @@
     return answer.known
 
 
-def written(driver: Driver) -> dict[str, Any]:
-    """The driver's memory as it comes over the line."""
-    memory: dict[str, Any] = json.loads(json.dumps(write_memory(memory_of(driver.balancer))))
-    return memory
+def encoded_state(driver: Driver) -> dict[str, Any]:
+    """Returns the balancer's state as the next process receives it."""
+    state: dict[str, Any] = json.loads(json.dumps(encode_state(memory_of(driver.balancer))))
+    return state
 
 
 def used(driver: Driver, count: int = 60) -> set[str]:
@@ -59,7 +59,7 @@
     driver = Driver()
     assert used(driver) == {"s1", "s2", "s3"}
     assert ask(driver, "s1", True)
-    assert ask(driver, "s1", True)  # said twice, it is the same
+    assert ask(driver, "s1", True)  # repeated, it changes nothing
     assert used(driver) == {"s2", "s3"}
 
 
@@ -74,7 +74,7 @@
     assert set(driver.sent[request_id]) == {first}
 
 
-def test_held_work_does_not_go_to_a_cordoned_server() -> None:
+def test_queued_request_does_not_go_to_a_cordoned_server() -> None:
     driver = Driver(endpoints=[endpoint("s1")])
     ask(driver, "s1", True)
     request_id, actions = driver.request()
@@ -84,14 +84,14 @@
     assert driver.sent[request_id] == ["s2"]
 
 
-def test_id_that_was_never_listed_is_owed_a_no() -> None:
+def test_id_that_was_never_listed_is_refused() -> None:
     driver = Driver()
     assert not ask(driver, "s9", True)
     assert not ask(driver, "s9", False)
     driver.tell(full(endpoint("s1"), endpoint("s9")))
-    assert "s9" in used(driver)  # the no has changed nothing
+    assert "s9" in used(driver)  # the refusal has changed nothing
     driver.tell(full(endpoint("s1")))
-    assert ask(driver, "s9", True)  # it was listed once
+    assert ask(driver, "s9", True)  # it was listed before
 
 
 @pytest.mark.parametrize("change", ["full", "restart", "left and back", "restored", "drained and back"])
@@ -120,7 +120,7 @@
 
 
 def test_server_is_used_soon_after_its_cordon_but_as_a_cold_one() -> None:
-    """Its listed start time is old, or none: it may have restarted all the same."""
+    """Its listed start time is old, or missing, but it may have restarted during the cordon."""
     driver = Driver(endpoints=[endpoint(f"s{i}") for i in range(6)])
     driver.serve(300)
     ask(driver, "s1", True)
@@ -131,7 +131,7 @@
     while not any("s1" in names for names in list(driver.sent.values())[before:]):
         driver.serve(1)
         assert driver.now_ms - begun_ms < 5000
-    # What it gets in its first push windows is far under what a warm one gets.
+    # At first it gets far fewer requests than a warm server.
     counts = dict.fromkeys([f"s{i}" for i in range(6)], 0)
     before = len(driver.sent)
     driver.serve(40)
@@ -141,7 +141,7 @@
     assert driver.balancer.membership.endpoints["s1"].warmth(driver.now_ms) < 0.7
 
 
-def test_second_call_back_changes_nothing() -> None:
+def test_repeated_uncordon_changes_nothing() -> None:
     driver = Driver()
     ask(driver, "s1", True)
     assert ask(driver, "s1", False)
@@ -161,17 +161,17 @@
 
 
 def test_cordons_random_walk() -> None:
-    """Whatever comes in whatever order: nothing new goes to a banned server."""
+    """Random events in random order: no new request goes to a cordoned server."""
     chance = random.Random(7)
     driver = Driver(endpoints=[endpoint(f"s{i}") for i in range(5)])
-    banned: set[str] = set()
+    cordoned: set[str] = set()
     for _ in range(600):
         name = f"s{chance.randrange(5)}"
         match chance.randrange(5):
             case 0:
                 on = chance.random() < 0.5
                 if ask(driver, name, on):
-                    (banned.add if on else banned.discard)(name)
+                    (cordoned.add if on else cordoned.discard)(name)
             case 1:
                 driver.tell(full(*(endpoint(f"s{i}") for i in range(5) if chance.random() < 0.7)))
             case 2:
@@ -182,7 +182,7 @@
                     driver.end(request_id, chance.choice([Outcome.OK, Outcome.ERROR, Outcome.REJECTED]))
         seen = len(driver.log)
         driver.wait(chance.random() * 200)
-        assert not banned & set(sent_to(driver.log[seen:]))
+        assert not cordoned & set(sent_to(driver.log[seen:]))
 
 
 def test_census_counts_what_is_avoided() -> None:
@@ -193,21 +193,21 @@
     assert (found.listed, found.avoided) == (5, 2)
 
 
-# From one balancer to the next
+# From one balancer to its successor
 
 
-def test_memory_hands_on_what_the_rules_need() -> None:
+def test_successor_continues_from_the_state() -> None:
     driver = Driver(endpoints=[endpoint("s1"), endpoint("s2"), endpoint("s3", started_ms=900.0)])
     driver.serve(100)
     ask(driver, "s1", True)
     driver.balancer.budget.tokens = 42.0
-    told: Any = written(driver)
-    memory = read_memory(told, driver.now_ms)
-    after = restored(SETTINGS, 5, memory)
+    encoded: Any = encoded_state(driver)
+    state = decode_state(encoded, driver.now_ms)
+    after = restored(SETTINGS, 5, state)
     listed = (endpoint("s1"), endpoint("s2"), endpoint("s3", started_ms=900.5))
     after.handle(driver.now_ms, [EndpointsListed(ListKind.RESTORED, listed), ShareAssigned(0.5)])
     driver.tell(ShareAssigned(0.5))
-    assert after.budget.tokens == driver.balancer.budget.tokens == 21.0  # not twice the whole
+    assert after.budget.tokens == driver.balancer.budget.tokens == 21.0  # half each, not all of it twice
     sent = sent_to(after.handle(driver.now_ms, [RequestArrived(i, "safe") for i in range(9)]))
     assert sent
     assert "s1" not in sent
@@ -217,16 +217,16 @@
     assert [a.known for a in answers if isinstance(a, CordonResult)] == [False, True]
 
 
-@pytest.mark.parametrize("spoil", ["tokens", "cordons", "endpoints", "classes"])
+@pytest.mark.parametrize("field", ["tokens", "cordons", "endpoints", "classes"])
 @pytest.mark.parametrize("value", [None, "x", [None], -1, [[]], float("inf")])
-def test_memory_that_is_none_is_turned_away(spoil: str, value: Any) -> None:
-    told = {**written(Driver()), spoil: value}
+def test_invalid_state_is_refused(field: str, value: Any) -> None:
+    encoded = {**encoded_state(Driver()), field: value}
     with pytest.raises(ValueError):
-        read_memory(told, 0.0)
+        decode_state(encoded, 0.0)
 
 
 def test_two_balancers_together_spend_one_cold_budget() -> None:
-    """What a cold server gets from two with half a part each is not more than one alone may send."""
+    """Two balancers with half of the limits each send a cold server no more than one alone may send."""
 
     def pushed(parts: list[float]) -> int:
         drivers = [
@@ -246,15 +246,15 @@
     assert pushed([0.5, 0.5]) <= 1.25 * alone < pushed([1.0, 1.0])
 
 
-def test_requests_open_beside_it_count_against_the_clients_connections() -> None:
+def test_other_process_requests_count_against_the_limit() -> None:
     settings = replace(SETTINGS, limits=replace(SETTINGS.limits, max_open=100))
     driver = Driver(settings, [endpoint("s1")])
     for _ in range(60):
         driver.request()
     assert not [a for a in driver.log if isinstance(a, Refuse)]
-    let_go = driver.tell(ShareAssigned(0.5, other_open_requests=40))
-    assert len(let_go) == 15  # half of what is too much; the other lets go of its half
-    assert all(isinstance(a, Refuse) for a in let_go)
+    refusals = driver.tell(ShareAssigned(0.5, other_open_requests=40))
+    assert len(refusals) == 15  # half of the excess; the other process refuses the other half
+    assert all(isinstance(a, Refuse) for a in refusals)
     driver.tell(ShareAssigned(1.0))
     _, actions = driver.request()
     assert actions == []
@@ -289,7 +289,7 @@
             proxy.start(PROXY_CONTROL=control)
             await proxy.logged("serves at", 2)
             await only(10, hosts[1])
-            # Told to the new one, it binds the old one, and the other way round.
+            # A request to either process applies to both.
             assert (await proxy.call("POST", "/admin/uncordon", "h0", control)).status == 200
             await proxy.logged("h0 is uncordoned", 2)
             assert (await proxy.call("POST", "/admin/cordon", "h1")).status == 200
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -1,4 +1,4 @@
-"""A new process beside the old one: nothing is lost on the way, and a bad one of the two harms nobody."""
+"""Handover to a new process: no request is lost, and a failure of either process does no harm."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 import pytest
 
 from cloverrouter.proxy import handover
-from cloverrouter.proxy.handover import Giver
+from cloverrouter.proxy.handover import HandoverServer
 from tests.sockets import Client, Discovery, Host, Proxy, answer_ok, never, ok, running
 
 
@@ -22,25 +22,26 @@
 
 
 class Load:
-    """Clients that ask one request after the other, some on kept connections, some on new ones."""
+    """Clients that send one request after the other, some on persistent connections, some on new ones."""
 
     def __init__(self, proxy: Proxy) -> None:
         self.proxy = proxy
         self.served = 0
-        self.turned_back = 0
+        self.retried = 0
         self.over = False
 
     async def client(self, keep: bool) -> None:
         client: Client | None = None
         while not self.over:
-            sent_on_kept = client is not None
-            client = client or await self.proxy.client()  # refused: the test fails
+            reused = client is not None
+            client = client or await self.proxy.client()  # if refused, the test fails
             try:
                 message = await client.ask("/keyed")
             except (EOFError, ConnectionError):
-                # Only where a close crossed the request may it stay unanswered; it comes again.
-                assert sent_on_kept, "a new connection was closed unserved"
-                self.turned_back += 1
+                # A request may stay unanswered only if it crossed the close of a reused connection. It is
+                # sent again.
+                assert reused, "a new connection was closed unserved"
+                self.retried += 1
                 client = None
                 continue
             assert message.status == 200
@@ -71,13 +72,13 @@
                     proxy.start(PROXY_CONTROL=f"127.0.0.1:{free_port()}")
                     await proxy.logged("serves at", times + 1)
                     await load.wait_served(50)
-                    assert old.poll() is None  # it stays until it is told
+                    assert old.poll() is None  # it runs until it is stopped
                     old.send_signal(signal.SIGTERM)
                     assert await proxy.ended(old) == 0
                     await load.wait_served(50)
                 load.over = True
             assert proxy.process.poll() is None
-            assert load.turned_back <= 4
+            assert load.retried <= 4
 
     asyncio.run(scene())
 
@@ -103,7 +104,7 @@
             old.send_signal(signal.SIGTERM)
             hosts[0].respond = answer_ok
             other = await proxy.client()
-            assert (await other.ask("/unsafe")).status == 200  # by the new one
+            assert (await other.ask("/unsafe")).status == 200  # by the new process
             hosts[0].open[1].write(ok(b"of the old"))
             assert (await client.read()).body == b"of the old"
             assert await proxy.ended(old) == 0
@@ -121,22 +122,22 @@
                 for i in range(4):
                     group.create_task(load.client(keep=i % 2 == 0))
                 await load.wait_served(20)
-                # One that dies before it has begun, and one that has taken over already.
+                # One process is killed before it has started, another after it has taken over.
                 proxy.start(PROXY_CONTROL="127.0.0.1:1").send_signal(signal.SIGKILL)
                 await load.wait_served(20)
                 load.over = True
             new = proxy.start(PROXY_CONTROL=f"127.0.0.1:{free_port()}")
             await proxy.logged("serves at", 2)
             new.send_signal(signal.SIGKILL)
-            await proxy.logged("the new process is gone")
+            await proxy.logged("the new process has ended")
             assert old.poll() is None
             client = await proxy.client()
             assert (await client.ask("/keyed")).status == 200
-            # The next new one finds it.
+            # The next new process finds the old one.
             proxy.start(PROXY_CONTROL=f"127.0.0.1:{free_port()}")
             await proxy.logged("serves at", 3)
-            assert "nothing usable" not in proxy.log()
-            assert proxy.log().count("no process before this one") == 1
+            assert "handover from the previous process failed" not in proxy.log()
+            assert proxy.log().count("no previous process to take over from") == 1
             old.send_signal(signal.SIGTERM)
             assert await proxy.ended(old) == 0
             assert (await (await proxy.client()).ask("/keyed")).status == 200
@@ -145,73 +146,75 @@
 
 
 @pytest.mark.parametrize("answer", [b"", b"nonsense", b"00000003{}{", b"ffffffff", None])
-def test_bad_process_before_is_no_hindrance(answer: bytes | None, monkeypatch: pytest.MonkeyPatch) -> None:
-    """None: it says nothing at all."""
-    monkeypatch.setattr(handover, "ANSWER_S", 0.2)
+def test_invalid_handover_does_not_prevent_a_start(
+    answer: bytes | None, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    """None: the old process sends nothing."""
+    monkeypatch.setattr(handover, "HANDOVER_TIMEOUT_S", 0.2)
     with tempfile.TemporaryDirectory() as folder, socket.socket(socket.AF_UNIX) as peer:
         path = Path(folder, "sock")
         peer.bind(str(path))
         peer.listen()
         if answer is None:
-            assert handover.take(path) is None
+            assert handover.take_over(path) is None
             return
 
-        # Its answer waits in the queue of a connection that is there before it is asked for.
-        def play() -> None:
+        # The old process, which accepts the connection and sends the answer.
+        def send_answer() -> None:
             other, _ = peer.accept()
             with other:
                 other.recv(64)
                 other.sendall(answer)
 
-        thread = threading.Thread(target=play)
+        thread = threading.Thread(target=send_answer)
         thread.start()
-        assert handover.take(path) is None
+        assert handover.take_over(path) is None
         thread.join()
 
 
-def test_dead_process_before_is_no_hindrance() -> None:
+def test_dead_old_process_does_not_prevent_a_start() -> None:
     with tempfile.TemporaryDirectory() as folder, socket.socket(socket.AF_UNIX) as peer:
         path = Path(folder, "sock")
-        assert handover.take(path) is None
-        peer.bind(str(path))  # left by one that was killed
-        assert handover.take(path) is None
+        assert handover.take_over(path) is None
+        peer.bind(str(path))  # left by a process that was killed
+        assert handover.take_over(path) is None
 
 
-def test_state_of_another_version_leaves_the_socket(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_state_of_another_version_is_ignored_but_not_the_socket(monkeypatch: pytest.MonkeyPatch) -> None:
     async def scene(path: Path) -> None:
         with socket.create_server(("127.0.0.1", 0)) as listener:
             links: list[socket.socket] = []
-            giver = Giver(path, listener, lambda: {"version": 99, "known": 1}, links.append)
-            giver.start()
-            found = await asyncio.to_thread(handover.take, path)
+            server = HandoverServer(path, listener, lambda: {"version": 99, "known": 1}, links.append)
+            server.start()
+            found = await asyncio.to_thread(handover.take_over, path)
             assert found is not None
             assert found.state == {}
             assert found.listener.getsockname() == listener.getsockname()
             for sock in (found.listener, found.peer, *links):
                 sock.close()
-            giver.stop()
+            server.stop()
             assert not path.exists()
 
     with tempfile.TemporaryDirectory() as folder:
-        # A folder's name may be longer than a Unix address.
+        # A directory's path may be longer than a Unix socket address.
         long = Path(folder, "f" * 120)
         long.mkdir()
         asyncio.run(scene(Path(long, "sock")))
 
 
-def test_silent_new_process_is_let_go(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_silent_new_process_is_disconnected(monkeypatch: pytest.MonkeyPatch) -> None:
     async def scene(path: Path) -> None:
-        monkeypatch.setattr(handover, "HELLO_S", 0.1)
+        monkeypatch.setattr(handover, "REQUEST_TIMEOUT_S", 0.1)
         with socket.create_server(("127.0.0.1", 0)) as listener, socket.socket(socket.AF_UNIX) as silent:
             links: list[socket.socket] = []
-            giver = Giver(path, listener, dict, links.append)
-            giver.start()
+            server = HandoverServer(path, listener, dict, links.append)
+            server.start()
             silent.connect(str(path))
-            found = await asyncio.to_thread(handover.take, path)  # it has its turn behind the silent one
+            found = await asyncio.to_thread(handover.take_over, path)  # is served after the silent one
             assert found is not None
             for sock in (found.listener, found.peer, *links):
                 sock.close()
-            giver.stop()
+            server.stop()
 
     with tempfile.TemporaryDirectory() as folder:
         asyncio.run(scene(Path(folder, "sock")))
--- a/tests/test_herd.py
+++ b/tests/test_herd.py
@@ -1,4 +1,4 @@
-"""Many proxies that start, or lose discovery, at one moment do not act as one."""
+"""Many proxies that start, or lose discovery, at the same time do not act at the same time."""
 
 from __future__ import annotations
 
@@ -9,16 +9,16 @@
 import pytest
 
 from cloverrouter.proxy.config import UnixClock
-from cloverrouter.proxy.discovery import GRACE_SHARE, PUSHED_FIRST_S, Watch
+from cloverrouter.proxy.discovery import DRAIN_GRACE_SHARE, MIN_BACKOFF_S, Watch
 from tests.sockets import Discovery, Host, running
 
 GRACE_MS = 500.0
-MOST_S = GRACE_SHARE * GRACE_MS / 1000  # what an agent has counts as told, whether it is being asked or not
-DEAD = ("127.0.0.1", 1)  # nobody listens there
+MOST_S = DRAIN_GRACE_SHARE * GRACE_MS / 1000  # a change counts as announced even while no request is waiting
+DEAD = ("127.0.0.1", 1)  # no listener there
 
 
-def waits(seed: int, version: int | None, monkeypatch: pytest.MonkeyPatch) -> list[float]:
-    """What a proxy with this seed waits for, with discovery refusing it a dozen times."""
+def backoff_delays(seed: int, version: int | None, monkeypatch: pytest.MonkeyPatch) -> list[float]:
+    """Returns the backoff delays of a proxy with this seed while discovery refuses a dozen connections."""
     slept: list[float] = []
     sleep = asyncio.sleep
 
@@ -43,8 +43,8 @@
     return slept
 
 
-class Behind(Discovery):
-    """Has news that a proxy's list from before does not hold: the last of its servers is gone."""
+class WithPendingChange(Discovery):
+    """Has a change that the proxy's own list lacks: the last server is gone."""
 
     def listing(self, since: int | None = None) -> dict[str, Any]:
         found = super().listing(since)
@@ -56,10 +56,10 @@
 
 
 def test_started_with_an_old_list_nothing_is_sent_to_what_is_gone() -> None:
-    """What happened while it was down counts as told from its start on."""
+    """A change made while the proxy was down counts as announced from its start on."""
 
     async def scene() -> None:
-        discovery = await Behind().start()
+        discovery = await WithPendingChange().start()
         stays, gone = await Host("stays").start(), await Host("gone").start()
         async with running(discovery, [stays, gone], settings={"discovery": "automatic"}) as proxy:
             client = await proxy.client()
@@ -71,8 +71,8 @@
     asyncio.run(scene())
 
 
-def test_silent_agent_holds_no_proxy_up() -> None:
-    """The list at hand must do, and the call goes on."""
+def test_silent_agent_does_not_delay_a_start() -> None:
+    """The proxy serves with the list that it has, and goes on requesting another."""
 
     async def scene() -> None:
         discovery = await Discovery().start()
@@ -87,13 +87,13 @@
 
 
 def test_proxy_without_a_list_asks_at_once(monkeypatch: pytest.MonkeyPatch) -> None:
-    first_backoff = waits(1, None, monkeypatch)[0]
-    assert PUSHED_FIRST_S <= first_backoff <= 3 * PUSHED_FIRST_S  # the call had been made before it
+    first_backoff = backoff_delays(1, None, monkeypatch)[0]
+    assert MIN_BACKOFF_S <= first_backoff <= 3 * MIN_BACKOFF_S  # the first request was made before it
 
 
 def test_calls_after_failures_are_spread_and_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
-    every = [waits(seed, None, monkeypatch) for seed in range(12)]
-    assert all(PUSHED_FIRST_S <= wait <= MOST_S for slept in every for wait in slept)
+    every = [backoff_delays(seed, None, monkeypatch) for seed in range(12)]
+    assert all(MIN_BACKOFF_S <= wait <= MOST_S for slept in every for wait in slept)
     for nth in zip(*(slept[:10] for slept in every), strict=True):
-        assert len(set(nth)) == len(every)  # none is at the bound
+        assert len(set(nth)) == len(every)  # not even at the upper bound
     assert any(wait > 0.9 * MOST_S for slept in every for wait in slept)
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -1,4 +1,4 @@
-"""Operators' calls and figures: right whatever else goes on, and nothing changed by a no."""
+"""Operators' requests and metrics: correct under load, and a refused request changes nothing."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 import pytest
 
-from cloverrouter.proxy.admin import MOST_CALLERS
+from cloverrouter.proxy.admin import MAX_CONNECTIONS
 from cloverrouter.proxy.figures import Figures, Gauges, State
 from tests.sockets import (
     LONG_S,
@@ -36,7 +36,7 @@
 
 
 def read_figures(text: str) -> dict[str, float]:
-    """Fails on any line that is not the text format."""
+    """Parses the metrics; fails on any line that is not in the text format."""
     found: dict[str, float] = {}
     kinds: dict[str, str] = {}
     for line in text.splitlines():
@@ -65,7 +65,7 @@
     return f'proxy_transactions_total{{group="{group}",state="{state}"}}'
 
 
-# Figures
+# Metrics
 
 
 def test_labels_are_escaped_and_every_class_shows_zeros() -> None:
@@ -73,7 +73,7 @@
     told.gauges = lambda: Gauges(1, 2, 3)
     told.ended("plain", State.DEFERRED)
     told.ended("of no class", State.ERRORED)
-    found = read_figures(told.text())
+    found = read_figures(told.render())
     assert found[count('a\\"b\\\\c\\nd', "answered")] == 0
     assert found[count("plain", "deferred")] == 1
     assert len([name for name in found if "transactions" in name]) == 6
@@ -84,7 +84,7 @@
     )
 
 
-def test_figures_are_what_peers_saw() -> None:
+def test_metrics_match_what_clients_and_servers_saw() -> None:
     async def scene() -> None:
         discovery, hosts = await fleet(*[answer_ok] * 4)
 
@@ -135,7 +135,7 @@
     asyncio.run(scene())
 
 
-# Calls
+# Requests
 
 
 @pytest.mark.parametrize(
@@ -156,7 +156,7 @@
         (b"what is this\r\n\r\n", 400),
     ],
 )
-def test_what_is_no_call_gets_a_no_and_changes_nothing(call: bytes, status: int) -> None:
+def test_invalid_request_is_refused_and_changes_nothing(call: bytes, status: int) -> None:
     async def scene() -> None:
         discovery, hosts = await fleet(answer_ok)
         async with running(discovery, hosts) as proxy:
@@ -172,7 +172,7 @@
     asyncio.run(scene())
 
 
-def test_calls_come_in_pieces_and_chunked() -> None:
+def test_requests_may_come_in_pieces_and_chunked() -> None:
     async def scene() -> None:
         discovery, hosts = await fleet(answer_ok)
         async with running(discovery, hosts) as proxy:
@@ -185,26 +185,26 @@
                 await client.writer.drain()
                 await asyncio.sleep(0)
             assert (await client.read()).status == 200
-            assert await client.reader.read() == b""  # one call a connection
+            assert await client.reader.read() == b""  # one request a connection
             assert (await figures(proxy))["proxy_cluster_unhealthy"] == 1
 
     asyncio.run(scene())
 
 
-def test_silent_and_half_callers_block_none() -> None:
+def test_silent_and_incomplete_clients_block_nobody() -> None:
     async def scene() -> None:
         discovery, hosts = await fleet(answer_ok)
         async with running(discovery, hosts) as proxy:
             host, port = proxy.control.split(":")
             silent: list[Client] = []
-            for i in range(3 * MOST_CALLERS):
+            for i in range(3 * MAX_CONNECTIONS):
                 silent.append(Client(*await asyncio.open_connection(host, int(port))))
                 if i % 2:
                     silent[-1].writer.write(b"POST /admin/cordon HTTP/1.1\r\nContent-Le")
                 if i % 9 == 0:
                     assert (await proxy.call("GET", "/admin/health")).status == 200
             assert (await proxy.call("POST", "/admin/cordon", "h0")).status == 200
-            for client in silent:  # each is ended, by the one after it or by its time
+            for client in silent:  # each is closed, by a later connection or by its timeout
                 async with asyncio.timeout(LONG_S):
                     with suppress(ConnectionError):
                         await client.reader.read()
@@ -212,10 +212,10 @@
     asyncio.run(scene())
 
 
-# Sending clients away
+# Quiescing
 
 
-def test_quiesce_sends_clients_away_and_loses_nothing() -> None:
+def test_quiesce_closes_connections_and_loses_nothing() -> None:
     async def slow(seen: Seen, writer: Any) -> None:
         await release.wait()
         writer.write(ok(b"late"))
@@ -238,11 +238,11 @@
             busy.send("/unsafe")
             await seen(2)
             assert (await proxy.call("POST", "/admin/quiesce")).status == 200
-            assert await proxy.health() == 503  # at once
+            assert await proxy.health() == 503  # immediately
             assert (await proxy.call("GET", "/admin/health")).status == 503
             async with asyncio.timeout(LONG_S):
                 assert await idle.reader.read() == b""
-            fresh.send("/keyed")  # it had connected before, and says its first word now
+            fresh.send("/keyed")  # connected before, but sends its first request now
             new = await proxy.client()
             new.send("/keyed")
             await seen(4)
@@ -253,11 +253,11 @@
                 async with asyncio.timeout(LONG_S):
                     assert await client.reader.read() == b""
             assert proxy.process.poll() is None
-            assert (await proxy.call("POST", "/admin/quiesce")).status == 200  # said twice, it is the same
+            assert (await proxy.call("POST", "/admin/quiesce")).status == 200  # repeated, it changes nothing
             assert (await proxy.call("POST", "/admin/resume")).status == 200
             assert await proxy.health() == 200
             client = await proxy.client()
-            answers = [await client.ask("/keyed") for _ in range(3)]  # on one connection again
+            answers = [await client.ask("/keyed") for _ in range(3)]  # all on one connection again
             assert [answer.status for answer in answers] == [200] * 3
 
     asyncio.run(scene())
--- a/tests/test_proxy.py
+++ b/tests/test_proxy.py
@@ -1,4 +1,4 @@
-"""The program end to end, over loopback sockets: what it owes clients, hosts and discovery."""
+"""The client proxy end to end, over loopback sockets: its duties to clients, servers and discovery."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
     running,
 )
 
-SETTLED_S = 0.05  # after an answer: by then its connection may be used again
+SETTLED_S = 0.05  # after an answer, in which its connection becomes reusable
 Scene = Callable[[], Coroutine[Any, Any, None]]
 
 
@@ -61,7 +61,7 @@
     asyncio.run(scene())
 
 
-def test_get_goes_on_without_a_body() -> None:
+def test_get_is_forwarded_without_a_body() -> None:
     async def scene() -> None:
         discovery, hosts = await fleet(answer_ok)
         async with running(discovery, hosts) as proxy:
@@ -91,7 +91,7 @@
     asyncio.run(scene())
 
 
-# What may have run, and what never ran
+# Requests that may have been executed, and those that were not
 
 
 @pytest.mark.parametrize(
@@ -120,7 +120,8 @@
             begun = time.monotonic()
             client = await proxy.client()
             assert (await client.ask("/unsafe")).status == status
-            # Given up, it is answered at once: by the aim (1.5 s), not near the client's deadline.
+            # The client is answered once the request is given up: at the target latency (1.5 s), not near its
+            # deadline.
             assert time.monotonic() - begun < 2.3
             assert (await client.ask("/keyed", timeout_ms=400)).status in (502, 503)
         assert len([s for h in hosts for s in h.seen if "/unsafe" in s.message.start]) == 1
@@ -128,7 +129,7 @@
     asyncio.run(scene())
 
 
-def test_attempt_that_is_given_up_closes_its_connection() -> None:
+def test_abandoned_attempt_closes_its_connection() -> None:
     async def scene() -> None:
         discovery, hosts = await fleet(never)
         async with running(discovery, hosts) as proxy:
@@ -138,7 +139,7 @@
     asyncio.run(scene())
 
 
-def test_refused_connection_never_ran() -> None:
+def test_refused_connection_means_not_executed() -> None:
     async def scene() -> None:
         discovery, hosts = await fleet(answer_ok)
         hosts[0].server.close()
@@ -176,14 +177,14 @@
                 for writer in list(hosts[0].open.values()):
                     writer.close()
                 await hosts[0].wait(lambda: not hosts[0].open)
-                # The end reaches the proxy at its own time; a ping to it comes after that.
+                # The proxy sees the close at some later time; a health check sent now is handled after that.
                 assert await proxy.health() == 200, i
         assert hosts[0].connections == 4
 
     asyncio.run(scene())
 
 
-def test_noise_behind_an_answer_is_not_taken_for_the_next() -> None:
+def test_bytes_after_an_answer_are_not_taken_for_the_next() -> None:
     async def scene() -> None:
         discovery, hosts = await fleet(raw(ok(b"mine") + ok(b"not asked for")))
         async with running(discovery, hosts) as proxy:
@@ -195,7 +196,7 @@
     asyncio.run(scene())
 
 
-def test_interim_answers_are_passed_over() -> None:
+def test_interim_answers_are_skipped() -> None:
     async def scene() -> None:
         discovery, hosts = await fleet(
             raw(b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 E\r\nLink: x\r\n\r\n" + ok(b"real"))
@@ -216,7 +217,7 @@
 def test_client_that_leaves_ends_its_attempts() -> None:
     async def scene() -> None:
         discovery, hosts = await fleet(never)
-        # With so much time, only the client's leaving can end the attempt.
+        # The deadline is so late that only the client's close can end the attempt.
         patient = {**SETTINGS["categories"][0], "aim_ms": 120_000, "deadline_ms": 120_000}
         async with running(discovery, hosts, settings={"categories": [patient]}) as proxy:
             client = await proxy.client()
@@ -232,7 +233,7 @@
 
 
 @pytest.mark.parametrize("cost", ["nan", "-5", "1e3", "", "9" * 400])
-def test_guess_that_is_no_figure_is_none(cost: str) -> None:
+def test_invalid_cost_estimate_is_ignored(cost: str) -> None:
     async def scene() -> None:
         discovery, hosts = await fleet(answer_ok)
         async with running(discovery, hosts) as proxy:
@@ -243,7 +244,7 @@
     asyncio.run(scene())
 
 
-def test_request_that_is_over_already_is_refused_unsent() -> None:
+def test_expired_request_is_refused_unsent() -> None:
     async def scene() -> None:
         discovery, hosts = await fleet(answer_ok)
         async with running(discovery, hosts) as proxy:
@@ -256,9 +257,7 @@
 @pytest.mark.parametrize(
     ("bounds", "wait"), [({}, None), ({"retry_after": True, "max_retry_after_ms": 750.0}, "0.100")]
 )
-def test_refusal_says_when_to_come_back_where_the_settings_pass_it_on(
-    bounds: dict[str, Any], wait: str | None
-) -> None:
+def test_refusal_has_retry_after_if_the_settings_allow(bounds: dict[str, Any], wait: str | None) -> None:
     async def scene() -> None:
         discovery, hosts = await fleet(answer_ok)
         told = {"bounds": {**SETTINGS["bounds"], **bounds}}
@@ -296,7 +295,7 @@
             while not hosts[0].seen:
                 assert (await client.ask("/unsafe")).status == 200
             await discovery.change(hosts[0].entry("leaving"))
-            # The proxy closes its idle connections there once it has taken the change in.
+            # The proxy closes its idle connections to a server once it has applied the drain.
             await hosts[0].wait(lambda: not hosts[0].open)
             before = len(hosts[0].seen)
             for _ in range(20):
@@ -335,7 +334,7 @@
         "version",
     ],
 )
-def test_failed_discovery_leaves_the_list_and_is_asked_again(broken: bytes) -> None:
+def test_failed_discovery_keeps_the_list_and_is_retried(broken: bytes) -> None:
     async def scene() -> None:
         discovery, hosts = await fleet(answer_ok)
         late = await Host("late").start()
@@ -346,7 +345,7 @@
             await discovery.asked(3)
             assert (await client.ask("/unsafe")).status == 200
             await discovery.change(late.entry())
-            while not late.seen:  # the watch is back
+            while not late.seen:  # the watch works again
                 assert (await client.ask("/unsafe")).status == 200
 
     asyncio.run(scene())
@@ -364,7 +363,7 @@
     asyncio.run(scene())
 
 
-def test_pushed_lists_are_asked_for_by_the_program_itself() -> None:
+def test_program_requests_lists_by_itself_without_subscription() -> None:
     async def scene() -> None:
         discovery, hosts = await fleet(answer_ok)
         discovery.broken = [b"", b""]
@@ -377,7 +376,7 @@
     asyncio.run(scene())
 
 
-# The end
+# Shutdown
 
 
 async def sigterm_under_load(proxy: Proxy, hosts: list[Host]) -> None:
@@ -396,7 +395,7 @@
         await asyncio.sleep(0.01)
     proxy.process.send_signal(signal.SIGTERM)
     assert await idle.reader.read() == b""
-    late: Client = await proxy.client()  # still accepted
+    late: Client = await proxy.client()  # new connections are still accepted
     late.send("/keyed")
     for client in [*clients, late]:
         got = await client.read()
@@ -407,21 +406,23 @@
 
 def test_sigterm_under_load_loses_nothing() -> None:
     async def scene() -> None:
-        discovery, hosts = await fleet(*[answer_ok] * 8)  # the module starts with one request for each
+        discovery, hosts = await fleet(
+            *[answer_ok] * 8
+        )  # the balancer begins with one request to each server
         async with running(discovery, hosts) as proxy:
             await sigterm_under_load(proxy, hosts)
 
     asyncio.run(scene())
 
 
-def test_sigterm_does_not_wait_for_half_a_request() -> None:
+def test_sigterm_does_not_wait_for_an_incomplete_request() -> None:
     async def scene() -> None:
         discovery, hosts = await fleet(answer_ok)
         async with running(discovery, hosts) as proxy:
             client = await proxy.client()
             assert (await client.ask("/keyed")).status == 200
             client.writer.write(b"POST /keyed HTTP/1.1\r\nX-Request-ID: 1\r\nContent-Length: 9\r\n\r\nhalf")
-            assert await proxy.health() == 200  # by now the half has been read
+            assert await proxy.health() == 200  # by now the incomplete request has been read
             begun = time.monotonic()
             proxy.process.send_signal(signal.SIGTERM)
             assert await proxy.ended() == 0
@@ -430,7 +431,7 @@
     asyncio.run(scene())
 
 
-def test_no_configuration_no_start() -> None:
+def test_does_not_start_without_a_configuration() -> None:
     done = subprocess.run(
         [sys.executable, "-m", "cloverrouter.proxy"],
         env={"PROXY_CONFIG": "/nonexistent"},
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -1,4 +1,4 @@
-"""SIGHUP: the file is read again and the watch moves, whatever else is going on."""
+"""SIGHUP: the configuration file is read again and the watch moves to another discovery address."""
 
 from __future__ import annotations
 
@@ -12,20 +12,20 @@
 from tests.sockets import Discovery, Host, Proxy, answer_ok, never, ok, running
 
 
-def replace(proxy: Proxy, **changes: Any) -> None:
-    told = json.loads(proxy.config.read_text())
-    proxy.config.write_text(json.dumps({**told, **changes}))
+def update_configuration(proxy: Proxy, **changes: Any) -> None:
+    configuration = json.loads(proxy.config.read_text())
+    proxy.config.write_text(json.dumps({**configuration, **changes}))
 
 
-async def moved(old: Discovery, hosts: list[Host]) -> Discovery:
-    """A second discovery, with an own count of versions."""
+async def start_second_discovery(old: Discovery, hosts: list[Host]) -> Discovery:
+    """Starts a second discovery agent, with its own version numbers."""
     new = await Discovery().start()
-    new.version = 1  # behind the old one's: asked for changes from there, it would stay silent
+    new.version = 1  # below the old agent's: it would never answer a request for changes since that version
     new.entries.update({host.name: host.entry() for host in hosts})
     return new
 
 
-# The program is told by its environment, too, as the platform does.
+# The platform also sets the address in the environment.
 @pytest.mark.parametrize("environment", [False, True])
 def test_sighup_moves_the_watch_and_keeps_the_open_call(environment: bool) -> None:
     async def scene() -> None:
@@ -37,16 +37,16 @@
             client = await proxy.client()
             client.send("/unsafe")
             await host.wait(lambda: len(host.seen) == 1)
-            new = await moved(old, [host, late])
-            replace(proxy, discovery=f"127.0.0.1:{new.port}")
+            new = await start_second_discovery(old, [host, late])
+            update_configuration(proxy, discovery=f"127.0.0.1:{new.port}")
             proxy.process.send_signal(signal.SIGHUP)
             await new.asked(2)
-            assert new.calls[0] == "/v1/servers"  # the whole list, at once
+            assert new.calls[0] == "/v1/servers"  # the whole list, immediately
             assert new.calls[1].startswith("/v1/servers?from=1&")
             host.open[1].write(ok(b"kept"))
             assert (await client.read()).body == b"kept"
             host.respond = answer_ok
-            while not late.seen:  # what the new address tells is believed
+            while not late.seen:  # the new agent's list is applied
                 assert (await client.ask("/unsafe")).status == 200
             calls = len(old.calls)
             await new.change(late.entry("leaving"))
@@ -57,7 +57,7 @@
 
 
 @pytest.mark.parametrize("text", ["", "{", "[]", "{}", '{"discovery": 5}', '{"discovery": "a.name:1"}', None])
-def test_bad_file_is_logged_and_what_works_is_kept(text: str | None) -> None:
+def test_invalid_file_is_logged_and_the_watch_continues(text: str | None) -> None:
     async def scene() -> None:
         discovery, host, late = await Discovery().start(), await Host("h0").start(), await Host("h1").start()
         async with running(discovery, [host]) as proxy:
@@ -83,8 +83,8 @@
             client = await proxy.client()
             client.send("/unsafe")
             await host.wait(lambda: len(host.seen) == 1)
-            new = await moved(discovery, [host])
-            replace(proxy, discovery=f"127.0.0.1:{new.port}")
+            new = await start_second_discovery(discovery, [host])
+            update_configuration(proxy, discovery=f"127.0.0.1:{new.port}")
             proxy.process.send_signal(signal.SIGTERM)
             proxy.process.send_signal(signal.SIGHUP)
             await new.asked(1)
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -1,5 +1,5 @@
-"""Another customer's settings: the whole program from each of several, through one day's endings; and those
-that can't be worked with, which are refused by name."""
+"""Settings of several deployments: the client proxy runs with each of them through drains, disconnects, a
+reload and a shutdown; invalid settings are refused by name."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 from cloverrouter.interface import Idempotency
 from cloverrouter.proxy.config import IDEMPOTENCY
 from tests.sockets import SETTINGS, Client, Discovery, Host, Message, Proxy, answer_ok, never, ok, running
-from tests.test_reload import moved, replace
+from tests.test_reload import start_second_discovery, update_configuration
 from tests.test_upstream import until
 
 SAFETY = SETTINGS["safety"]
@@ -28,22 +28,24 @@
     return {"name": name, "effect": effect, "aim_ms": deadline_ms * 0.8, "deadline_ms": deadline_ms, **more}
 
 
-def made(*classes: dict[str, Any], bounds: dict[str, Any] | None = None, **more: Any) -> dict[str, Any]:
+def make_settings(
+    *classes: dict[str, Any], bounds: dict[str, Any] | None = None, **more: Any
+) -> dict[str, Any]:
     known = {"max_attempts": 3, **(bounds or {})}
     return {"balancers": 1, "bounds": known, "categories": list(classes), "safety": SAFETY, **more}
 
 
 DEPLOYMENTS: dict[str, dict[str, Any]] = {
-    # Nothing but what has to be there.
-    "bare": made(cls("a", "fragile", 3000)),
-    "asked, one attempt, short windows": made(
+    # Required keys only.
+    "bare": make_settings(cls("a", "fragile", 3000)),
+    "asked, one attempt, short windows": make_settings(
         cls("gate.open", "dedup", 2500, group="zone", window_ms=300.0),
         cls("tide_table", "retryable", 2500),
         bounds={"max_attempts": 1, "connect_timeout_ms": 120.0},
         discovery="subscribe",
         safety={**SAFETY, "drain_grace_ms": 250.0, "must_ask_in_ms": 1000.0},
     ),
-    "pushed, six attempts, second copies": made(
+    "pushed, six attempts, second copies": make_settings(
         cls("log-lookup", "retryable", 3000, worth=1),
         cls("contact-add", "dedup", 3000, group="cell", window_ms=1000, worth=5),
         cls("qsl-match", "dedup", 3000, group="all", window_ms=10_000, worth=5),
@@ -51,21 +53,21 @@
         discovery="automatic",
         safety={**SAFETY, "drain_grace_ms": 250.0},
     ),
-    "tenants, nothing may be repeated": made(
+    "tenants, nothing may be repeated": make_settings(
         cls("admit", "fragile", 2000, worth=9),
         cls("prescribe", "fragile", 3000, worth=4),
         projects=[{"name": "ward-a", "quota_per_s": 50.0}, {"name": "out+patients", "quota_per_s": 5.0}],
         over_share_worth=0.3,
         bounds={"retry_after": True, "max_retry_after_ms": 800.0},
     ),
-    "names that have to be quoted": made(
+    "names that have to be quoted": make_settings(
         cls("ticket/scan", "fragile", 3000),
         cls("ticket", "retryable", 3000),
         cls("call up", "dedup", 3000, window_ms=3000),
         cls("naïve:x@y+z%", "fragile", 3000),
         zone="north quay",
     ),
-    "a dozen proxies, cold servers, reports by probes": made(
+    "a dozen proxies, cold servers, reports by probes": make_settings(
         cls("join", "dedup", 2500, group="cell", window_ms=800),
         cls("dial-out", "fragile", 3000),
         balancers=12,
@@ -79,21 +81,21 @@
 
 
 class Caller:
-    """Asks for each class in the form that its effect demands."""
+    """Sends requests of each class in the form that its effect requires."""
 
     def __init__(self, facts: dict[str, Any]) -> None:
         self.facts = facts
         self.tenants = [t["name"] for t in facts.get("projects", [])]
 
-    def send(self, client: Client, told: dict[str, Any]) -> None:
+    def send(self, client: Client, request_class: dict[str, Any]) -> None:
         client.count += 1
-        effect = IDEMPOTENCY[told["effect"]]
+        effect = IDEMPOTENCY[request_class["effect"]]
         method = "GET" if effect is Idempotency.SAFE else "POST"
-        # A slash in a class's name comes as it is.
+        # A slash in a class's name is not quoted.
         lines = [
-            f"{method} /{quote(told['name'], safe='/:@+')}?obj=1 HTTP/1.1",
+            f"{method} /{quote(request_class['name'], safe='/:@+')}?obj=1 HTTP/1.1",
             f"X-Request-ID: {id(client):x}-{client.count}",
-            f"X-Timeout-Ms: {int(told['deadline_ms'])}",
+            f"X-Timeout-Ms: {int(request_class['deadline_ms'])}",
         ]
         if effect is Idempotency.KEYED:
             lines.append(f"Idempotency-Key: k{id(client):x}-{client.count}")
@@ -104,18 +106,19 @@
         body = "\r\n\r\n" + ("x" if method == "POST" else "")
         client.writer.write(("\r\n".join(lines) + body).encode())
 
-    async def ask(self, client: Client, told: dict[str, Any]) -> Message:
-        self.send(client, told)
+    async def ask(self, client: Client, request_class: dict[str, Any]) -> Message:
+        self.send(client, request_class)
         return await client.read()
 
 
-async def settled(proxy: Proxy) -> None:
+async def sync_with(proxy: Proxy) -> None:
+    """Waits until the proxy has handled what was sent to it before."""
     for _ in range(3):
         await proxy.health()
 
 
 @pytest.mark.parametrize("name", DEPLOYMENTS)
-def test_a_day_of_endings(name: str) -> None:
+def test_drain_disconnect_reload_and_shutdown(name: str) -> None:
     facts = DEPLOYMENTS[name]
 
     async def scene() -> None:
@@ -123,19 +126,19 @@
         hosts = [await Host(f"h{number}").start() for number in range(3)]
         async with running(discovery, hosts, settings=facts, told={"settings": facts}) as proxy:
             caller, client = Caller(facts), await proxy.client()
-            for told in facts["categories"]:
-                assert (await caller.ask(client, told)).status == 200, told["name"]
+            for request_class in facts["categories"]:
+                assert (await caller.ask(client, request_class)).status == 200, request_class["name"]
 
-            # A server drains: once the list is in, nothing more goes there.
+            # A server drains: once the list has been applied, it gets no further request.
             await discovery.change(hosts[0].entry("leaving"))
             await discovery.asked(len(discovery.calls) + 1)
-            await settled(proxy)
+            await sync_with(proxy)
             before = len(hosts[0].seen)
-            for told in facts["categories"] * 4:
-                assert (await caller.ask(client, told)).status == 200
+            for request_class in facts["categories"] * 4:
+                assert (await caller.ask(client, request_class)).status == 200
             assert len(hosts[0].seen) == before
 
-            # A client leaves while its request is out: nothing of it comes again.
+            # A client disconnects during its request: the request is not sent again.
             first = facts["categories"][0]
             for host in hosts:
                 host.respond = never
@@ -144,19 +147,19 @@
             caller.send(gone, first)
             await until(lambda: sum(len(host.seen) for host in hosts) == seen + 1)
             gone.writer.close()
-            await settled(proxy)
+            await sync_with(proxy)
             for host in hosts:
                 host.respond = answer_ok
             assert sum(len(host.seen) for host in hosts) == seen + 1
 
-            # Discovery moves; a call that is out is kept, through that and through the end.
+            # Discovery moves: an open request survives that and the shutdown.
             for host in hosts:
                 host.respond = never
             seen = sum(len(host.seen) for host in hosts)
             caller.send(client, first)
             await until(lambda: sum(len(host.seen) for host in hosts) == seen + 1)
-            new = await moved(discovery, hosts[1:])
-            replace(proxy, discovery=f"127.0.0.1:{new.port}")
+            new = await start_second_discovery(discovery, hosts[1:])
+            update_configuration(proxy, discovery=f"127.0.0.1:{new.port}")
             proxy.process.send_signal(signal.SIGHUP)
             await new.asked(1)
             proxy.process.send_signal(signal.SIGTERM)
@@ -174,28 +177,28 @@
     asyncio.run(scene())
 
 
-# What can't be worked with
+# Invalid settings
 
 
-def changed(path: str, value: object) -> dict[str, Any]:
-    """A good configuration with one value replaced; `...` takes it away."""
-    told: dict[str, Any] = copy.deepcopy(
+def configuration_with(path: str, value: object) -> dict[str, Any]:
+    """Returns a valid configuration with the value at a path replaced, or removed if it is `...`."""
+    configuration: dict[str, Any] = copy.deepcopy(
         {"name": "n0", "listen": "127.0.0.1:3000", "discovery": "127.0.0.1:8500", "seed": "8c1f",
          "limits": {"sockets": 256, "memory_mb": 96}, "settings": SETTINGS}
     )  # fmt: skip
-    at: Any = told
-    *way, last = [int(part) if part.isdigit() else part for part in path.split("/")]
-    for part in way:
-        at = at[part]
+    target: Any = configuration
+    *parents, last = [int(part) if part.isdigit() else part for part in path.split("/")]
+    for part in parents:
+        target = target[part]
     if value is ...:
-        del at[last]
+        del target[last]
     else:
-        at[last] = value
-    return told
+        target[last] = value
+    return configuration
 
 
 @pytest.mark.parametrize(
-    ("path", "value", "said"),
+    ("path", "value", "message"),
     [
         ("settings", ..., "settings: found nothing, allowed is an object"),
         ("settings", [], "settings: found [], allowed is an object"),
@@ -218,19 +221,19 @@
         ("known", {"version": 1}, "known: found {'version': 1}, allowed is a list in"),
     ],
 )  # fmt: skip
-def test_what_can_not_be_worked_with_is_named(tmp_path: Path, path: str, value: object, said: str) -> None:
+def test_invalid_setting_is_named(tmp_path: Path, path: str, value: object, message: str) -> None:
     file = tmp_path / "config.json"
-    file.write_text(json.dumps(changed(path, value)))
+    file.write_text(json.dumps(configuration_with(path, value)))
     done = subprocess.run(
         [sys.executable, "-m", "cloverrouter.proxy"], env={"PROXY_CONFIG": str(file)}, capture_output=True,
         text=True,
     )  # fmt: skip
     assert done.returncode == 2
-    assert f"no usable configuration: {file}: {said}" in done.stderr
+    assert f"no usable configuration: {file}: {message}" in done.stderr
     assert "Traceback" not in done.stderr
 
 
-def test_what_is_not_known_or_odd_is_left_to_its_owner() -> None:
+def test_unknown_keys_and_unusual_values_are_accepted() -> None:
     async def scene() -> None:
         facts = {**SETTINGS, "later": {"key": 1}, "zone": "", "tenants": None}
         facts["categories"] = [{**c, "aim_ms": c["deadline_ms"] * 2} for c in SETTINGS["categories"]]
