--- a/cloverrouter/fleet/limits.py
+++ b/cloverrouter/fleet/limits.py
@@ -128,7 +128,7 @@
     )
 
 
-class Estimate:
+class FleetSizeEstimator:
     """Estimates how many instances there are from load reports: the requests that a server has open, compared
     with those of this instance. The estimate is the number of instances like this one that would make up the
     traffic."""
--- a/cloverrouter/proxy/messages.py
+++ b/cloverrouter/proxy/messages.py
@@ -8,7 +8,7 @@
 from cloverrouter.http.sockets import hung_up as hung_up
 from cloverrouter.proxy.streams import Sink, Source, StreamHead, Upload
 
-SMALL = 64 * 1024  # bodies up to this size are buffered whole, so that they can be sent again
+SMALL = 64 * 1024  # bodies up to this size are buffered, so that they can be sent again
 MAX_BODY = 34 * 1024 * 1024  # of requests and answers; larger ones are refused
 MAX_HEAD = 16 * 1024
 
@@ -25,8 +25,8 @@
 
 
 class Call(ABC):
-    """One request of a client. It gets one answer, by `served`, `refused`, `failed` or `begun`; further
-    ones have no effect."""
+    """One request of a client, answered once by `served`, `refused`, `failed` or `begun`. Further
+    answers have no effect."""
 
     __slots__ = (
         "arrived_ms",
--- a/tests/sockets.py
+++ b/tests/sockets.py
@@ -114,16 +114,16 @@
             while True:
                 seen = Seen(await self.read(reader), number)
                 self.seen.append(seen)
-                await self._tell()
+                await self._notify()
                 await self.respond(seen, writer)
         except (asyncio.IncompleteReadError, ConnectionError):
             pass
         finally:
             writer.close()
             del self.open[number]
-            await self._tell()
+            await self._notify()
 
-    async def _tell(self) -> None:
+    async def _notify(self) -> None:
         async with self.changed:
             self.changed.notify_all()
 
@@ -252,7 +252,7 @@
     def log(self) -> str:
         return self._stderr.read_text()
 
-    async def logged(self, text: str, times: int = 1) -> None:
+    async def wait_for_log(self, text: str, times: int = 1) -> None:
         end = time.monotonic() + LONG_S
         while self.log().count(text) < times:
             assert self.process.poll() is None and time.monotonic() < end, self.log()
--- a/tests/test_cordon.py
+++ b/tests/test_cordon.py
@@ -287,13 +287,13 @@
             old = proxy.process
             control = f"127.0.0.1:{free_port()}"
             proxy.start(PROXY_CONTROL=control)
-            await proxy.logged("serves at", 2)
+            await proxy.wait_for_log("serves at", 2)
             await only(10, hosts[1])
             # A request to either process applies to both.
             assert (await proxy.call("POST", "/admin/uncordon", "h0", control)).status == 200
-            await proxy.logged("h0 is uncordoned", 2)
+            await proxy.wait_for_log("h0 is uncordoned", 2)
             assert (await proxy.call("POST", "/admin/cordon", "h1")).status == 200
-            await proxy.logged("h1 is cordoned", 2)
+            await proxy.wait_for_log("h1 is cordoned", 2)
             await only(10, hosts[0])
             old.send_signal(signal.SIGTERM)
             assert await proxy.ended(old) == 0
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -6,7 +6,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from cloverrouter.fleet.limits import Budget, Estimate, Share, limits
+from cloverrouter.fleet.limits import Budget, FleetSizeEstimator, Share, limits
 from cloverrouter.fleet.subset import WAYS, golden_ratio_aperture, quality
 
 SERVERS = [f"b{i}" for i in range(19)]
@@ -91,7 +91,7 @@
 
 
 def test_instances_are_estimated_from_load_reports() -> None:
-    estimate = Estimate(first=40)
+    estimate = FleetSizeEstimator(first=40)
     assert estimate.instances == 40
     for _ in range(400):
         estimate.add(50.0, 1)
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -28,11 +28,11 @@
         self.proxy = proxy
         self.served = 0
         self.retried = 0
-        self.over = False
+        self.stopped = False
 
     async def client(self, keep: bool) -> None:
         client: Client | None = None
-        while not self.over:
+        while not self.stopped:
             reused = client is not None
             client = client or await self.proxy.client()  # if refused, the test fails
             try:
@@ -70,13 +70,13 @@
                 for times in (1, 2):
                     old = proxy.process
                     proxy.start(PROXY_CONTROL=f"127.0.0.1:{free_port()}")
-                    await proxy.logged("serves at", times + 1)
+                    await proxy.wait_for_log("serves at", times + 1)
                     await load.wait_served(50)
                     assert old.poll() is None  # it runs until it is stopped
                     old.send_signal(signal.SIGTERM)
                     assert await proxy.ended(old) == 0
                     await load.wait_served(50)
-                load.over = True
+                load.stopped = True
             assert proxy.process.poll() is None
             assert load.retried <= 4
 
@@ -100,7 +100,7 @@
             await hosts[0].wait(lambda: len(hosts[0].seen) == 1)
             old = proxy.process
             proxy.start(PROXY_CONTROL=f"127.0.0.1:{free_port()}")
-            await proxy.logged("serves at", 2)
+            await proxy.wait_for_log("serves at", 2)
             old.send_signal(signal.SIGTERM)
             hosts[0].respond = answer_ok
             other = await proxy.client()
@@ -125,17 +125,17 @@
                 # One process is killed before it has started, another after it has taken over.
                 proxy.start(PROXY_CONTROL="127.0.0.1:1").send_signal(signal.SIGKILL)
                 await load.wait_served(20)
-                load.over = True
+                load.stopped = True
             new = proxy.start(PROXY_CONTROL=f"127.0.0.1:{free_port()}")
-            await proxy.logged("serves at", 2)
+            await proxy.wait_for_log("serves at", 2)
             new.send_signal(signal.SIGKILL)
-            await proxy.logged("the new process has ended")
+            await proxy.wait_for_log("the new process has ended")
             assert old.poll() is None
             client = await proxy.client()
             assert (await client.ask("/keyed")).status == 200
             # The next new process finds the old one.
             proxy.start(PROXY_CONTROL=f"127.0.0.1:{free_port()}")
-            await proxy.logged("serves at", 3)
+            await proxy.wait_for_log("serves at", 3)
             assert "handover from the previous process failed" not in proxy.log()
             assert proxy.log().count("no previous process to take over from") == 1
             old.send_signal(signal.SIGTERM)
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -69,11 +69,11 @@
 
 
 def test_labels_are_escaped_and_every_class_shows_zeros() -> None:
-    told = Figures(['a"b\\c\nd', "plain"])
-    told.gauges = lambda: Gauges(1, 2, 3)
-    told.ended("plain", State.DEFERRED)
-    told.ended("of no class", State.ERRORED)
-    found = read_figures(told.render())
+    metrics = Figures(['a"b\\c\nd', "plain"])
+    metrics.gauges = lambda: Gauges(1, 2, 3)
+    metrics.ended("plain", State.DEFERRED)
+    metrics.ended("of no class", State.ERRORED)
+    found = read_figures(metrics.render())
     assert found[count('a\\"b\\\\c\\nd', "answered")] == 0
     assert found[count("plain", "deferred")] == 1
     assert len([name for name in found if "transactions" in name]) == 6
@@ -124,7 +124,7 @@
             await proxy.call("POST", "/admin/cordon", "h1")
             proxy.config.write_text("{")
             proxy.process.send_signal(signal.SIGHUP)
-            await proxy.logged("configuration not reread")
+            await proxy.wait_for_log("configuration not reread")
             host, port = proxy.address.split(":")
             assert port
             answer = await proxy.call("GET", "/admin/stats", control=f"{host}:9901")
@@ -283,7 +283,7 @@
             await proxy.call("POST", "/admin/quiesce")
             old = proxy.process
             proxy.start(PROXY_CONTROL=proxy.control.replace(":9901", ":9902"))
-            await proxy.logged("serves at", 2)
+            await proxy.wait_for_log("serves at", 2)
             assert await proxy.health() == 503
             old.send_signal(signal.SIGTERM)
             assert await proxy.ended(old) == 0
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -67,7 +67,7 @@
             else:
                 proxy.config.write_text(text)
             proxy.process.send_signal(signal.SIGHUP)
-            await proxy.logged("not reread")
+            await proxy.wait_for_log("not reread")
             await discovery.change(late.entry())
             client = await proxy.client()
             while not late.seen:
