--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -104,7 +104,7 @@
             old.send_signal(signal.SIGTERM)
             hosts[0].respond = answer_ok
             other = await proxy.client()
-            assert (await other.ask("/unsafe")).status == 200  # by the new process
+            assert (await other.ask("/unsafe")).status == 200  # by the new one
             hosts[0].open[1].write(ok(b"of the old"))
             assert (await client.read()).body == b"of the old"
             assert await proxy.ended(old) == 0
