--- a/cloverrouter/fuzz/__init__.py
+++ b/cloverrouter/fuzz/__init__.py
@@ -1,5 +1,5 @@
-"""Fuzzing: mutated inputs for every place where bytes from outside of a process are read.
+"""Fuzzing of every parser that reads bytes from outside of the process.
 
-A `Target` reads one kind of input by the program's own code, and knows what has to hold whatever it is.
-`plain` plays seeded inputs without any library; `guided` lets the coverage choose which inputs to go on from.
+A `Target` feeds one kind of input to the production code and checks the properties that hold for any input.
+`plain` generates inputs from a seed without a library; `guided` runs a coverage-guided fuzzer (atheris).
 """
--- a/cloverrouter/fuzz/control_calls.py
+++ b/cloverrouter/fuzz/control_calls.py
@@ -1,6 +1,7 @@
-"""Calls of the operator and of servers: several in a row, through the API and the real checks.
+"""Fuzz target: sequences of operator and server requests to the control API, with its real validation.
 
-An input is a JSON list of calls; a list that can't be read is the body of one PUT of the configuration.
+An input is a JSON list of requests. Input that is not a JSON list is used as the body of one PUT of the
+configuration.
 """
 
 from __future__ import annotations
@@ -22,14 +23,14 @@
 from cloverrouter.control.registry_messages import Announce
 from cloverrouter.control.servers_list import ServersList
 from cloverrouter.control.updates import decode_message
-from cloverrouter.fuzz.mutation import interesting, json_text, mutate_bytes, mutate_json
+from cloverrouter.fuzz.mutation import edge_case, json_text, mutate_bytes, mutate_json
 from cloverrouter.fuzz.target import expect
 from cloverrouter.messages import encode
 
-NOW = 1000.0
+NOW_S = 1000.0
 STATUSES = frozenset((200, 400, 404, 405, 412, 413, 428, 503))
 CONFIGURATION, INSTANCES = "/-/configuration", "/-/instances/"
-MATCHES = (
+IF_MATCH_VALUES = (
     None,
     "1",
     '"1"',
@@ -46,7 +47,7 @@
     " 1 ",
     "1\x00",
 )
-TARGETS = (
+REQUEST_TARGETS = (
     CONFIGURATION, INSTANCES + "s-1", INSTANCES, INSTANCES + "%00", INSTANCES + "a/b", INSTANCES + "%ff%fe",
     INSTANCES + "x" * 3000, "/-/configuration?a=b", "/-/history", "/-/", "/", "/-/configuration/",
     "/-/trace/%2e",
@@ -96,7 +97,7 @@
 
 @attrs.define
 class Call:
-    """One request; it is the API's view of a request as well."""
+    """One request, with the interface that the API expects of a request."""
 
     method: bytes
     target: bytes
@@ -111,7 +112,7 @@
 
 
 def _call(method: str, target: str, body: Any = None, if_match: str | None = None) -> dict[str, Any]:
-    """A call as it is in an input."""
+    """Returns a request in the form that inputs contain."""
     text = "" if body is None else json.dumps(body)
     return {"method": method, "target": target, "if-match": if_match, "body": text}
 
@@ -133,7 +134,7 @@
 
 
 class _Fleet:
-    """A chain of one replica and one machine's list of servers: what the calls come to."""
+    """In-memory backend of the API: a single configuration replica and one node's server list."""
 
     def __init__(self) -> None:
         self.machine = ConfigurationMachine()
@@ -141,9 +142,9 @@
         self.updates: list[bytes] = []
 
     def state(self) -> tuple[bytes, str]:
-        """All that a call may change."""
+        """Returns all the state that a request can change."""
         return self.machine.snapshot(), repr(
-            [(one, self.servers.record(NOW, one.id)) for one in self.servers]
+            [(one, self.servers.record(NOW_S, one.id)) for one in self.servers]
         )
 
     async def order(self, method: str, if_match: str | None, body: bytes) -> OrderReply:
@@ -157,20 +158,20 @@
         return self.machine.state.json() if self.machine.version else None
 
     async def register(self, instance_id: str, body: dict[str, Any]) -> RegisterReply:
-        instance = instance_from(NOW, instance_id, body)
-        announce = Announce(instance.to_record(NOW, 0.0), wants_acknowledgement=True)
-        told = decode_message(encode(announce), Announce)
-        expect(told == announce, "an announcement reaches the other nodes changed")
-        known = from_record(NOW, told.record)
-        expect(known.fingerprint() == instance.fingerprint(), "another node holds another instance")
-        self.servers.merge(NOW, instance)
+        instance = instance_from(NOW_S, instance_id, body)
+        announce = Announce(instance.to_record(NOW_S, 0.0), wants_acknowledgement=True)
+        decoded = decode_message(encode(announce), Announce)
+        expect(decoded == announce, "an announcement changes when it is encoded and decoded")
+        received = from_record(NOW_S, decoded.record)
+        expect(received.fingerprint() == instance.fingerprint(), "the instance changes in its record")
+        self.servers.merge(NOW_S, instance)
         return RegisterReply()
 
     async def withdraw(self, instance_id: str) -> bool:
-        known = self.servers.table.get(instance_id)
-        if known is not None:
-            self.servers.merge(NOW, attrs.evolve(known, state=InstanceState.GONE))
-        return known is not None
+        instance = self.servers.table.get(instance_id)
+        if instance is not None:
+            self.servers.merge(NOW_S, attrs.evolve(instance, state=InstanceState.GONE))
+        return instance is not None
 
     def instances(self) -> dict[str, Any]:
         return {one.id: one.address for one in self.servers}
@@ -192,7 +193,7 @@
 
 
 class _LastError(logging.Handler):
-    """Keeps the error that the API has written down."""
+    """Stores the last exception that the API logged."""
 
     error: BaseException | None = None
 
@@ -202,9 +203,9 @@
 
 
 class ControlCalls:
-    """Calls in a row, on a state that is new for each input."""
+    """A sequence of requests; each input starts from empty state."""
 
-    text = "calls of the operator and of servers: paths, If-Match, JSON bodies"
+    text = "control API requests of operators and servers: paths, If-Match, JSON bodies"
 
     def __init__(self) -> None:
         self._loop = asyncio.new_event_loop()
@@ -217,23 +218,23 @@
         return [json.dumps(calls).encode() for calls in SEEDS]
 
     def mutate(self, data: bytes, random: Random) -> bytes:
-        calls = _calls(data)
-        place = random.randrange(len(calls)) if calls else 0
+        calls = _parse_calls(data)
+        index = random.randrange(len(calls)) if calls else 0
         match random.randrange(12):
             case 0:
                 return mutate_bytes(data, random)
             case 1:
-                calls.insert(place, random.choice(random.choice(SEEDS)))
+                calls.insert(index, random.choice(random.choice(SEEDS)))
             case 2 if calls:
-                calls[place] = {**calls[place], "if-match": random.choice(MATCHES)}
+                calls[index] = {**calls[index], "if-match": random.choice(IF_MATCH_VALUES)}
             case 3 if calls:
-                calls[place] = {**calls[place], "target": random.choice(TARGETS)}
+                calls[index] = {**calls[index], "target": random.choice(REQUEST_TARGETS)}
             case 4 if calls:
-                calls[place] = {**calls[place], "method": random.choice(METHODS)}
+                calls[index] = {**calls[index], "method": random.choice(METHODS)}
             case _ if calls:
-                calls[place] = _with_other_body(calls[place], random)
+                calls[index] = _with_mutated_body(calls[index], random)
             case _:
-                return json.dumps([interesting(random)]).encode()
+                return json.dumps([edge_case(random)]).encode()
         return json.dumps(calls).encode()
 
     def check(self, data: bytes) -> None:
@@ -242,15 +243,15 @@
     async def _check(self, data: bytes) -> None:
         fleet = _Fleet()
         api = ControlApi(fleet)
-        for call in _calls(data)[:8]:
+        for call in _parse_calls(data)[:8]:
             before, version, updates = fleet.state(), fleet.machine.version, len(fleet.updates)
             request = _request(call)
             answer = await api.answer(request)
             self._check_answer(answer)
             if answer.status != 200 or request.method == b"GET":
-                expect(fleet.state() == before, f"a call that is answered {answer.status} changed the state")
+                expect(fleet.state() == before, f"a request with status {answer.status} changed the state")
             if len(fleet.updates) > updates:
-                expect(fleet.machine.version > version, "a change of the configuration without a new version")
+                expect(fleet.machine.version > version, "the configuration changed without a new version")
                 await _check_repeated(api, fleet, request, answer)
         _check_replicas(fleet)
 
@@ -258,37 +259,37 @@
         error, self._errors.error = self._errors.error, None
         if error is not None:
             raise error
-        expect(answer.status in STATUSES, f"answered {answer.status}")
-        told = json.loads(answer.body) if answer.content_type == "application/json" else {}
-        expect(isinstance(told, dict | list), "the answer is no JSON object")
+        expect(answer.status in STATUSES, f"unexpected status {answer.status}")
+        body = json.loads(answer.body) if answer.content_type == "application/json" else {}
+        expect(isinstance(body, dict | list), "the response is not a JSON object or list")
         if answer.status >= 400:
-            expect(bool(told["error-message"]), "an error without a message")
+            expect(bool(body["error-message"]), "an error response without a message")
 
     def close(self) -> None:
         self._loop.close()
         logging.getLogger("cloverrouter.control.api").removeHandler(self._errors)
 
 
-async def _check_repeated(api: ControlApi, fleet: _Fleet, order: Call, answer: Answer) -> None:
-    """The same order once more is answered as it was, and changes nothing."""
+async def _check_repeated(api: ControlApi, fleet: _Fleet, request: Call, answer: Answer) -> None:
+    """Checks idempotence: a repeated request gets the same response and changes nothing."""
     before = fleet.state()
-    expect((await api.answer(order)) == answer, "an order sent again is answered in another way")
-    expect(fleet.state() == before, "an order sent again changed the state")
+    expect((await api.answer(request)) == answer, "a repeated request gets a different response")
+    expect(fleet.state() == before, "a repeated request changed the state")
 
 
 def _check_replicas(fleet: _Fleet) -> None:
-    """Other replicas come to the same state, by the updates as by the whole state."""
+    """Checks that replicas reach the same state by applying the updates and by restoring the snapshot."""
     snapshot = fleet.machine.snapshot()
     follower, restored = ConfigurationMachine(), ConfigurationMachine()
     for update in fleet.updates:
         follower.apply(update)
-    expect(follower.snapshot() == snapshot, "a replica's state differs after the same updates")
+    expect(follower.snapshot() == snapshot, "a replica differs after the same updates")
     restored.restore(snapshot)
-    expect(restored.snapshot() == snapshot, "a whole state handed over is another")
-    expect(restored.state.configuration() == fleet.machine.state.configuration(), "its typed values differ")
+    expect(restored.snapshot() == snapshot, "a replica differs after restoring the snapshot")
+    expect(restored.state.configuration() == fleet.machine.state.configuration(), "the typed values differ")
 
 
-def _calls(data: bytes) -> list[dict[str, Any]]:
+def _parse_calls(data: bytes) -> list[dict[str, Any]]:
     try:
         calls = json.loads(data)
     except (ValueError, RecursionError):
@@ -299,7 +300,7 @@
 
 
 def _request(call: dict[str, Any]) -> Call:
-    """The request that a call of an input stands for; what a head can't hold becomes question marks."""
+    """Converts a request of an input; characters outside of Latin-1 become question marks."""
     match = call.get("if-match")
     return Call(
         _text(call.get("method")).encode("latin-1", "replace"),
@@ -313,7 +314,7 @@
     return value if isinstance(value, str) else repr(value)
 
 
-def _with_other_body(call: dict[str, Any], random: Random) -> dict[str, Any]:
+def _with_mutated_body(call: dict[str, Any], random: Random) -> dict[str, Any]:
     try:
         body = json.loads(_text(call.get("body")))
     except (ValueError, RecursionError):
--- a/cloverrouter/fuzz/event_streams.py
+++ b/cloverrouter/fuzz/event_streams.py
@@ -1,4 +1,4 @@
-"""Event streams of servers: however their bytes are split, the client gets the same."""
+"""Fuzz target: server-sent event streams, whose relayed bytes must not depend on how they are split."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from typing import Any, cast
 from zlib import crc32
 
-from cloverrouter.fuzz.mutation import mutate_bytes, pieces
+from cloverrouter.fuzz.mutation import mutate_bytes, split_randomly
 from cloverrouter.fuzz.target import expect
 from cloverrouter.router.events import EventSplitter, is_after
 from cloverrouter.router.relay import StreamRelay
@@ -24,11 +24,11 @@
     b"versions: 3\nid: 5\ndata: a\ndata: b\n\ndata: no id\n\nid: 7\ndata: c",
     b"id: 1\rdata: a\r\rid: 2\rdata: b\r\r",
 )
-BLANK = b"\r\n"
+LINE_BREAKS = b"\r\n"
 
 
 class _Exchange:
-    """A client that takes everything."""
+    """Fake HTTP exchange whose client accepts all data."""
 
     def __init__(self) -> None:
         self.status = 0
@@ -46,9 +46,9 @@
 
 
 class EventStreams:
-    """One stream from its first byte, and the same stream taken up at another server."""
+    """A stream relayed from its first byte, and the same stream resumed on another server."""
 
-    text = "event streams of servers: splitting, ids, resumption"
+    text = "event streams of servers: splitting, event ids, resumption"
 
     def seeds(self) -> Sequence[bytes]:
         return SEEDS
@@ -58,27 +58,27 @@
 
     def check(self, data: bytes) -> None:
         random = Random(crc32(data))
-        parts = pieces(data, random)
+        parts = split_randomly(data, random)
         whole, split = _events([data]), _events(parts)
-        expect(split == whole, f"bytes in pieces give {split}, whole {whole}")
+        expect(split == whole, f"split input gives {split}, unsplit input {whole}")
         for resumable in (False, True):
             _check_relay(data, parts, resumable)
-        _check_taken_up(parts, random)
+        _check_resumed(parts, random)
 
     def close(self) -> None:
-        """Nothing is kept."""
+        """Does nothing: the target holds no resources."""
 
 
 def _events(parts: Sequence[bytes]) -> tuple[list[bytes], bytes, bytes | None, bool]:
-    """The events without the blanks around them, the rest, and where the stream can be continued."""
+    """Returns the events without surrounding line breaks, the remainder, the last id and resumability."""
     splitter, found = EventSplitter(), list[bytes]()
     for part in parts:
         for event in splitter.feed(part):
             splitter.record_forwarded(event)
-            found.append(event.strip(BLANK))
+            found.append(event.strip(LINE_BREAKS))
     return (
         [event for event in found if event],
-        splitter.remainder.lstrip(BLANK),
+        splitter.remainder.lstrip(LINE_BREAKS),
         splitter.last_id,
         splitter.resumable,
     )
@@ -91,12 +91,15 @@
     for part in parts:
         relay.feed(part)
     relay.end()
-    expect(client.body == data, "the client gets other bytes than the server sent")
-    expect((client.status, client.ended) == (200, True), "the answer was not begun or not ended")
+    expect(client.body == data, "the client receives other bytes than the server sent")
+    expect((client.status, client.ended) == (200, True), "the response was not started or not ended")
 
 
-def _check_taken_up(parts: Sequence[bytes], random: Random) -> None:
-    """The stream breaks off after some pieces and comes again whole: no event with a known id comes twice."""
+def _check_resumed(parts: Sequence[bytes], random: Random) -> None:
+    """Checks resumption after a stream breaks off at a random piece and is sent again from its beginning.
+
+    The client must not receive an event twice whose id it has already received.
+    """
     client = _Exchange()
     relay = StreamRelay(cast(Any, client), resumable=True)
     relay.on_head(200, [], None)
@@ -104,9 +107,12 @@
         relay.feed(part)
     if not relay.can_continue:
         return
-    had, last_id = len(client.body), relay.last_id
+    length_before, last_id = len(client.body), relay.last_id
     relay.on_head(200, [], None)
     for part in parts:
         relay.feed(part)
-    first = EventSplitter().feed(client.body[had:] + b"\n\n")[:1]
-    expect(not first or not first[0].strip(BLANK) or is_after(first[0], last_id), "an old event comes again")
+    first = EventSplitter().feed(client.body[length_before:] + b"\n\n")[:1]
+    expect(
+        not first or not first[0].strip(LINE_BREAKS) or is_after(first[0], last_id),
+        "an event is sent again after the stream is resumed",
+    )
--- a/cloverrouter/fuzz/guided.py
+++ b/cloverrouter/fuzz/guided.py
@@ -1,4 +1,4 @@
-"""A run that the coverage guides, by atheris (libFuzzer) in a process of its own."""
+"""Coverage-guided fuzzing by atheris (libFuzzer) in a child process."""
 
 from __future__ import annotations
 
@@ -16,18 +16,21 @@
 
 MAX_MEMORY_MB = 1024
 MAX_INPUT_S = 30
-LAST_LINES = 30
+OUTPUT_TAIL_LINES = 30
 
-_FIGURES = re.compile(r"cov: (\d+) ft: (\d+) corp: (\d+)/")
-_DONE = re.compile(r"^Done (\d+) runs")
+_PROGRESS = re.compile(r"cov: (\d+) ft: (\d+) corp: (\d+)/")
+_COMPLETED = re.compile(r"^Done (\d+) runs")
 
 
 class FuzzerEnded(CypresswinchError):
-    """The fuzzer's process ended before its last input; the text holds its last lines."""
+    """The fuzzer process exited with an error code; the message holds the last lines of its output."""
 
 
-def play(name: str, count: int, seed: int, folder: Path, told: Callable[[str], None]) -> Report:
-    """Plays about so many inputs of a target. `told` gets libFuzzer's lines as they come."""
+def play(name: str, count: int, seed: int, folder: Path, on_line: Callable[[str], None]) -> Report:
+    """Runs about `count` inputs of the named target and returns the report.
+
+    `on_line` is called with each line of libFuzzer's output. Raises `FuzzerEnded` if the process fails.
+    """
     started = time.monotonic()
     with tempfile.TemporaryDirectory() as corpus:
         options = [
@@ -36,22 +39,22 @@
         ]  # fmt: skip
         folder.mkdir(parents=True, exist_ok=True)
         before = set(folder.glob("*.input"))
-        words = [sys.executable, "-m", "cloverrouter.fuzz.under_atheris", name, str(folder), *options]
-        process = subprocess.Popen(words, stderr=subprocess.PIPE, stdout=subprocess.DEVNULL, text=True)
+        command = [sys.executable, "-m", "cloverrouter.fuzz.under_atheris", name, str(folder), *options]
+        process = subprocess.Popen(command, stderr=subprocess.PIPE, stdout=subprocess.DEVNULL, text=True)
         assert process.stderr is not None
         lines: list[str] = []
-        figures: tuple[int, ...] | None = None
+        progress: tuple[int, ...] | None = None
         inputs = 0
         for line in process.stderr:
-            lines = [*lines[-LAST_LINES:], line]
-            told(line.rstrip())
-            if (found := _FIGURES.search(line)) is not None:
-                figures = tuple(int(figure) for figure in found.groups())
-            if (done := _DONE.search(line)) is not None:
-                inputs = int(done.group(1))
-        code = process.wait()
-    if code:
-        raise FuzzerEnded(f"{name}: the fuzzer ended with {code}\n{''.join(lines)}")
-    edges, features, size = figures or (None, None, None)
-    kept = tuple(str(path) for path in sorted(set(folder.glob("*.input")) - before))
-    return Report(name, inputs, time.monotonic() - started, edges, features, size, kept)
+            lines = [*lines[-OUTPUT_TAIL_LINES:], line]
+            on_line(line.rstrip())
+            if (matched := _PROGRESS.search(line)) is not None:
+                progress = tuple(int(number) for number in matched.groups())
+            if (completed := _COMPLETED.search(line)) is not None:
+                inputs = int(completed.group(1))
+        exit_code = process.wait()
+    if exit_code:
+        raise FuzzerEnded(f"{name}: the fuzzer process exited with code {exit_code}\n{''.join(lines)}")
+    edges, features, corpus_size = progress or (None, None, None)
+    saved = tuple(str(path) for path in sorted(set(folder.glob("*.input")) - before))
+    return Report(name, inputs, time.monotonic() - started, edges, features, corpus_size, saved)
--- a/cloverrouter/fuzz/http_answers.py
+++ b/cloverrouter/fuzz/http_answers.py
@@ -1,4 +1,4 @@
-"""Answers of servers: what a call is told of them, and what goes back to a client."""
+"""Fuzz target: HTTP responses of servers, as reported to a call and as forwarded to a client."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 import attrs
 
-from cloverrouter.fuzz.mutation import mutate_bytes, pieces
+from cloverrouter.fuzz.mutation import mutate_bytes, split_randomly
 from cloverrouter.fuzz.target import expect
 from cloverrouter.http.call import Call, Failure
 from cloverrouter.http.exchange import BODILESS, Exchange
@@ -18,7 +18,7 @@
 from cloverrouter.http.request import Request
 from cloverrouter.http.upstream import UpstreamConnection
 
-MESSAGE = b"POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n"
+REQUEST = b"POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n"
 ID_HEADER = b"x-id"
 TOKENS = (
     b"\r\n", b"\n", b"\r\n\r\n", b" ", b":", b"\x00", b"Content-Length: 5\r\n", b"Content-Length: 0\r\n",
@@ -42,9 +42,9 @@
 
 @attrs.define
 class Outcome:
-    """What the call's listener heard."""
+    """Call listener that records its callbacks, in order, and the response."""
 
-    told: list[str] = attrs.field(factory=list)
+    callbacks: list[str] = attrs.field(factory=list)
     status: int = 0
     headers: Headers = attrs.field(factory=list)
     length: int | None = None
@@ -52,30 +52,30 @@
     failure: Failure | None = None
 
     def on_written(self) -> None:
-        self.told.append("written")
+        self.callbacks.append("written")
 
     def on_head(self, status: int, headers: Headers, length: int | None) -> None:
-        self.told.append("head")
+        self.callbacks.append("head")
         self.status, self.headers, self.length = status, headers, length
 
     def on_data(self, data: bytes) -> None:
-        self.told.append("data")
+        self.callbacks.append("data")
         self.body += data
 
     def on_end(self) -> None:
-        self.told.append("end")
+        self.callbacks.append("end")
 
     def on_failure(self, failure: Failure) -> None:
-        self.told.append("failure")
+        self.callbacks.append("failure")
         self.failure = failure
 
     @property
-    def is_whole(self) -> bool:
-        return self.told[-1] == "end"
+    def is_complete(self) -> bool:
+        return self.callbacks[-1] == "end"
 
 
 class _Socket:
-    """A connection's transport that takes everything at once."""
+    """Fake transport that accepts all writes at once."""
 
     def __init__(self) -> None:
         self.ended = False
@@ -93,18 +93,18 @@
         self.ended = True
 
 
-class _Owner:
-    """A pool that keeps every connection."""
+class _ConnectionOwner:
+    """Fake connection owner that accepts every returned connection for reuse."""
 
     idle_timeout_s = 60.0
 
     def __init__(self) -> None:
         self.buffer = memoryview(bytearray(64 * 1024))
         self.connections: set[object] = set()
-        self.kept = 0
+        self.returned_count = 0
 
     def put(self, connection: object) -> None:
-        self.kept += 1
+        self.returned_count += 1
 
 
 class _ServerPool:
@@ -114,7 +114,7 @@
 
 
 class _ClientConnection:
-    """Takes an answer's bytes."""
+    """Fake client connection that collects the bytes of a response."""
 
     until_close = False
 
@@ -137,9 +137,9 @@
 
 
 class HttpAnswers:
-    """The bytes of one server's connection after one request."""
+    """The bytes that a server sends on one connection after one request."""
 
-    text = "answers of servers: parsing, framing, the answer that goes back to a client"
+    text = "HTTP responses of servers: parsing, framing, the response that is forwarded to a client"
 
     def __init__(self) -> None:
         logging.getLogger("cloverrouter.http.upstream").setLevel(logging.CRITICAL)
@@ -151,51 +151,52 @@
         return mutate_bytes(data, random, TOKENS)
 
     def check(self, data: bytes) -> None:
-        whole, split = answered([data]), answered(pieces(data, Random(crc32(data))))
+        whole, split = read_response([data]), read_response(split_randomly(data, Random(crc32(data))))
         for outcome in (whole, split):
             _check_order(outcome)
-        expect(whole.is_whole == split.is_whole, f"whole: {whole.told}, in pieces: {split.told}")
-        if whole.is_whole:
+        expect(whole.is_complete == split.is_complete, f"whole: {whole.callbacks}, split: {split.callbacks}")
+        if whole.is_complete:
             same = (whole.status, whole.headers, whole.body) == (split.status, split.headers, split.body)
-            expect(same, "bytes in pieces give another answer")
-            _check_passed_on(whole)
+            expect(same, "split input gives a different response")
+            _check_forwarded(whole)
 
     def close(self) -> None:
-        """Nothing is kept."""
+        """Does nothing: the target holds no resources."""
 
 
-def answered(parts: Sequence[bytes], expected_id: bytes = b"7") -> Outcome:
-    """What a call hears of an answer in these pieces, and an orderly end behind them."""
-    owner, outcome, socket = _Owner(), Outcome(), _Socket()
+def read_response(parts: Sequence[bytes], expected_id: bytes = b"7") -> Outcome:
+    """Returns the outcome of a call whose response arrives in these parts, followed by end of file."""
+    owner, outcome, socket = _ConnectionOwner(), Outcome(), _Socket()
     connection = UpstreamConnection(cast(Any, owner), cast(Any, _ServerPool()), cast(Any, None))
     connection.connection_made(cast(Any, socket))
-    connection.send(Call(MESSAGE, outcome, expected_id, ID_HEADER))
+    connection.send(Call(REQUEST, outcome, expected_id, ID_HEADER))
     for part in parts:
-        if socket.ended or owner.kept:
+        if socket.ended or owner.returned_count:
             break
         owner.buffer[: len(part)] = part
         connection.buffer_updated(len(part))
-    if not socket.ended and not owner.kept:
+    if not socket.ended and not owner.returned_count:
         connection.eof_received()
     connection.connection_lost(None)
     return outcome
 
 
 def _check_order(outcome: Outcome) -> None:
-    told = outcome.told
-    expect(told.count("end") + told.count("failure") == 1, f"told {told}")
-    expect(told[-1] in ("end", "failure") and told.count("head") <= 1, f"told {told}")
-    if outcome.is_whole:
+    callbacks = outcome.callbacks
+    expect(callbacks.count("end") + callbacks.count("failure") == 1, f"callbacks {callbacks}")
+    expect(callbacks[-1] in ("end", "failure") and callbacks.count("head") <= 1, f"callbacks {callbacks}")
+    if outcome.is_complete:
         has_body = outcome.status not in BODILESS
         expect(
-            not has_body or outcome.length in (None, len(outcome.body)), "a whole answer of another length"
+            not has_body or outcome.length in (None, len(outcome.body)),
+            "the body of a complete response does not have the announced length",
         )
         ids = [value for name, value in outcome.headers if name == ID_HEADER]
-        expect(ids == [b"7"], "an answer to another request")
+        expect(ids == [b"7"], "the response belongs to another request")
 
 
-def _check_passed_on(outcome: Outcome) -> None:
-    """Another proxy would read the same answer."""
+def _check_forwarded(outcome: Outcome) -> None:
+    """Checks that the forwarded response parses as the same response."""
     client = _ClientConnection()
     request = Request(b"POST", b"/", [], b"", 0.0)
     exchange = Exchange(request, cast(Any, client))
@@ -204,6 +205,9 @@
     exchange.end()
     if client.aborted:
         return
-    again = answered([client.written])
-    expect(again.is_whole, f"what goes to the client is no answer: {again.told}")
-    expect((again.status, again.body) == (outcome.status, outcome.body), "the client gets another answer")
+    reparsed = read_response([client.written])
+    expect(reparsed.is_complete, f"the forwarded response is incomplete: {reparsed.callbacks}")
+    expect(
+        (reparsed.status, reparsed.body) == (outcome.status, outcome.body),
+        "the forwarded response differs from the server's response",
+    )
--- a/cloverrouter/fuzz/http_requests.py
+++ b/cloverrouter/fuzz/http_requests.py
@@ -1,4 +1,4 @@
-"""Requests of clients: what is read of them, and what is passed on to servers."""
+"""Fuzz target: HTTP requests of clients, as parsed and as forwarded to servers."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 import attrs
 
-from cloverrouter.fuzz.mutation import mutate_bytes, pieces
+from cloverrouter.fuzz.mutation import mutate_bytes, split_randomly
 from cloverrouter.fuzz.target import expect
 from cloverrouter.http.request import Request, RequestReader, ServerLimits
 from cloverrouter.router import headers
@@ -40,9 +40,9 @@
 
 
 class HttpRequests:
-    """The bytes of one client's connection."""
+    """The bytes that a client sends on one connection."""
 
-    text = "requests of clients: parsing, limits, the request that goes on to a server"
+    text = "HTTP requests of clients: parsing, limits, the request that is forwarded to a server"
 
     def seeds(self) -> Sequence[bytes]:
         return SEEDS
@@ -52,15 +52,16 @@
 
     def check(self, data: bytes) -> None:
         whole, error = _read([data])
-        split, split_error = _read(pieces(data, Random(crc32(data))))
-        expect(error in STATUSES and split_error in STATUSES, f"refused with {error} and {split_error}")
-        if 431 not in (error, split_error):  # a head's raw bytes count only while it is not whole
-            expect((split, split_error) == (whole, error), "bytes in pieces give other requests")
+        split, split_error = _read(split_randomly(data, Random(crc32(data))))
+        expect(error in STATUSES and split_error in STATUSES, f"unexpected status {error} or {split_error}")
+        # 431 depends on the split, since raw bytes count against the limit only while the head is incomplete.
+        if 431 not in (error, split_error):
+            expect((split, split_error) == (whole, error), "split input gives different requests")
         for request in whole:
             _check_request(request)
 
     def close(self) -> None:
-        """Nothing is kept."""
+        """Does nothing: the target holds no resources."""
 
 
 def _read(parts: Sequence[bytes], limits: ServerLimits = LIMITS) -> tuple[list[Request], int]:
@@ -74,24 +75,28 @@
 
 
 def _check_request(request: Request) -> None:
-    expect(request.target.startswith(b"/"), "a target that is no path")
-    expect(len(request.body) <= LIMITS.body_bytes, "a body above its limit")
+    expect(request.target.startswith(b"/"), "the request target is not a path")
+    expect(len(request.body) <= LIMITS.body_bytes, "the body exceeds its limit")
     for read in (headers.bearer_key, headers.has_single_attempt_id, headers.deadline_ms, headers.token_usage):
         read(request)
     headers.text(request, headers.PROMPT_PREFIX)
     head, rest = headers.encode_request(request, "tenant", 3)
-    passed_on, error = _read([head + b"x-sent: 1\r\n" + rest], ServerLimits())
+    requests, error = _read([head + b"x-sent: 1\r\n" + rest], ServerLimits())
     expect(
-        error == 0 and len(passed_on) == 1, f"what is passed on is {len(passed_on)} requests, error {error}"
+        error == 0 and len(requests) == 1, f"the forwarded bytes are {len(requests)} requests, error {error}"
     )
-    told = passed_on[0]
+    forwarded = requests[0]
     expect(
-        (told.method, told.target, told.body) == (request.method, request.target, request.body),
-        "another request is passed on",
+        (forwarded.method, forwarded.target, forwarded.body)
+        == (request.method, request.target, request.body),
+        "the forwarded request differs from the client's request",
     )
-    kept = [field for field in request.headers if field in told.headers]
-    expect(all(field in request.headers or field[0] in ADDED for field in told.headers), "a field is made up")
-    expect(attrs.evolve(request, headers=kept).count(headers.AUTHORIZATION) == 0, "a secret is passed on")
+    common = [field for field in request.headers if field in forwarded.headers]
+    expect(
+        all(field in request.headers or field[0] in ADDED_FIELDS for field in forwarded.headers),
+        "the forwarded request has an unexpected header field",
+    )
+    expect(attrs.evolve(request, headers=common).count(headers.AUTHORIZATION) == 0, "a secret is forwarded")
 
 
-ADDED = (headers.TENANT, headers.PRIORITY, b"content-length", b"x-sent")
+ADDED_FIELDS = (headers.TENANT, headers.PRIORITY, b"content-length", b"x-sent")
--- a/cloverrouter/fuzz/mutation.py
+++ b/cloverrouter/fuzz/mutation.py
@@ -1,4 +1,4 @@
-"""Changes of bytes and of JSON values, by a source of random numbers that is handed in."""
+"""Random mutations of byte strings and JSON values, driven by the caller's random number generator."""
 
 from __future__ import annotations
 
@@ -32,86 +32,86 @@
     "1e999", "-1", "127.0.0.1:80", "[::1]:80", ":", "%00", "%ff", '"', "x" * 5000,
 )  # fmt: skip
 MAX_BYTES = 16 * 1024
-MAX_DEEP = 2000
+DEEP_NESTING = 2000
 
 
 def mutate_bytes(data: bytes, random: Random, tokens: Sequence[bytes] = ()) -> bytes:
-    """One change of a byte string; `tokens` are pieces that are worth putting in."""
+    """Returns the bytes with one mutation; `tokens` are byte strings that it may insert."""
     changes: list[Callable[[bytearray, Random], None]] = [
-        _flip, _set, _remove, _double, _insert, _cut_short, _swap, _repeat
+        _flip_bit, _set_byte, _remove, _duplicate, _insert, _truncate, _swap, _repeat
     ]  # fmt: skip
     changed = bytearray(data)
     if tokens and random.random() < 0.3:
-        place = random.randrange(len(changed) + 1)
-        changed[place : place + random.choice((0, 0, 1, 4))] = random.choice(tokens)
+        index = random.randrange(len(changed) + 1)
+        changed[index : index + random.choice((0, 0, 1, 4))] = random.choice(tokens)
     else:
         random.choice(changes)(changed, random)
     return bytes(changed[:MAX_BYTES])
 
 
-def _place(data: bytearray, random: Random) -> int:
+def _random_index(data: bytearray, random: Random) -> int:
     return random.randrange(len(data)) if data else 0
 
 
-def _piece(data: bytearray, random: Random) -> slice:
-    start = _place(data, random)
+def _random_slice(data: bytearray, random: Random) -> slice:
+    start = _random_index(data, random)
     return slice(start, start + random.choice((1, 2, 4, 8, 16, 64)))
 
 
-def _flip(data: bytearray, random: Random) -> None:
+def _flip_bit(data: bytearray, random: Random) -> None:
     if data:
-        data[_place(data, random)] ^= 1 << random.randrange(8)
+        data[_random_index(data, random)] ^= 1 << random.randrange(8)
 
 
-def _set(data: bytearray, random: Random) -> None:
+def _set_byte(data: bytearray, random: Random) -> None:
     if data:
-        data[_place(data, random)] = random.choice((random.randrange(256), random.choice(BOUNDARIES)))
+        data[_random_index(data, random)] = random.choice((random.randrange(256), random.choice(BOUNDARIES)))
 
 
 def _remove(data: bytearray, random: Random) -> None:
-    del data[_piece(data, random)]
+    del data[_random_slice(data, random)]
 
 
-def _double(data: bytearray, random: Random) -> None:
-    piece = _piece(data, random)
+def _duplicate(data: bytearray, random: Random) -> None:
+    piece = _random_slice(data, random)
     data[piece.start : piece.start] = data[piece]
 
 
 def _insert(data: bytearray, random: Random) -> None:
-    place = random.randrange(len(data) + 1)
-    data[place:place] = random.randbytes(random.choice((1, 2, 4, 8)))
+    index = random.randrange(len(data) + 1)
+    data[index:index] = random.randbytes(random.choice((1, 2, 4, 8)))
 
 
-def _cut_short(data: bytearray, random: Random) -> None:
-    del data[_place(data, random) :]
+def _truncate(data: bytearray, random: Random) -> None:
+    del data[_random_index(data, random) :]
 
 
 def _swap(data: bytearray, random: Random) -> None:
-    one, other = _piece(data, random), _piece(data, random)
+    one, other = _random_slice(data, random), _random_slice(data, random)
     data[one], data[other] = data[other], data[one]
 
 
 def _repeat(data: bytearray, random: Random) -> None:
-    piece = _piece(data, random)
+    piece = _random_slice(data, random)
     data[piece.start : piece.start] = bytes(data[piece]) * random.choice((2, 10, 100, 1000))
 
 
 def mutate_json(value: Any, random: Random) -> Any:
-    """One change somewhere in a JSON value; the value itself is left as it is."""
+    """Returns a copy of a JSON value with one random change."""
     changed = json.loads(json.dumps(value))
-    places = list(_places(changed))
-    if not places:
-        return interesting(random)
-    parent, key = random.choice(places)
+    members = list(_members(changed))
+    if not members:
+        return edge_case(random)
+    parent, key = random.choice(members)
     match random.randrange(7):
         case 0 | 1:
-            parent[key] = interesting(random)
+            parent[key] = edge_case(random)
         case 2:
             del parent[key]
         case 3:
-            parent[key] = _near(parent[key], random)
+            parent[key] = _similar_value(parent[key], random)
         case 4:
-            other, other_key = random.choice(places)
+            other, other_key = random.choice(members)
             parent[key] = json.loads(json.dumps(other[other_key]))
         case 5 if isinstance(parent, list):
             parent.insert(random.randrange(len(parent) + 1), json.loads(json.dumps(parent[key])))
@@ -122,22 +122,22 @@
     return changed
 
 
-def _places(value: Any) -> Any:
+def _members(value: Any) -> Any:
     if isinstance(value, dict | list):
         for key in list(value) if isinstance(value, dict) else range(len(value)):
             yield value, key
-            yield from _places(value[key])
+            yield from _members(value[key])
 
 
-def interesting(random: Random) -> Any:
-    """A value that often goes unexpected."""
+def edge_case(random: Random) -> Any:
+    """Returns a random edge case: null, a boolean, an empty container, an extreme number or odd text."""
     return random.choice(
         (None, True, False, [], {}, random.choice(INTEGERS), random.choice(FRACTIONS), random.choice(TEXTS))
     )
 
 
-def _near(value: Any, random: Random) -> Any:
-    """Another value of the same type."""
+def _similar_value(value: Any, random: Random) -> Any:
+    """Returns a variation of the value, of the same type unless it is null or an object."""
     match value:
         case bool():
             return not value
@@ -150,11 +150,11 @@
         case list():
             return random.sample(value, len(value)) + random.choice(([], value))
         case _:
-            return interesting(random)
+            return edge_case(random)
 
 
 def json_text(value: Any, random: Random) -> bytes:
-    """A JSON value as bytes: mostly as it should be, now and then as it should not."""
+    """Encodes a JSON value; in about a third of the calls the encoding is unusual or malformed."""
     text = json.dumps(value)
     match random.randrange(24):
         case 0:
@@ -162,7 +162,7 @@
         case 1:
             return text.encode("utf-8-sig")
         case 2:
-            return _deep(text, random).encode()
+            return _with_deep_nesting(text, random).encode()
         case 3:
             return text.replace(
                 ":", f":{random.choice(('NaN', '-Infinity', '1e999', '9' * 5000))}//", 1
@@ -179,17 +179,17 @@
             return text.encode()
 
 
-def _deep(text: str, random: Random) -> str:
-    depth = random.choice((31, 33, MAX_DEEP))
+def _with_deep_nesting(text: str, random: Random) -> str:
+    depth = random.choice((31, 33, DEEP_NESTING))
     return text.replace(":", ":" + "[" * depth + "]" * depth + ',"x":', 1)
 
 
-def pieces(data: bytes, random: Random) -> list[bytes]:
-    """The same bytes in pieces; none is empty."""
+def split_randomly(data: bytes, random: Random) -> list[bytes]:
+    """Splits the bytes at random positions into non-empty pieces."""
     if len(data) < 2:
         return [data] if data else []
     if random.random() < 0.2 and len(data) <= 512:
         return [data[index : index + 1] for index in range(len(data))]
-    places = sorted({random.randrange(1, len(data)) for _ in range(random.randrange(1, 9))})
-    starts = [0, *places]
-    return [data[start:end] for start, end in zip(starts, [*places, len(data)], strict=True)]
+    cuts = sorted({random.randrange(1, len(data)) for _ in range(random.randrange(1, 9))})
+    starts = [0, *cuts]
+    return [data[start:end] for start, end in zip(starts, [*cuts, len(data)], strict=True)]
--- a/cloverrouter/fuzz/node_messages.py
+++ b/cloverrouter/fuzz/node_messages.py
@@ -1,4 +1,4 @@
-"""Bytes from other nodes: frames, their bodies, and the connection that they come on."""
+"""Fuzz target: bytes from other nodes, that is frames, message bodies and the receiving connection."""
 
 from __future__ import annotations
 
@@ -14,12 +14,12 @@
 import attrs
 
 from cloverrouter.daemon.transport import READ_BYTES, Incoming, Transport
-from cloverrouter.fuzz.mutation import FRACTIONS, INTEGERS, TEXTS, mutate_bytes, pieces
+from cloverrouter.fuzz.mutation import FRACTIONS, INTEGERS, TEXTS, mutate_bytes, split_randomly
 from cloverrouter.fuzz.target import expect
 from cloverrouter.messages import Decoder, MessageError, encode
 from cloverrouter.messages.codec import FRAME_HEADER, PROTOCOL_VERSION, message_classes_in
 
-# Where the messages between nodes are defined.
+# Modules that define messages between nodes, relative to the package.
 MODULES = (
     "control.distribution_messages",
     "control.forwarding",
@@ -36,7 +36,7 @@
     "placement.quota_messages",
     "placement.trouble_messages",
 )
-LONGS = tuple(number for number in INTEGERS if -(2**63) <= number < 2**63)
+INT64_VALUES = tuple(number for number in INTEGERS if -(2**63) <= number < 2**63)
 HEADERS = tuple(
     FRAME_HEADER.pack(length, version, kind)
     for length in (0, 2, 3, 4, 2**26, 2**32 - 1)
@@ -45,56 +45,56 @@
 
 
 def message_classes() -> tuple[type, ...]:
-    """All messages that nodes send, in an order that stays."""
+    """Returns the classes of all messages between nodes, in a stable order."""
     modules = [importlib.import_module(f"cloverrouter.{name}") for name in MODULES]
     return tuple(cls for module in modules for cls in message_classes_in(module.__name__))
 
 
-def example(hint: Any, random: Random) -> Any:
-    """A value that a message's field of that type may have."""
+def example_value(hint: Any, random: Random) -> Any:
+    """Returns a random valid value for a message field of the given type."""
     origin, arguments = typing.get_origin(hint), typing.get_args(hint)
     if origin in (types.UnionType, typing.Union):
-        return None if random.random() < 0.3 else example(arguments[0], random)
+        return None if random.random() < 0.3 else example_value(arguments[0], random)
     if origin is tuple:
-        return tuple(example(arguments[0], random) for _ in range(random.randrange(3)))
+        return tuple(example_value(arguments[0], random) for _ in range(random.randrange(3)))
     if origin is dict:
-        return {f"k{index}": example(arguments[1], random) for index in range(random.randrange(3))}
+        return {f"k{index}": example_value(arguments[1], random) for index in range(random.randrange(3))}
     if attrs.has(hint):
         hints = typing.get_type_hints(hint)
-        return hint(*[example(hints[field.name], random) for field in attrs.fields(hint)])
+        return hint(*[example_value(hints[field.name], random) for field in attrs.fields(hint)])
     values = {
         str: [text for text in TEXTS if text.isascii()],
         bytes: (b"", b"\x00", b"{}", random.randbytes(20)),
-        int: LONGS,
+        int: INT64_VALUES,
         float: FRACTIONS,
         bool: (True, False),
     }
     return random.choice(values[hint])
 
 
-class _Heard:
-    """What comes of a connection's bytes, by the real transport."""
+class _Receiver:
+    """Records the messages and errors that a real `Transport` reports for one connection."""
 
     def __init__(self) -> None:
         self._loop = asyncio.new_event_loop()
         self.delivered: list[object] = []
         self.errors: list[Exception] = []
-        self.owner = self._loop.run_until_complete(self._made())
+        self.owner = self._loop.run_until_complete(self._create_transport())
 
-    async def _made(self) -> Transport:
+    async def _create_transport(self) -> Transport:
         return Transport("127.0.0.1", 1, self._on_message, self._on_link, self._on_error)
 
     def _on_message(self, ip: str, message: object) -> None:
         self.delivered.append(message)
 
     def _on_link(self, ip: str, is_up: bool) -> None:
-        """Nobody wants to know."""
+        """Ignores changes of link state."""
 
     def _on_error(self, ip: str, error: Exception) -> None:
         self.errors.append(error)
 
-    def connected(self, transport: _Connection) -> Incoming:
-        """A new connection, on which nothing has come yet."""
+    def connect(self, transport: _Connection) -> Incoming:
+        """Clears the records and returns a new incoming connection."""
         self.delivered.clear()
         self.errors.clear()
         connection = Incoming(self.owner)
@@ -106,7 +106,7 @@
 
 
 class _Connection:
-    """A socket's transport that notes its end."""
+    """Fake asyncio transport that records whether it was closed."""
 
     is_closed = False
 
@@ -118,17 +118,17 @@
 
 
 class NodeMessages:
-    """A stream of frames: decoded whole, in pieces and by a connection, each message encoded again."""
+    """A stream of frames: decoded at once, in pieces and by a connection; each message is encoded again."""
 
-    text = "messages between nodes: framing, decoding, the connection that they come on"
+    text = "messages between nodes: framing, decoding, the receiving connection"
 
     def __init__(self) -> None:
         self._classes = message_classes()
-        self._heard = _Heard()
+        self._receiver = _Receiver()
 
     def seeds(self) -> Sequence[bytes]:
         random = Random(1)
-        frames = [encode(example(cls, random)) for cls in self._classes for _ in range(2)]
+        frames = [encode(example_value(cls, random)) for cls in self._classes for _ in range(2)]
         return [*frames, b"".join(frames[:6])]
 
     def mutate(self, data: bytes, random: Random) -> bytes:
@@ -136,67 +136,70 @@
             case 0:
                 return mutate_bytes(data, random, HEADERS)
             case 1:
-                return data + encode(example(random.choice(self._classes), random))
+                return data + encode(example_value(random.choice(self._classes), random))
             case 2:
-                return self._with_other_field(data, random)
+                return self._with_mutated_field(data, random)
             case _:
-                return _with_other_body(data, random)
+                return _with_mutated_body(data, random)
 
-    def _with_other_field(self, data: bytes, random: Random) -> bytes:
-        found, _ = _decoded([data])
-        if not found:
+    def _with_mutated_field(self, data: bytes, random: Random) -> bytes:
+        messages, _ = _decode([data])
+        if not messages:
             return mutate_bytes(data, random)
-        changed = random.choice(found)
-        fields = attrs.fields(type(changed))
+        message = random.choice(messages)
+        fields = attrs.fields(type(message))
         if not fields:
             return data
         field = random.choice(fields)
-        hint = typing.get_type_hints(type(changed))[field.name]
-        return encode(attrs.evolve(cast(Any, changed), **{field.name: example(hint, random)}))
+        hint = typing.get_type_hints(type(message))[field.name]
+        return encode(attrs.evolve(cast(Any, message), **{field.name: example_value(hint, random)}))
 
     def check(self, data: bytes) -> None:
-        whole, error = _decoded([data])
+        whole, error = _decode([data])
         expect(len(repr(whole)) <= 64 * len(data) + 4096, "the messages are far larger than their bytes")
-        parts = pieces(data, Random(crc32(data)))
-        expect(repr(_decoded(parts)) == repr((whole, error)), "bytes in pieces give other messages")
+        parts = split_randomly(data, Random(crc32(data)))
+        expect(repr(_decode(parts)) == repr((whole, error)), "split input gives different messages")
         self._check_connection(parts, whole, error)
         for message in whole:
             again = list(Decoder().feed(encode(message)))
-            expect(repr(again) == repr([message]), "a message encoded and decoded is another")
+            expect(repr(again) == repr([message]), "a message changes when it is encoded and decoded")
 
     def _check_connection(self, parts: list[bytes], whole: list[object], error: str | None) -> None:
-        heard, transport = self._heard, _Connection()
-        connection = heard.connected(transport)
+        receiver, transport = self._receiver, _Connection()
+        connection = receiver.connect(transport)
         for part in parts:
             for start in range(0, len(part), READ_BYTES):
                 piece = part[start : start + READ_BYTES]
-                heard.owner.buffer[: len(piece)] = piece
+                receiver.owner.buffer[: len(piece)] = piece
                 if not transport.is_closed:
                     connection.buffer_updated(len(piece))
-        expect(repr(heard.delivered) == repr(whole), "a connection delivers other messages")
-        expect(transport.is_closed == (error is not None), "a connection does not end with an error")
-        expect(len(heard.errors) == (error is not None), "an error is not told once")
+        expect(repr(receiver.delivered) == repr(whole), "the connection delivers different messages")
+        expect(
+            transport.is_closed == (error is not None),
+            "the connection was not closed after an error, or was closed without one",
+        )
+        expect(len(receiver.errors) == (error is not None), "an error is not reported exactly once")
         connection.connection_lost(None)
-        expect(not heard.owner.incoming, "a connection that has ended is kept")
+        expect(not receiver.owner.incoming, "a closed connection stays registered")
 
     def close(self) -> None:
-        self._heard.close()
+        self._receiver.close()
 
 
-def _decoded(parts: Sequence[bytes]) -> tuple[list[Any], str | None]:
-    """The messages up to the first error, and that error's type."""
-    decoder, found = Decoder(), list[Any]()
+def _decode(parts: Sequence[bytes]) -> tuple[list[Any], str | None]:
+    """Returns the messages before the first error, and the class name of that error."""
+    decoder, messages = Decoder(), list[Any]()
     try:
         for part in parts:
             for message in decoder.feed(part):
-                found.append(message)
+                messages.append(message)
     except MessageError as error:
-        return found, type(error).__name__
-    return found, None
+        return messages, type(error).__name__
+    return messages, None
 
 
-def _with_other_body(data: bytes, random: Random) -> bytes:
-    """The first frame's body changed, its length right."""
+def _with_mutated_body(data: bytes, random: Random) -> bytes:
+    """Mutates the body of the first frame and sets the matching length in its header."""
     if len(data) < FRAME_HEADER.size:
         return mutate_bytes(data, random, HEADERS)
     length, version, kind = FRAME_HEADER.unpack_from(data)
--- a/cloverrouter/fuzz/report.py
+++ b/cloverrouter/fuzz/report.py
@@ -1,4 +1,4 @@
-"""What a run of one target gives, and where its findings are kept."""
+"""The result of fuzzing one target, and the files that its findings are saved to."""
 
 from __future__ import annotations
 
@@ -7,12 +7,16 @@
 
 import attrs
 
-from cloverrouter.fuzz.plain import Found
+from cloverrouter.fuzz.plain import Finding
 
 
 @attrs.frozen(slots=True)
 class Report:
-    """One run. The coverage is that of the program's own code, as the library counts it."""
+    """Result of one run.
+
+    `edges` and `features` are libFuzzer's coverage counters for the production code, and `corpus` is the
+    number of inputs in its corpus; all three are None for a run without coverage.
+    """
 
     target: str
     inputs: int
@@ -21,14 +25,14 @@
     features: int | None
     corpus: int | None
     found: tuple[str, ...]
-    """The files of what was found, each with a text beside it."""
+    """Paths of the saved inputs; a text file with the same stem describes each finding."""
 
 
-def keep(folder: Path, target: str, found: Found) -> Path:
-    """Writes an input and what it broke; gives the input's file."""
+def keep(folder: Path, target: str, finding: Finding) -> Path:
+    """Writes the input and a text file with location and traceback; returns the path of the input file."""
     folder.mkdir(parents=True, exist_ok=True)
-    name = f"{target}-{hashlib.sha256(found.data).hexdigest()[:12]}"
+    name = f"{target}-{hashlib.sha256(finding.data).hexdigest()[:12]}"
     path = folder / f"{name}.input"
-    path.write_bytes(found.data)
-    (folder / f"{name}.txt").write_text(f"{found.place}\n\n{found.text}", errors="replace")
+    path.write_bytes(finding.data)
+    (folder / f"{name}.txt").write_text(f"{finding.location}\n\n{finding.traceback_text}", errors="replace")
     return path
--- a/cloverrouter/fuzz/settings_files.py
+++ b/cloverrouter/fuzz/settings_files.py
@@ -1,4 +1,4 @@
-"""The settings file of a process: read from a file, as a start reads it."""
+"""Fuzz target: the settings file of a node, read as at process start."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 from cloverrouter.daemon.errors import SettingsError
 from cloverrouter.daemon.settings import LOG_LEVELS, Settings, read
-from cloverrouter.fuzz.mutation import interesting, mutate_bytes, mutate_json
+from cloverrouter.fuzz.mutation import edge_case, mutate_bytes, mutate_json
 from cloverrouter.fuzz.target import expect
 
 TOKENS = (
@@ -43,7 +43,7 @@
 
 
 def toml(table: Mapping[str, Any]) -> str:
-    """A table as TOML; what it can't hold is left out."""
+    """Returns the table as TOML, without null values, which TOML cannot represent."""
     values = [f"{json.dumps(key)} = {_inline(value)}" for key, value in table.items() if value is not None]
     return "\n".join(values) + "\n"
 
@@ -60,9 +60,9 @@
 
 
 class SettingsFiles:
-    """A file's bytes."""
+    """The content of a settings file."""
 
-    text = "settings file: TOML, checks, typed values"
+    text = "settings file: TOML, validation, typed values"
 
     def __init__(self) -> None:
         self._folder = Path(tempfile.mkdtemp())
@@ -81,45 +81,49 @@
             table = SEED
         changed = mutate_json(table, random)
         if random.random() < 0.1:
-            changed = {**SEED, random.choice(list(SEED)): interesting(random)}
+            changed = {**SEED, random.choice(list(SEED)): edge_case(random)}
         text = toml(changed) if isinstance(changed, dict) else str(changed)
         return text.encode("utf-8", "replace")
 
     def check(self, data: bytes) -> None:
-        self._path.unlink(missing_ok=True)  # some file systems flush a file that is cut off and written again
+        self._path.unlink(missing_ok=True)  # some file systems flush a file that is truncated and rewritten
         self._path.write_bytes(data)
         try:
             settings = read(str(self._path))
         except SettingsError as error:
-            expect(bool(str(error)), "an error that says nothing")
+            expect(bool(str(error)), "an error without a message")
             return
-        for place, value in _plain_values("settings", settings):
-            expect(not isinstance(value, float) or math.isfinite(value), f"{place} is {value}")
+        for path, value in _plain_values("settings", settings):
+            expect(not isinstance(value, float) or math.isfinite(value), f"{path} is {value}")
         _check_types(settings)
 
     def close(self) -> None:
         shutil.rmtree(self._folder, ignore_errors=True)
 
 
-def _plain_values(place: str, value: Any) -> Iterator[tuple[str, Any]]:
+def _plain_values(path: str, value: Any) -> Iterator[tuple[str, Any]]:
     if attrs.has(type(value)):
         for field in attrs.fields(type(value)):
-            yield from _plain_values(f"{place}.{field.name}", getattr(value, field.name))
+            yield from _plain_values(f"{path}.{field.name}", getattr(value, field.name))
     elif isinstance(value, tuple):
         for index, one in enumerate(value):
-            yield from _plain_values(f"{place}[{index}]", one)
+            yield from _plain_values(f"{path}[{index}]", one)
     else:
-        yield place, value
+        yield path, value
 
 
 def _check_types(settings: Settings) -> None:
     for address in (settings.ip, *settings.seeds):
-        expect(isinstance(address, str), f"an address that is no text: {address!r}")
+        expect(isinstance(address, str), f"an address is not a string: {address!r}")
         ipaddress.ip_address(address)
     for listener in (settings.frontend, settings.readiness, settings.control):
-        expect(listener is None or 0 < listener[1] < 65536, f"a port out of range: {listener}")
-    expect(all(0 < port < 65536 for port in settings.internal_ports), f"ports {settings.internal_ports}")
-    expect(settings.log_level in LOG_LEVELS, f"log level {settings.log_level!r}")
+        expect(listener is None or 0 < listener[1] < 65536, f"a port is out of range: {listener}")
     expect(
-        settings.data_directory is None or "\0" not in str(settings.data_directory), "a folder that can't be"
+        all(0 < port < 65536 for port in settings.internal_ports),
+        f"an internal port is out of range: {settings.internal_ports}",
+    )
+    expect(settings.log_level in LOG_LEVELS, f"unknown log level {settings.log_level!r}")
+    expect(
+        settings.data_directory is None or "\0" not in str(settings.data_directory),
+        "the data directory contains a NUL character",
     )
--- a/cloverrouter/fuzz/store_files.py
+++ b/cloverrouter/fuzz/store_files.py
@@ -1,7 +1,7 @@
-"""The file of a replica's disk with bytes turned, zeroed, copied or cut off.
+"""Fuzz target: a replica's store file with bytes changed, zeroed, copied or truncated.
 
-An input is a list of edits of a sound file. Each is read in a process of its own, since what is tested is
-also that no edit ends the process that reads it.
+An input is a list of edits of an undamaged file. Each edited file is read in a child process, because the
+target also checks that no damage crashes the process that reads it.
 """
 
 from __future__ import annotations
@@ -28,15 +28,15 @@
 
 MAX_DISK_BYTES = 4 * 1024 * 1024
 MAX_EDITS = 16
-LIMIT_S = 10
-DEADLY = (signal.SIGALRM, signal.SIGABRT, signal.SIGBUS, signal.SIGFPE, signal.SIGILL, signal.SIGSEGV)
+READ_TIMEOUT_S = 10
+FATAL_SIGNALS = (signal.SIGALRM, signal.SIGABRT, signal.SIGBUS, signal.SIGFPE, signal.SIGILL, signal.SIGSEGV)
 EDIT = struct.Struct(">BIB")
 META_PAGES = 2
-HEAD_BYTES = 64
+PAGE_HEADER_BYTES = 64
 
 
 class Result(IntEnum):
-    """What came of reading a file, as the reader's exit code."""
+    """Outcome of reading a file; the exit code of the child process."""
 
     SAME = 0
     DAMAGED = 1
@@ -46,21 +46,21 @@
     RAISED = 5
 
 
-class Kind(IntEnum):
-    """What an edit does."""
+class EditKind(IntEnum):
+    """Operation of an edit."""
 
     SET = 0
     FLIP = 1
     ZERO_PAGE = 2
     COPY_PAGE = 3
-    CUT_SHORT = 4
+    TRUNCATE = 4
     ZERO_SECTOR = 5
 
 
 class StoreFiles:
-    """Edits of one file. All states that were on the disk are known."""
+    """Edits of one file, with a record of every state that was ever committed to it."""
 
-    text = "a replica's file: bytes turned, pages lost or copied, the file cut short"
+    text = "store file of a replica: bytes changed, pages zeroed or copied, the file truncated"
 
     def __init__(self) -> None:
         self._folder = Path(tempfile.mkdtemp())
@@ -70,73 +70,83 @@
 
     def seeds(self) -> Sequence[bytes]:
         pages = len(self._image) // PAGE_BYTES
-        places = (0, PAGE_BYTES, 2 * PAGE_BYTES, (pages - 1) * PAGE_BYTES, len(self._image) // 2)
-        return [b"", *(EDIT.pack(kind, place + 24, 1) for kind in Kind for place in places)]
+        offsets = (0, PAGE_BYTES, 2 * PAGE_BYTES, (pages - 1) * PAGE_BYTES, len(self._image) // 2)
+        return [b"", *(EDIT.pack(kind, offset + 24, 1) for kind in EditKind for offset in offsets)]
 
     def mutate(self, data: bytes, random: Random) -> bytes:
         if random.random() < 0.2:
             return mutate_bytes(data, random)[: MAX_EDITS * EDIT.size]
         page = random.randrange(len(self._image) // PAGE_BYTES) * PAGE_BYTES
-        place = page + random.choice((random.randrange(HEAD_BYTES), random.randrange(PAGE_BYTES)))
-        kind = random.choice((*Kind, Kind.SET, Kind.SET, Kind.FLIP, Kind.FLIP, Kind.FLIP, Kind.FLIP))
-        edit = EDIT.pack(kind, place, random.choice((random.randrange(256), random.randrange(8))))
-        kept = data[: (MAX_EDITS - 1) * EDIT.size] if random.random() < 0.7 else b""
-        return kept + edit
+        offset = page + random.choice((random.randrange(PAGE_HEADER_BYTES), random.randrange(PAGE_BYTES)))
+        kind = random.choice(
+            (
+                *EditKind,
+                EditKind.SET,
+                EditKind.SET,
+                EditKind.FLIP,
+                EditKind.FLIP,
+                EditKind.FLIP,
+                EditKind.FLIP,
+            )
+        )
+        edit = EDIT.pack(kind, offset, random.choice((random.randrange(256), random.randrange(8))))
+        previous = data[: (MAX_EDITS - 1) * EDIT.size] if random.random() < 0.7 else b""
+        return previous + edit
 
     def check(self, data: bytes) -> None:
-        edited, touches_meta = self._edited(data)
-        self._file.unlink(missing_ok=True)  # some file systems flush a file that is cut off and written again
+        edited, touches_meta = self._apply_edits(data)
+        self._file.unlink(missing_ok=True)  # some file systems flush a file that is truncated and rewritten
         self._file.write_bytes(edited)
-        result = self._read_apart()
+        result = self._read_in_child()
         if edited == self._image:
-            expect(result is Result.SAME, f"a sound file: {result.name}")
+            expect(result is Result.SAME, f"reading an undamaged file: {result.name}")
         if not edited:
-            return  # as if it had never been used: it is given another identity
+            return  # an empty file counts as a new store, which gets a new identity
         if result is Result.EARLIER:
-            # lmdb has no checksum of the two pages that say which commit is the newest.
-            expect(touches_meta, "a state of before the last write")
-        expect(result not in (Result.OTHER, Result.RAISED), f"reading it: {result.name}")
+            # lmdb has no checksum for the two meta pages, which identify the newest commit.
+            expect(touches_meta, "an earlier state was read although the meta pages are intact")
+        expect(result not in (Result.OTHER, Result.RAISED), f"reading a damaged file: {result.name}")
 
     def close(self) -> None:
         shutil.rmtree(self._folder, ignore_errors=True)
 
-    def _edited(self, data: bytes) -> tuple[bytes, bool]:
-        """The file after the edits, and whether they touch the pages that name the newest commit."""
+    def _apply_edits(self, data: bytes) -> tuple[bytes, bool]:
+        """Returns the edited file and whether an edit touches the meta pages."""
         image, touches_meta = bytearray(self._image), False
         for start in range(0, min(len(data), MAX_EDITS * EDIT.size) - EDIT.size + 1, EDIT.size):
-            kind, place, value = EDIT.unpack_from(data, start)
+            kind, offset, value = EDIT.unpack_from(data, start)
             if not image:
                 break
-            place %= len(image)
-            touches_meta |= place < META_PAGES * PAGE_BYTES
-            _edit(image, kind % len(Kind), place, value)
+            offset %= len(image)
+            touches_meta |= offset < META_PAGES * PAGE_BYTES
+            _apply_edit(image, kind % len(EditKind), offset, value)
         return bytes(image), touches_meta
 
-    def _read_apart(self) -> Result:
-        """Reads the file in a process of its own; a signal that ends that is a broken property."""
+    def _read_in_child(self) -> Result:
+        """Reads the file in a child process; raises `PropertyBroken` if a signal terminates it."""
         child = os.fork()
         if not child:
-            for number in DEADLY:  # a fuzzer may have handlers of its own
+            for number in FATAL_SIGNALS:  # the fuzzer may have installed handlers
                 signal.signal(number, signal.SIG_DFL)
-            signal.alarm(LIMIT_S)
+            signal.alarm(READ_TIMEOUT_S)
             os._exit(self._read())
         _, status = os.waitpid(child, 0)
         if os.WIFSIGNALED(status):
             raise PropertyBroken(
-                f"the process that reads it ended by {signal.Signals(os.WTERMSIG(status)).name}"
+                f"the reading process was terminated by {signal.Signals(os.WTERMSIG(status)).name}"
             )
         return Result(os.waitstatus_to_exitcode(status))
 
     def _read(self) -> Result:
-        _spare_the_disk()
+        _disable_sync()
         sys.stderr = None
-        os.dup2(os.open(os.devnull, os.O_WRONLY), 2)  # lmdb tells why it aborts
+        os.dup2(os.open(os.devnull, os.O_WRONLY), 2)  # lmdb prints the reason before it aborts
         try:
             store = ReplicaStore.open(self._folder, MAX_DISK_BYTES)
             stored = store.load()
-            result = self._judged(stored)
+            result = self._classify(stored)
             if result is not Result.OTHER:
-                store.write(Record(meta=Meta(promised=99), updates=_following(stored)))
+                store.write(Record(meta=Meta(promised=99), updates=_next_update(stored)))
                 store.close()
                 store.load()
         except StoreError:
@@ -145,7 +155,7 @@
             return Result.RAISED
         return result
 
-    def _judged(self, stored: StoredReplica) -> Result:
+    def _classify(self, stored: StoredReplica) -> Result:
         if stored == self._states[-1]:
             return Result.SAME
         if stored.is_new_identity:
@@ -154,33 +164,33 @@
         return Result.EARLIER if stored in self._states else Result.OTHER
 
 
-def _spare_the_disk() -> None:
-    """In this process what is written need not survive a loss of power, and is not waited for."""
+def _disable_sync() -> None:
+    """Disables fsync in this process, where written data need not survive a power loss."""
     lmdb.open = partial(lmdb.open, sync=False)  # type: ignore[assignment]
     replica_store.sync_directory = lambda directory: None
 
 
-def _edit(image: bytearray, kind: int, place: int, value: int) -> None:
-    page = place // PAGE_BYTES * PAGE_BYTES
+def _apply_edit(image: bytearray, kind: int, offset: int, value: int) -> None:
+    page = offset // PAGE_BYTES * PAGE_BYTES
     match kind:
-        case Kind.SET:
-            image[place] = value
-        case Kind.FLIP:
-            image[place] ^= 1 << value % 8
-        case Kind.ZERO_PAGE:
+        case EditKind.SET:
+            image[offset] = value
+        case EditKind.FLIP:
+            image[offset] ^= 1 << value % 8
+        case EditKind.ZERO_PAGE:
             image[page : page + PAGE_BYTES] = bytes(len(image[page : page + PAGE_BYTES]))
-        case Kind.COPY_PAGE:
+        case EditKind.COPY_PAGE:
             source = value * PAGE_BYTES % max(PAGE_BYTES, len(image) // PAGE_BYTES * PAGE_BYTES)
             image[page : page + PAGE_BYTES] = image[source : source + PAGE_BYTES]
-        case Kind.CUT_SHORT:
-            del image[place:]
-        case Kind.ZERO_SECTOR:
-            sector = place // 512 * 512
+        case EditKind.TRUNCATE:
+            del image[offset:]
+        case EditKind.ZERO_SECTOR:
+            sector = offset // 512 * 512
             image[sector : sector + 512] = bytes(len(image[sector : sector + 512]))
 
 
 def _write_history(folder: Path) -> list[StoredReplica]:
-    """A disk that has been used for a while; gives what it held after each write."""
+    """Writes a store with a history of records; returns the stored state after each write."""
     store = ReplicaStore.open(folder, MAX_DISK_BYTES)
     store.load(bootstrap=True)
     records = [
@@ -209,6 +219,6 @@
     return Update(seq, b"%d," % seq * (seq * 7 % 50))
 
 
-def _following(stored: StoredReplica) -> tuple[Update, ...]:
+def _next_update(stored: StoredReplica) -> tuple[Update, ...]:
     last = stored.updates[-1].seq if stored.updates else stored.snapshot.seq if stored.snapshot else 0
     return (_update(last + 1),)
--- a/cloverrouter/fuzz/target.py
+++ b/cloverrouter/fuzz/target.py
@@ -1,4 +1,4 @@
-"""What a fuzzer needs of one place that reads bytes, and how a broken property shows."""
+"""The interface between a fuzzer and the code under test, and the error for a violated property."""
 
 from __future__ import annotations
 
@@ -10,31 +10,35 @@
 
 
 class PropertyBroken(CypresswinchError):
-    """Something that has to hold for every input doesn't hold for this one."""
+    """A property that must hold for every input does not hold for this one."""
 
 
 class Target(Protocol):
-    """One place that reads bytes."""
+    """One parser, or group of parsers, under test."""
 
     text: str
-    """What is read there, in a line."""
+    """One-line description of the input and of the code that is tested."""
 
     def __init__(self) -> None: ...
 
     def seeds(self) -> Sequence[bytes]:
-        """Valid inputs to start from, always the same."""
+        """Returns the valid inputs that mutation starts from; the list is the same on every call."""
 
     def mutate(self, data: bytes, random: Random) -> bytes:
-        """A changed input, its structure kept for the most part."""
+        """Returns a mutated copy of the input; most mutations keep its structure intact."""
 
     def check(self, data: bytes) -> None:
-        """Reads the input. Raises `PropertyBroken`, or lets out what the code under test must not raise."""
+        """Feeds the input to the code under test.
+
+        Raises `PropertyBroken` for a violated property. Unexpected exceptions of the code under test
+        propagate.
+        """
 
     def close(self) -> None:
-        """Removes what the target keeps outside of its process's memory."""
+        """Releases resources, such as temporary files and event loops."""
 
 
-def expect(holds: bool, text: str) -> None:
-    """Raises `PropertyBroken` unless it holds."""
-    if not holds:
+def expect(condition: bool, text: str) -> None:
+    """Raises `PropertyBroken` with the text if the condition is false."""
+    if not condition:
         raise PropertyBroken(text)
--- a/cloverrouter/fuzz/targets.py
+++ b/cloverrouter/fuzz/targets.py
@@ -1,4 +1,4 @@
-"""All targets by name."""
+"""Registry of all fuzz targets by name."""
 
 from __future__ import annotations
 
--- a/cloverrouter/fuzz/under_atheris.py
+++ b/cloverrouter/fuzz/under_atheris.py
@@ -1,9 +1,9 @@
-"""The process in which atheris plays one target: it ends with the last input.
+"""Child process in which atheris fuzzes one target; it exits after the last input.
 
     python -m cloverrouter.fuzz.under_atheris TARGET FOLDER LIBFUZZER_OPTION... CORPUS
 
-A finding is kept in the first folder, what is new for the coverage in the last, and the run goes on; only
-what ends the process ends the run early.
+FOLDER receives the findings and CORPUS the inputs that add coverage. The run continues after a finding; only
+a crash of the process, or one of libFuzzer's own limits, ends it early.
 """
 
 from __future__ import annotations
@@ -14,33 +14,33 @@
 
 import atheris
 
-PROGRAM = "cloverrouter"
-TOOLS = "cloverrouter.fuzz"
-MAX_CHAIN = 4
-OWN_MUTATOR_SHARE = 0.8
+CODE_UNDER_TEST = "cloverrouter"
+FUZZER_PACKAGE = "cloverrouter.fuzz"
+MUTATIONS_END = 4  # exclusive upper bound
+TARGET_MUTATOR_SHARE = 0.8
 
 
 def main(name: str, folder: Path, options: list[str]) -> None:
-    """Plays the target; does not come back."""
-    with atheris.instrument_imports(include=[PROGRAM], exclude=[TOOLS]):
+    """Fuzzes the target; does not return, because atheris exits the process."""
+    with atheris.instrument_imports(include=[CODE_UNDER_TEST], exclude=[FUZZER_PACKAGE]):
         from cloverrouter.fuzz.plain import Findings
         from cloverrouter.fuzz.report import keep
         from cloverrouter.fuzz.targets import TARGETS
 
         target = TARGETS[name]()
-        target.check(target.seeds()[0])  # loads what is only loaded when it is called
+        target.check(target.seeds()[0])  # triggers lazy imports while instrumentation is on
     findings = Findings()
 
     def check(data: bytes) -> None:
-        found = findings.check(target, data)
-        if found is not None:
-            keep(folder, name, found)
+        finding = findings.check(target, data)
+        if finding is not None:
+            keep(folder, name, finding)
 
     def mutate(data: bytes, max_size: int, seed: int) -> bytes:
         random = Random(seed)
-        if random.random() > OWN_MUTATOR_SHARE:
+        if random.random() > TARGET_MUTATOR_SHARE:
             return bytes(atheris.Mutate(data, max_size))
-        for _ in range(random.randrange(1, MAX_CHAIN)):
+        for _ in range(random.randrange(1, MUTATIONS_END)):
             data = target.mutate(data, random)
         return data[:max_size]
 
--- a/tests/test_fuzz.py
+++ b/tests/test_fuzz.py
@@ -1,4 +1,4 @@
-"""The fuzzer: its fixed part, the inputs that once broke something, and that it finds faults put in."""
+"""Fuzzing: seeded runs, regression inputs, and detection of injected faults."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 from cloverrouter.control import document
 from cloverrouter.fuzz import node_messages, plain
-from cloverrouter.fuzz.mutation import mutate_json, pieces
+from cloverrouter.fuzz.mutation import mutate_json, split_randomly
 from cloverrouter.fuzz.target import Target
 from cloverrouter.fuzz.targets import TARGETS
 from cloverrouter.router import events, headers
@@ -23,9 +23,9 @@
 
 ROOT = Path(__file__).parent.parent
 CORPUS = Path(__file__).parent / "fuzz_corpus"
-KNOWN = sorted(path.relative_to(CORPUS) for path in CORPUS.glob("*/*.input"))
-# Inputs of the fixed part, by what one costs.
-COUNTS = {
+REGRESSION_INPUTS = sorted(path.relative_to(CORPUS) for path in CORPUS.glob("*/*.input"))
+# Inputs of the seeded runs; fewer for targets whose inputs take longer.
+INPUT_COUNTS = {
     "answers": 4000,
     "calls": 800,
     "events": 2000,
@@ -38,50 +38,50 @@
 
 @pytest.fixture
 def target(request: pytest.FixtureRequest) -> Iterator[Target]:
-    made: Target = TARGETS[request.param]()
-    yield made
-    made.close()
+    fuzz_target: Target = TARGETS[request.param]()
+    yield fuzz_target
+    fuzz_target.close()
 
 
-def test_each_target_has_a_fixed_part_and_inputs_that_once_broke_something() -> None:
-    assert COUNTS.keys() == TARGETS.keys()
-    assert {path.parts[0] for path in KNOWN} <= TARGETS.keys() and len(KNOWN) >= 10
+def test_each_target_has_a_seeded_run_and_there_are_regression_inputs() -> None:
+    assert INPUT_COUNTS.keys() == TARGETS.keys()
+    assert {path.parts[0] for path in REGRESSION_INPUTS} <= TARGETS.keys() and len(REGRESSION_INPUTS) >= 10
 
 
-@pytest.mark.parametrize("name", COUNTS)
+@pytest.mark.parametrize("name", INPUT_COUNTS)
 def test_seeded_inputs_break_nothing(name: str) -> None:
-    found = plain.play_target(TARGETS[name], COUNTS[name], seed=7)
-    assert not found, found[0].text
+    findings = plain.play_target(TARGETS[name], INPUT_COUNTS[name], seed=7)
+    assert not findings, findings[0].traceback_text
 
 
-@pytest.mark.parametrize("path", KNOWN, ids=str)
-def test_what_once_broke_something_does_so_no_more(path: Path) -> None:
-    made = TARGETS[path.parts[0]]()
-    made.check((CORPUS / path).read_bytes())
-    made.close()
+@pytest.mark.parametrize("path", REGRESSION_INPUTS, ids=str)
+def test_regression_input_gives_no_finding(path: Path) -> None:
+    fuzz_target = TARGETS[path.parts[0]]()
+    fuzz_target.check((CORPUS / path).read_bytes())
+    fuzz_target.close()
 
 
 @pytest.mark.parametrize("name", TARGETS)
 def test_the_same_seed_gives_the_same_inputs(name: str) -> None:
-    made = TARGETS[name]()
-    one, other = plain.inputs(made, 3), plain.inputs(made, 3)
-    count = len(made.seeds()) + 20
+    fuzz_target = TARGETS[name]()
+    one, other = plain.input_source(fuzz_target, 3), plain.input_source(fuzz_target, 3)
+    count = len(fuzz_target.seeds()) + 20
     assert [one() for _ in range(count)] == [other() for _ in range(count)]
-    made.close()
+    fuzz_target.close()
 
 
-def test_pieces_are_the_whole_and_a_changed_value_leaves_the_one_it_came_from() -> None:
+def test_split_pieces_join_to_the_whole_and_mutation_leaves_its_argument_unchanged() -> None:
     random = Random(5)
     for size in (0, 1, 2, 700):
         data = random.randbytes(size)
-        assert b"".join(pieces(data, random)) == data
+        assert b"".join(split_randomly(data, random)) == data
     value = {"a": [1, {"b": "c"}], "d": None}
     before = json.dumps(value)
     assert any(mutate_json(value, random) != value for _ in range(20))
     assert json.dumps(value) == before
 
 
-def test_all_modules_with_messages_are_known() -> None:
+def test_all_modules_with_messages_are_listed() -> None:
     package = ROOT / "cloverrouter"
     with_messages = {
         path.relative_to(package).with_suffix("").as_posix().replace("/", ".")
@@ -91,66 +91,66 @@
     assert with_messages == set(node_messages.MODULES)
 
 
-# Faults put in
+# Injected faults
 
 
-def _reads_numbers(digits: bytes) -> int:
+def _magnitude_of_any_length(digits: bytes) -> int:
     return int(digits)
 
 
-def _hashes_names(value: Any) -> bool:
+def _is_named_list_without_type_check(value: Any) -> bool:
     names = {item.get("name") if isinstance(item, dict) else None for item in value}
     return len(names) == len(value) and all(isinstance(name, str) for name in names)
 
 
-def _trusts_the_parser(file: Any) -> Any:
+def _load_with_unhandled_error(file: Any) -> Any:
     try:
         return tomllib.loads(file.read().decode())
     except UnicodeDecodeError as error:
-        raise LookupError from error  # what `read` doesn't expect
+        raise LookupError from error  # an exception that `read` does not handle
 
 
 FAULTS = {
-    "an id as a number of any length": ("events", events, "_magnitude", _reads_numbers),
-    "a name that can't be hashed": ("calls", document, "is_named_list", _hashes_names),
-    "an error of the parser's own": ("settings", tomllib, "load", _trusts_the_parser),
+    "an id as a number of any length": ("events", events, "_magnitude", _magnitude_of_any_length),
+    "a name that can't be hashed": ("calls", document, "is_named_list", _is_named_list_without_type_check),
+    "an error of the parser's own": ("settings", tomllib, "load", _load_with_unhandled_error),
     "a secret is passed on": ("requests", headers, "_DROPPED", headers._DROPPED - {headers.AUTHORIZATION}),
 }
 
 
 @pytest.mark.parametrize("fault", FAULTS)
-def test_a_fault_put_in_is_found(fault: str, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_injected_fault_is_found(fault: str, monkeypatch: pytest.MonkeyPatch) -> None:
     name, module, attribute, faulty = FAULTS[fault]
     monkeypatch.setattr(module, attribute, faulty)
-    assert found_within(name, 3000)
+    assert finds_fault_within(name, 3000)
 
 
-def found_within(name: str, count: int) -> bool:
-    """Whether one of so many inputs breaks something."""
-    findings, made = plain.Findings(), TARGETS[name]()
-    following = plain.inputs(made, seed=7)
+def finds_fault_within(name: str, count: int) -> bool:
+    """Returns whether one of the first `count` inputs gives a finding."""
+    findings, fuzz_target = plain.Findings(), TARGETS[name]()
+    next_input = plain.input_source(fuzz_target, seed=7)
     try:
-        return any(findings.check(made, following()) is not None for _ in range(count))
+        return any(findings.check(fuzz_target, next_input()) is not None for _ in range(count))
     finally:
-        made.close()
+        fuzz_target.close()
 
 
-def test_pages_that_nobody_checks_are_found(monkeypatch: pytest.MonkeyPatch) -> None:
-    """By the inputs that found them once: one in a thousand edited files shows it."""
+def test_missing_page_check_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Uses the regression inputs, since only one in a thousand edited files shows the missing check."""
     monkeypatch.setattr(replica_store, "check_pages", lambda file: None)
     findings = plain.Findings()
-    made = TARGETS["store"]()
-    for path in KNOWN:
+    fuzz_target = TARGETS["store"]()
+    for path in REGRESSION_INPUTS:
         if path.parts[0] == "store":
-            findings.check(made, (CORPUS / path).read_bytes())
-    made.close()
-    assert findings.by_place
+            findings.check(fuzz_target, (CORPUS / path).read_bytes())
+    fuzz_target.close()
+    assert findings.by_location
 
 
 # The command
 
 
-def test_the_command_lists_its_targets_and_plays_one(tmp_path: Path) -> None:
+def test_the_command_lists_its_targets_and_runs_one(tmp_path: Path) -> None:
     code, text = run("fuzz")
     assert code == 0 and all(re.search(rf"^{name} ", text, re.MULTILINE) for name in TARGETS)
     code, text = run("fuzz", "requests", "--plain", "--inputs", "60", "--folder", str(tmp_path))
@@ -159,17 +159,17 @@
     assert code == 2 and "no target nothing; there are answers, " in text
 
 
-def test_the_command_keeps_what_it_finds(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(events, "_magnitude", _reads_numbers)
-    words = ("fuzz", "events", "--plain", "--inputs", "1000", "--folder", str(tmp_path))
-    code, text = run(*words)
-    (kept,) = tmp_path.glob("*.input")
-    assert code == 1 and f"ValueError: {kept}" in text
+def test_the_command_saves_its_findings(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch.setattr(events, "_magnitude", _magnitude_of_any_length)
+    arguments = ("fuzz", "events", "--plain", "--inputs", "1000", "--folder", str(tmp_path))
+    code, text = run(*arguments)
+    (saved_input,) = tmp_path.glob("*.input")
+    assert code == 1 and f"ValueError: {saved_input}" in text
     with pytest.raises(ValueError, match="digits"):
-        TARGETS["events"]().check(kept.read_bytes())
+        TARGETS["events"]().check(saved_input.read_bytes())
 
 
-def test_the_coverage_guides_a_run(tmp_path: Path) -> None:
+def test_coverage_guided_run(tmp_path: Path) -> None:
     code, text = run("fuzz", "requests", "--inputs", "400", "--folder", str(tmp_path), "--json")
     assert code == 0, text
     report = json.loads(text)
