--- a/cloverrouter/cli/fuzz.py
+++ b/cloverrouter/cli/fuzz.py
@@ -55,7 +55,7 @@
     """
     if target is None:
         for name, make in sorted(TARGETS.items()):
-            usage.say(f"{name:10} {make.text}")
+            usage.say(f"{name:10} {make.description}")
         return
     if target not in TARGETS:
         raise usage.UsageError(f"no target {target}; there are {', '.join(sorted(TARGETS))}")
@@ -72,8 +72,8 @@
 
 def _plain(target: str, inputs: int, seed: int, folder: Path) -> report.Report:
     started = time.monotonic()
-    found = plain.play_target(TARGETS[target], inputs, seed)
-    files = tuple(str(report.keep(folder, target, each)) for each in found)
+    found = plain.run_target(TARGETS[target], inputs, seed)
+    files = tuple(str(report.save_finding(folder, target, each)) for each in found)
     return report.Report(target, inputs, time.monotonic() - started, None, None, None, files)
 
 
@@ -83,8 +83,8 @@
             f"{LIBRARY} is not installed; pip install 'cloverrouter[fuzz]', or use --plain"
         )
     try:
-        return guided.play(target, inputs, seed, folder, usage.error_line if progress else _unheard)
-    except guided.FuzzerEnded as error:
+        return guided.run(target, inputs, seed, folder, usage.error_line if progress else _unheard)
+    except guided.FuzzerFailed as error:
         raise usage.CommandFailed(str(error)) from error
 
 
--- a/cloverrouter/fuzz/control_calls.py
+++ b/cloverrouter/fuzz/control_calls.py
@@ -205,7 +205,7 @@
 class ControlCalls:
     """A sequence of requests; each input starts from empty state."""
 
-    text = "control API requests of operators and servers: paths, If-Match, JSON bodies"
+    description = "control API requests of operators and servers: paths, If-Match, JSON bodies"
 
     def __init__(self) -> None:
         self._loop = asyncio.new_event_loop()
--- a/cloverrouter/fuzz/event_streams.py
+++ b/cloverrouter/fuzz/event_streams.py
@@ -48,7 +48,7 @@
 class EventStreams:
     """A stream relayed from its first byte, and the same stream resumed on another server."""
 
-    text = "event streams of servers: splitting, event ids, resumption"
+    description = "event streams of servers: splitting, event ids, resumption"
 
     def seeds(self) -> Sequence[bytes]:
         return SEEDS
--- a/cloverrouter/fuzz/guided.py
+++ b/cloverrouter/fuzz/guided.py
@@ -22,14 +22,14 @@
 _COMPLETED = re.compile(r"^Done (\d+) runs")
 
 
-class FuzzerEnded(CypresswinchError):
+class FuzzerFailed(CypresswinchError):
     """The fuzzer process exited with an error code; the message holds the last lines of its output."""
 
 
-def play(name: str, count: int, seed: int, folder: Path, on_line: Callable[[str], None]) -> Report:
+def run(name: str, count: int, seed: int, folder: Path, on_line: Callable[[str], None]) -> Report:
     """Runs about `count` inputs of the named target and returns the report.
 
-    `on_line` is called with each line of libFuzzer's output. Raises `FuzzerEnded` if the process fails.
+    `on_line` is called with each line of libFuzzer's output. Raises `FuzzerFailed` if the process fails.
     """
     started = time.monotonic()
     with tempfile.TemporaryDirectory() as corpus:
@@ -54,7 +54,7 @@
                 inputs = int(completed.group(1))
         exit_code = process.wait()
     if exit_code:
-        raise FuzzerEnded(f"{name}: the fuzzer process exited with code {exit_code}\n{''.join(lines)}")
+        raise FuzzerFailed(f"{name}: the fuzzer process exited with code {exit_code}\n{''.join(lines)}")
     edges, features, corpus_size = progress or (None, None, None)
     saved = tuple(str(path) for path in sorted(set(folder.glob("*.input")) - before))
     return Report(name, inputs, time.monotonic() - started, edges, features, corpus_size, saved)
--- a/cloverrouter/fuzz/http_answers.py
+++ b/cloverrouter/fuzz/http_answers.py
@@ -139,7 +139,7 @@
 class HttpAnswers:
     """The bytes that a server sends on one connection after one request."""
 
-    text = "HTTP responses of servers: parsing, framing, the response that is forwarded to a client"
+    description = "HTTP responses of servers: parsing, framing, the response that is forwarded to a client"
 
     def __init__(self) -> None:
         logging.getLogger("cloverrouter.http.upstream").setLevel(logging.CRITICAL)
--- a/cloverrouter/fuzz/http_requests.py
+++ b/cloverrouter/fuzz/http_requests.py
@@ -42,7 +42,7 @@
 class HttpRequests:
     """The bytes that a client sends on one connection."""
 
-    text = "HTTP requests of clients: parsing, limits, the request that is forwarded to a server"
+    description = "HTTP requests of clients: parsing, limits, the request that is forwarded to a server"
 
     def seeds(self) -> Sequence[bytes]:
         return SEEDS
--- a/cloverrouter/fuzz/node_messages.py
+++ b/cloverrouter/fuzz/node_messages.py
@@ -120,7 +120,7 @@
 class NodeMessages:
     """A stream of frames: decoded at once, in pieces and by a connection; each message is encoded again."""
 
-    text = "messages between nodes: framing, decoding, the receiving connection"
+    description = "messages between nodes: framing, decoding, the receiving connection"
 
     def __init__(self) -> None:
         self._classes = message_classes()
--- a/cloverrouter/fuzz/plain.py
+++ b/cloverrouter/fuzz/plain.py
@@ -98,16 +98,16 @@
     return next_input
 
 
-def play_target(make: Callable[[], Target], count: int, seed: int) -> list[Finding]:
+def run_target(make: Callable[[], Target], count: int, seed: int) -> list[Finding]:
     """Creates a target, checks `count` inputs, closes the target and returns the findings."""
     target = make()
     try:
-        return play(target, count, seed)
+        return run(target, count, seed)
     finally:
         target.close()
 
 
-def play(target: Target, count: int, seed: int) -> list[Finding]:
+def run(target: Target, count: int, seed: int) -> list[Finding]:
     """Checks `count` inputs of the target and returns the findings."""
     findings, next_input = Findings(), input_source(target, seed)
     for _ in range(count):
--- a/cloverrouter/fuzz/report.py
+++ b/cloverrouter/fuzz/report.py
@@ -28,7 +28,7 @@
     """Paths of the saved inputs; a text file with the same stem describes each finding."""
 
 
-def keep(folder: Path, target: str, finding: Finding) -> Path:
+def save_finding(folder: Path, target: str, finding: Finding) -> Path:
     """Writes the input and a text file with location and traceback; returns the path of the input file."""
     folder.mkdir(parents=True, exist_ok=True)
     name = f"{target}-{hashlib.sha256(finding.data).hexdigest()[:12]}"
--- a/cloverrouter/fuzz/settings_files.py
+++ b/cloverrouter/fuzz/settings_files.py
@@ -62,7 +62,7 @@
 class SettingsFiles:
     """The content of a settings file."""
 
-    text = "settings file: TOML, validation, typed values"
+    description = "settings file: TOML, validation, typed values"
 
     def __init__(self) -> None:
         self._folder = Path(tempfile.mkdtemp())
--- a/cloverrouter/fuzz/store_files.py
+++ b/cloverrouter/fuzz/store_files.py
@@ -60,7 +60,7 @@
 class StoreFiles:
     """Edits of one file, with a record of every state that was ever committed to it."""
 
-    text = "store file of a replica: bytes changed, pages zeroed or copied, the file truncated"
+    description = "store file of a replica: bytes changed, pages zeroed or copied, the file truncated"
 
     def __init__(self) -> None:
         self._folder = Path(tempfile.mkdtemp())
--- a/cloverrouter/fuzz/target.py
+++ b/cloverrouter/fuzz/target.py
@@ -16,7 +16,7 @@
 class Target(Protocol):
     """One parser, or group of parsers, under test."""
 
-    text: str
+    description: str
     """One-line description of the input and of the code that is tested."""
 
     def __init__(self) -> None: ...
--- a/cloverrouter/fuzz/under_atheris.py
+++ b/cloverrouter/fuzz/under_atheris.py
@@ -24,7 +24,7 @@
     """Fuzzes the target; does not return, because atheris exits the process."""
     with atheris.instrument_imports(include=[CODE_UNDER_TEST], exclude=[FUZZER_PACKAGE]):
         from cloverrouter.fuzz.plain import Findings
-        from cloverrouter.fuzz.report import keep
+        from cloverrouter.fuzz.report import save_finding
         from cloverrouter.fuzz.targets import TARGETS
 
         target = TARGETS[name]()
@@ -34,7 +34,7 @@
     def check(data: bytes) -> None:
         finding = findings.check(target, data)
         if finding is not None:
-            keep(folder, name, finding)
+            save_finding(folder, name, finding)
 
     def mutate(data: bytes, max_size: int, seed: int) -> bytes:
         random = Random(seed)
--- a/tests/test_fuzz.py
+++ b/tests/test_fuzz.py
@@ -50,7 +50,7 @@
 
 @pytest.mark.parametrize("name", INPUT_COUNTS)
 def test_seeded_inputs_break_nothing(name: str) -> None:
-    findings = plain.play_target(TARGETS[name], INPUT_COUNTS[name], seed=7)
+    findings = plain.run_target(TARGETS[name], INPUT_COUNTS[name], seed=7)
     assert not findings, findings[0].traceback_text
 
 
