--- a/cloverrouter/core/engine.py
+++ b/cloverrouter/core/engine.py
@@ -41,9 +41,9 @@
         if effects:
             self._run(effects)
         if self._events and not self._deciding:
-            self._settle()
+            self._process_events()
 
-    def _settle(self) -> None:
+    def _process_events(self) -> None:
         self._deciding = True
         try:
             while self._events:
--- a/cloverrouter/core/lifecycle.py
+++ b/cloverrouter/core/lifecycle.py
@@ -278,7 +278,7 @@
             effects.append(DeliverResponse(call.id, event.answer))
         if not call.out:
             effects += self._release_if_done(call)
-        effects.append(self._attempt_ended(call, attempt, event.outcome, latency_ms, event.report))
+        effects.append(self._ended_notification(call, attempt, event.outcome, latency_ms, event.report))
         return effects
 
     def _listed(self, now_ms: float, event: TargetsListed) -> list[Effect]:
@@ -390,7 +390,7 @@
             outcome = Outcome.CONNECT_FAILED if outcome is Outcome.TIMEOUT else Outcome.NOT_SENT
         latency_ms = self._latency_ms(now_ms, call, attempt)
         self._end_attempt(call, attempt)
-        notification = self._attempt_ended(call, attempt, outcome, latency_ms, None)
+        notification = self._ended_notification(call, attempt, outcome, latency_ms, None)
         return [AbortAttempt(call.id, attempt.number), notification]
 
     @staticmethod
@@ -399,7 +399,7 @@
         del call.out[attempt.number]
 
     @staticmethod
-    def _attempt_ended(
+    def _ended_notification(
         call: Call, attempt: Attempt, outcome: Outcome, latency_ms: float, report: tuple[float, ...] | None
     ) -> Effect:
         return NotifyBalancer(
--- a/cloverrouter/core/shutdown.py
+++ b/cloverrouter/core/shutdown.py
@@ -32,12 +32,13 @@
 INCOMPLETE_REQUEST_S = 0.5
 # A request that crossed the close of its connection is retried within this time, and is still accepted.
 RECONNECT_S = 0.15
-# SIGKILL comes no sooner than the longest deadline, of which at most this much counts, plus a margin.
+# SIGKILL comes no sooner than the longest deadline, capped at this value, plus a margin.
 MAX_COUNTED_DEADLINE_S = 3.0
 KILL_MARGIN_S = 0.7
-# Connections that have sent nothing are kept until then: a later request would not have its full deadline.
+# Connections that have sent nothing are closed this long after the start of the shutdown: a later request
+# would not have its full deadline.
 SILENT_CONNECTION_S = KILL_MARGIN_S - 0.05
-# Pending calls are answered this long before SIGKILL, which covers the delay of a busy machine's event loop.
+# Pending calls are answered this long before SIGKILL, to allow for event loop delays on a busy machine.
 HALT_MARGIN_S = 0.15
 
 
@@ -93,8 +94,8 @@
         if self.stage is Stage.SERVING:
             self.stage = Stage.DRAINING
             self._begun_s = self._last_open_call_s = now_s
-            killed_s = now_s + min(longest_deadline_s, MAX_COUNTED_DEADLINE_S) + KILL_MARGIN_S
-            self._halt_s = max(now_s + NEW_CONNECTIONS_S, killed_s - HALT_MARGIN_S)
+            kill_s = now_s + min(longest_deadline_s, MAX_COUNTED_DEADLINE_S) + KILL_MARGIN_S
+            self._halt_s = max(now_s + NEW_CONNECTIONS_S, kill_s - HALT_MARGIN_S)
 
     def next_actions(self, now_s: float, seen: Observation) -> list[ShutdownAction]:
         """Returns what to do now, in this order. Raises ValueError before `begin` was called."""
@@ -106,8 +107,8 @@
             self._last_open_call_s = now_s
         if seen.open:
             self._last_connection_s = now_s
-        still_coming = not seen.others_accept and now_s < self._begun_s + NEW_CONNECTIONS_S
-        if self.stage is Stage.DRAINING and not still_coming:
+        expects_connections = not seen.others_accept and now_s < self._begun_s + NEW_CONNECTIONS_S
+        if self.stage is Stage.DRAINING and not expects_connections:
             self.stage = Stage.FINISHING
             self._last_open_call_s = now_s
         if self.stage is Stage.DRAINING:
@@ -116,12 +117,12 @@
             self._last_open_call_s = max(
                 self._last_open_call_s, now_s + RECONNECT_S - 2 * INCOMPLETE_REQUEST_S
             )
-        rest = [ShutdownAction.CLOSE_QUIET]
+        close_actions = [ShutdownAction.CLOSE_QUIET]
         if now_s >= self._begun_s + SILENT_CONNECTION_S:
-            rest.append(ShutdownAction.CLOSE_SILENT)
+            close_actions.append(ShutdownAction.CLOSE_SILENT)
         if seen.open_calls and now_s >= self._halt_s and self.stage is not Stage.HALTED:
             self.stage = Stage.HALTED
-            return [ShutdownAction.HALT, ShutdownAction.FAIL_INCOMPLETE, *rest]
+            return [ShutdownAction.HALT, ShutdownAction.FAIL_INCOMPLETE, *close_actions]
         idle_s = now_s - self._last_open_call_s
         # Requests cut off by the process's own exit count as lost; those that SIGKILL interrupts do not.
         # Responses that the client does not read end by themselves (`ClientConnection.check`).
@@ -137,5 +138,5 @@
             )
         if not seen.open_calls and idle_s >= INCOMPLETE_REQUEST_S and self.stage is Stage.FINISHING:
             self.stage = Stage.ENDING_INCOMPLETE
-            return [ShutdownAction.FAIL_INCOMPLETE, *rest]
-        return rest
+            return [ShutdownAction.FAIL_INCOMPLETE, *close_actions]
+        return close_actions
--- a/cloverrouter/decide/balancer.py
+++ b/cloverrouter/decide/balancer.py
@@ -10,7 +10,7 @@
 
 from cloverrouter.decide.budget import BACKOFF_BASE_MS, DEADLINE_MARGIN_MS, RetryBudget, backoff_ms
 from cloverrouter.decide.endpoint import Endpoint
-from cloverrouter.decide.flow import PROXIES_PER_SERVER, Flow, crowded
+from cloverrouter.decide.flow import PROXIES_PER_SERVER, Flow, many_proxies
 from cloverrouter.decide.latency import MIN_SLOWNESS, ClassLatency
 from cloverrouter.decide.membership import HIGH_PRICE, MAX_SCANNED, Membership, Ring, Span
 from cloverrouter.decide.request import Attempt, Request, deduplicates
@@ -50,13 +50,13 @@
 # are mixed).
 COLD_LOAD_SHARE = 0.45
 RATE_WINDOWS = 4  # overload windows over which the rate of warm servers is smoothed
-MIN_LIMIT = 0.1  # then one attempt is in flight there for this fraction of the time
-# Size of a proxy's window of servers: at least this many, so that two draws differ, and at least one for
-# each request that arrives within this many longest deadlines.
+MIN_LIMIT = 0.1  # at this limit of a server, one attempt is in flight for this fraction of the time
+# A proxy's window has at least MIN_WINDOW servers, so that two draws differ, and one per request that arrives
+# within ARRIVAL_DEADLINES times the longest deadline.
 MIN_WINDOW = 3.0
 ARRIVAL_DEADLINES = 0.5
 MAX_DRAWS = 8  # draws from a large window to find one suitable server
-ROOM_SHARE_GAIN = 0.02  # smoothing factor of the share of drawn servers that have room
+AVAILABLE_SHARE_GAIN = 0.02  # smoothing factor of the share of drawn servers that have a free slot
 DECAY_BATCH = 64
 MIN_LATENCY_MS = 0.01  # lower latencies mean that the clock did not advance
 MIN_CHECK_DELAY_MS = 25.0  # minimum delay of the timer that checks queued requests; events do so as well
@@ -65,8 +65,8 @@
 MAX_OPEN_SHARE_OF_TWO = 0.7  # with a second balancer, whose count is slightly outdated
 DEFAULT_DEADLINE_MS = 1000.0  # for unknown classes, if the request has none either
 
-# The server did the work, so the latency shows its load. It is not paused for an unusable response: those
-# come from all servers alike, and pauses would exclude the whole fleet.
+# The server did the work, so the latency shows its load. It is not paused for an unusable response: all
+# servers send those alike, and pauses would exclude the whole fleet.
 SERVED = (Outcome.OK, Outcome.SPOILT)
 TIMED = (*SERVED, Outcome.TIMEOUT)  # outcomes whose latency shows the server's load
 BROKEN = (Outcome.RESET, Outcome.CONNECT_FAILED)  # connection failures, possibly caused by the network
@@ -80,19 +80,19 @@
         self.settings = settings
         self.random = Random(seed)
         self.budget = RetryBudget()
-        self.crowded = crowded(settings)
-        # Avoids needless crossings: with few proxies, the limits show when the local servers are full.
-        self.prefers_own_zone = not self.crowded and settings.prices.cross_zone >= HIGH_PRICE
+        self.many_proxies = many_proxies(settings)
+        # With few proxies, the limits show when the servers of the own zone are full; only then cross.
+        self.prefers_own_zone = not self.many_proxies and settings.prices.cross_zone >= HIGH_PRICE
         self.membership = Membership(settings)
         self.latencies = {cls.name: ClassLatency(cls) for cls in settings.classes}
         self.requests: dict[int, Request] = {}
         self.queue = RequestQueue[Request]()
         self.timers: dict[int, Callable[[], None]] = {}  # no lambdas: a balancer can be pickled
         self.last_token = self.failed_calls = 0
-        self.window_count = self.window_warm = 0.0  # servers in the window looked at last; warm ones
-        self.room_share = 1.0  # smoothed share of the drawn servers that have room
-        self.room_ms = inf  # earliest time at which one of the servers just checked gets room by itself
-        self.blocked = False  # an untried request could not be sent, and nothing has freed room since
+        self.window_count = self.window_warm = 0.0  # servers in the last window; warm ones
+        self.available_share = 1.0  # smoothed share of the drawn servers that have a free slot
+        self.resume_ms = inf  # when the first of the servers just checked ends its pause
+        self.untried_blocked = False  # an untried request could not be sent; no slot was freed since
         self.next_check_ms = 0.0  # when the timer checks the queued requests next
         self.check_token = 0  # token of that timer
         self.restored_peak_rate = 0.0  # the peak rate handed over by the previous balancer
@@ -106,25 +106,25 @@
         self.flow = Flow(settings)
         self.decayed_ms: float | None = None
         self.decaying: list[Endpoint] = []  # endpoints whose estimates are still to decay in this round
-        self.decay = (0.0, 1.0, 1.0)  # by which fraction, and towards which means
+        self.decay = (0.0, 1.0, 1.0)  # fraction of the way to the means, and both means
         self.now_ms = float("-inf")
         self.actions: list[Action] = []
         self.started = False
-        self.share = 1.0  # fraction of the proxy's budgets that this balancer has; another has the rest
+        self.share = 1.0  # this balancer's fraction of the proxy's budgets; another has the rest
         self.other_open_requests = 0  # requests open at that other balancer
 
     def handle(self, now_ms: float, events: Sequence[Event]) -> list[Action]:
         """Processes events; returns the actions, in order. Raises ValueError for impossible events."""
         if now_ms < self.now_ms:
             raise ValueError(f"time ran backwards: {now_ms} after {self.now_ms}")
-        self.now_ms, self.room_ms, self.blocked = now_ms, inf, False
+        self.now_ms, self.resume_ms, self.untried_blocked = now_ms, inf, False
         self.actions = []
         if not self.started:
             self.started = True
             if self.settings.subscribe:
                 self.actions.append(Subscribe())
         for event in events:
-            self.blocked = self.blocked and isinstance(event, RequestArrived)
+            self.untried_blocked = self.untried_blocked and isinstance(event, RequestArrived)
             match event:
                 case AttemptEnded():
                     self._on_attempt_ended(event)
@@ -163,8 +163,8 @@
             if self.failed_calls == 0:
                 self.actions.append(Log("discovery unavailable: retrying, the last list stays in use"))
             self.failed_calls += 1
-            # An unsubscribed proxy counts as informed of drains and starts that it has not heard of. It polls
-            # well within the allowed interval, with jitter so that the proxies do not poll at the same time.
+            # Drains and starts count as known to a proxy without a subscription, whether learned or not. It
+            # polls well within the allowed interval, with jitter so that proxies do not poll simultaneously.
             longest = self.settings.safety.max_poll_interval_ms / 4
             wait = min(longest, BACKOFF_BASE_MS * 2.0 ** min(self.failed_calls, 16))
             self._set_timer(wait * (0.5 + self.random.random() / 2), self._subscribe)
@@ -188,10 +188,10 @@
     def _on_share(self, event: ShareAssigned) -> None:
         """Scales the budgets: two balancers with a whole one each could overload a cold server."""
         if event.share < self.share:
-            kept = event.share / self.share
-            self.budget.tokens *= kept
+            scale = event.share / self.share
+            self.budget.tokens *= scale
             for endpoint in self.membership.endpoints.values():
-                endpoint.cold_credit *= kept
+                endpoint.cold_credit *= scale
         self.share, self.other_open_requests = event.share, event.other_open_requests
         # The other balancer sees the same excess and drops its half.
         for _ in range(ceil(self._excess_requests() / 2)):
@@ -202,9 +202,9 @@
     def _on_request(self, event: RequestArrived) -> None:
         if event.request_id in self.requests:
             raise ValueError(f"request {event.request_id} arrived twice")
-        usual = self.latencies.get(event.class_name)
-        cls = usual.cls if usual else None
-        work = event.work_hint_ms or (usual.mean_ms if usual else DEFAULT_DEADLINE_MS / 4)
+        class_latency = self.latencies.get(event.class_name)
+        cls = class_latency.cls if class_latency else None
+        work = event.work_hint_ms or (class_latency.mean_ms if class_latency else DEFAULT_DEADLINE_MS / 4)
         worth = cls.worth if cls else 0.0
         value = worth if self.settings.worth_by_work else worth / work
         deadline_ms = event.deadline_ms
@@ -240,43 +240,43 @@
         self.flow.out += 1
 
     def _dispatch(self, request: Request) -> None:
-        """Sends the request's next attempt now, or queues it until a server has room."""
+        """Sends the request's next attempt now, or queues it until a server has a free slot."""
         if self._worthless_from_ms(request) <= self.now_ms:
             self._give_up(request)
         elif self._try_send(request) is None:
             self._enqueue(request)
 
     def _window_size(self) -> float:
-        cover = PROXIES_PER_SERVER * len(self.membership.ready) / self.settings.proxies
-        met = self.arrivals.per_ms(self.now_ms) * ARRIVAL_DEADLINES * self.longest_deadline_ms
-        return max(MIN_WINDOW, cover, met)
+        by_endpoints = PROXIES_PER_SERVER * len(self.membership.ready) / self.settings.proxies
+        by_arrivals = self.arrivals.per_ms(self.now_ms) * ARRIVAL_DEADLINES * self.longest_deadline_ms
+        return max(MIN_WINDOW, by_endpoints, by_arrivals)
 
     def _try_send(self, request: Request) -> Endpoint | None:
-        """Sends to a server with room that the request may use; returns the server, or None."""
+        """Sends to a server that has a free slot and may get the request; returns it, or None."""
         if not self.flow.has_room(self.now_ms):
             return None
         spans = self.membership.spans(self._window_size(), self.ring_position)
         # After a cordon a cold server would lose every draw against warm ones, and operators would see it get
         # no traffic. It is sent one request early, regardless of the window.
-        found = [e for e in islice(self.membership.unused.values(), MAX_SCANNED) if self._has_room(e)]
+        found = [e for e in islice(self.membership.unused.values(), MAX_SCANNED) if self._has_slot(e)]
         allowed = [e for e in found if self._may_send(request, e)]
         if not allowed:
             small = sum([span[2] for span in spans]) <= MAX_SCANNED
             allowed = self._candidates(request, spans) if small else self._draw_candidates(request, spans)
         endpoint = self._pick(allowed)
         if endpoint is None or not self._may_send(request, endpoint):
-            self.blocked = self.blocked or not request.attempts
+            self.untried_blocked = self.untried_blocked or not request.attempts
             return None
         self._send(request, endpoint)
         return endpoint
 
-    def _has_room(self, endpoint: Endpoint) -> bool:
-        """Returns whether it has room; else notes when its pause ends, to retry queued requests then."""
+    def _has_slot(self, endpoint: Endpoint) -> bool:
+        """Returns whether it has a free slot; else notes when its pause ends, to check the queue then."""
         if endpoint.has_room(self.now_ms):
             return True
-        free = not endpoint.down and endpoint.in_flight < max(1.0, endpoint.limit)
-        if free and self.now_ms < endpoint.paused_until_ms:
-            self.room_ms = min(self.room_ms, endpoint.paused_until_ms)
+        below_limit = not endpoint.down and endpoint.in_flight < max(1.0, endpoint.limit)
+        if below_limit and self.now_ms < endpoint.paused_until_ms:
+            self.resume_ms = min(self.resume_ms, endpoint.paused_until_ms)
         return False
 
     def _is_suitable(self, request: Request, endpoint: Endpoint) -> bool:
@@ -285,10 +285,10 @@
             return self._may_send(request, endpoint)
         return True
 
-    def _window_with_room(self, spans: list[Span]) -> list[Endpoint]:
-        """Returns all servers with room of a small window, or of a stretch of the ring if it has none."""
+    def _available_window(self, spans: list[Span]) -> list[Endpoint]:
+        """Returns the servers with a free slot in a small window, or in a random slice if it has none."""
         members, now_ms = self.membership, self.now_ms
-        window = members.window(now_ms, spans) or [e for e in self._slice(members.all) if self._has_room(e)]
+        window = members.window(now_ms, spans) or [e for e in self._slice(members.all) if self._has_slot(e)]
         self.window_count = self.window_warm = len(window)
         if members.cold:
             self.window_warm = sum(e.cold_until_ms <= now_ms for e in window)
@@ -303,12 +303,12 @@
 
     def _candidates(self, request: Request, spans: list[Span]) -> list[Endpoint]:
         """Returns the servers of the window that the request may use, reduced to the preferred ones."""
-        allowed = roomy = self._window_with_room(spans)
+        allowed = available = self._available_window(spans)
         if request.attempts or self.membership.cold:
-            allowed = [e for e in roomy if self._is_suitable(request, e)]
-        if not allowed and roomy:  # e.g. a retry bound to its group, or only cold servers
-            allowed = [e for e in self._slice(self._group(request)) if self._has_room(e)]
-            # No cold servers: the requests of all proxies, not just of those near it, overload one.
+            allowed = [e for e in available if self._is_suitable(request, e)]
+        if not allowed and available:  # e.g. a retry bound to its group, or only cold servers
+            allowed = [e for e in self._slice(self._group(request)) if self._has_slot(e)]
+            # No cold servers: the requests of all proxies, not just of those near it, would overload one.
             allowed = [e for e in allowed if e.cold_until_ms <= self.now_ms and self._may_send(request, e)]
         if request.attempts:
             tried = [a.endpoint for a in request.attempts]
@@ -350,11 +350,10 @@
         return last
 
     def _draw_candidates(self, request: Request, spans: list[Span]) -> list[Endpoint]:
-        """Draws two servers of the window by their shares: a few tries each, and then the following ones on
-        the ring."""
+        """Draws two servers of the window by their shares; if draws fail, takes the next ones on the ring."""
         members = self.membership
         wanted = sum(span[2] for span in spans)
-        self.window_count = max(1.0, wanted * self.room_share)
+        self.window_count = max(1.0, wanted * self.available_share)
         self.window_warm = max(1.0, self.window_count * (1 - members.cold_share(self.now_ms)))
         group = self._group(request)
         if group is not members.all:
@@ -364,7 +363,7 @@
             found = self._draw_two(request, [span for span in spans if span[0] is home])
             if found:
                 return found
-        back = [a.endpoint for a in request.attempts if self._has_room(a.endpoint)]
+        back = [a.endpoint for a in request.attempts if self._has_slot(a.endpoint)]
         return self._draw_two(request, spans) or [e for e in back if self._may_send(request, e)]
 
     def _draw_two(self, request: Request, spans: list[Span]) -> list[Endpoint]:
@@ -387,16 +386,16 @@
             endpoint = ring.members[at if at < size else at - size]
             if endpoint.weight < ring.heaviest and self.random.random() * ring.heaviest >= endpoint.weight:
                 continue
-            room = self._has_room(endpoint)
-            self.room_share += ROOM_SHARE_GAIN * (room - self.room_share)
-            if room and endpoint not in excluded and self._is_suitable(request, endpoint):
+            available = self._has_slot(endpoint)
+            self.available_share += AVAILABLE_SHARE_GAIN * (available - self.available_share)
+            if available and endpoint not in excluded and self._is_suitable(request, endpoint):
                 return endpoint
             ring, start, wanted, _ = self._draw_span(spans)
         size = len(ring.members)
         first = start + (wanted if wanted < size else self.random.randrange(size))
         for i in range(first, first + min(size, MAX_SCANNED)):
             endpoint = ring.members[i % size]
-            if endpoint not in excluded and self._has_room(endpoint) and self._is_suitable(request, endpoint):
+            if endpoint not in excluded and self._has_slot(endpoint) and self._is_suitable(request, endpoint):
                 return endpoint
         return None
 
@@ -413,17 +412,17 @@
     def _enqueue(self, request: Request) -> None:
         """Queues the request, the highest value first, until it can no longer be served in time. At full
         servers it would wait until it is late, and slow them down."""
-        usual_ms = self.latencies[request.cls.name].mean_ms if request.cls else DEFAULT_DEADLINE_MS / 4
-        wait_ms = self._worthless_from_ms(request) - usual_ms - self.now_ms
+        expected_ms = self.latencies[request.cls.name].mean_ms if request.cls else DEFAULT_DEADLINE_MS / 4
+        wait_ms = self._worthless_from_ms(request) - expected_ms - self.now_ms
         if wait_ms <= 0:
             self._give_up(request)
             return
         # A request retried by its client has most likely missed its aim already.
         aim_ms = self._aim_ms(request.cls, request) if request.cls and not request.repeat else 0.0
-        request.on_time_until_ms = request.arrived_ms + aim_ms - usual_ms
-        if self.crowded and request.on_time_until_ms > self.now_ms:
+        request.on_time_until_ms = request.arrived_ms + aim_ms - expected_ms
+        if self.many_proxies and request.on_time_until_ms > self.now_ms:
             wait_ms = min(wait_ms, request.on_time_until_ms - self.now_ms)
-        request.timer = self._set_timer(wait_ms, partial(self._wake, request, self._give_up))
+        request.timer = self._set_timer(wait_ms, partial(self._on_request_timer, request, self._give_up))
         self.queue.add(request)
         self.queue.compact(2 * len(self.requests) + MAX_SCANNED)
         if self._excess_requests() > 0:
@@ -431,9 +430,9 @@
 
     def _excess_requests(self) -> float:
         """Returns how many requests exceed the allowed share of client connections."""
-        most = self.settings.limits.max_open
+        max_open = self.settings.limits.max_open
         share = MAX_OPEN_SHARE if self.share >= 1 else MAX_OPEN_SHARE_OF_TWO
-        return len(self.requests) + self.other_open_requests - share * most if most else 0.0
+        return len(self.requests) + self.other_open_requests - share * max_open if max_open else 0.0
 
     def _drop_oldest(self) -> None:
         """Drops the oldest queued request, which is the least likely to be served in time. Each one occupies
@@ -443,8 +442,8 @@
             self._give_up(oldest)
 
     def _send_queued(self) -> None:
-        """Sends as many queued requests as there is room for. An untried one that cannot be sent shows that
-        no other untried one can; those that were tried may use only some servers, so each is checked."""
+        """Sends as many queued requests as there are free slots. If an untried one cannot be sent, no
+        other untried one can; those that were tried may use only some servers, so each is checked."""
         queue = self.queue
         if queue.oldest() is None:
             self.timers.pop(self.check_token, None)
@@ -453,18 +452,18 @@
         aside: list[Entry[Request]] = []
         while len(aside) < MAX_SCANNED:
             if not self.flow.has_room(self.now_ms):
-                self.room_ms = min(self.room_ms, self.flow.closed_until_ms)
+                self.resume_ms = min(self.resume_ms, self.flow.paused_until_ms)
                 break
-            top = queue.pop(self.now_ms, untried=not self.blocked)
+            top = queue.pop(self.now_ms, untried=not self.untried_blocked)
             if top is None:
                 break
             if self._try_send(top[2]) is None:
                 aside.append(top)
         queue.put_back(aside)
         # Without other traffic, no event would show that a pause is over.
-        waiting = self.now_ms < self.next_check_ms <= self.room_ms + MIN_CHECK_DELAY_MS
-        if self.now_ms < self.room_ms < inf and not waiting:
-            self.next_check_ms = max(self.room_ms, self.now_ms + MIN_CHECK_DELAY_MS)
+        waiting = self.now_ms < self.next_check_ms <= self.resume_ms + MIN_CHECK_DELAY_MS
+        if self.now_ms < self.resume_ms < inf and not waiting:
+            self.next_check_ms = max(self.resume_ms, self.now_ms + MIN_CHECK_DELAY_MS)
             self.timers.pop(self.check_token, None)
             self.check_token = self._set_timer(self.next_check_ms - self.now_ms, self._check_queue)
 
@@ -496,10 +495,11 @@
                 return False
             if not deduplicates(request.cls, ran.endpoint.listed, endpoint.listed):
                 return False
-        return self._cold_room(request, endpoint)
+        return self._has_cold_credit(request, endpoint)
 
-    def _cold_room(self, request: Request, endpoint: Endpoint) -> bool:
-        """A server that has just started fails under a warm server's share of the load, and stays down."""
+    def _has_cold_credit(self, request: Request, endpoint: Endpoint) -> bool:
+        """Returns whether the server is warm or has credit for the request. A server that has just started
+        fails under a warm server's share of the load, and stays down."""
         if endpoint.cold_until_ms <= self.now_ms:
             return True
         safety, warmth = self.settings.safety, endpoint.warmth(self.now_ms)
@@ -511,35 +511,35 @@
         # That rate may be from a smaller window. In a larger one more proxies share each server.
         rate *= min(1.0, self.peak_window / self._window_size())
         if endpoint.cold_credit_ms is None:
-            first = self.random.random() * request.work * self.share
-            first = first if endpoint.restored_credit is None else endpoint.restored_credit * self.share
-            endpoint.cold_credit, endpoint.cold_credit_ms = first, self.now_ms
-        most = max(rate * safety.overload_window_ms / 2, request.work)
+            initial = self.random.random() * request.work * self.share
+            initial = initial if endpoint.restored_credit is None else endpoint.restored_credit * self.share
+            endpoint.cold_credit, endpoint.cold_credit_ms = initial, self.now_ms
+        max_credit = max(rate * safety.overload_window_ms / 2, request.work)
         earned = rate * (self.now_ms - endpoint.cold_credit_ms)
-        endpoint.cold_credit = min(most, endpoint.cold_credit + earned)
+        endpoint.cold_credit = min(max_credit, endpoint.cold_credit + earned)
         endpoint.cold_credit_ms = self.now_ms
         if endpoint.cold_credit >= request.work:
             return True
         if rate > 0:
-            self.room_ms = min(self.room_ms, self.now_ms + (request.work - endpoint.cold_credit) / rate)
+            self.resume_ms = min(self.resume_ms, self.now_ms + (request.work - endpoint.cold_credit) / rate)
         return False
 
     def warm_rate(self) -> float:
         """Work per millisecond that a warm server gets, or recently got, from this proxy.
 
-        In an overload little is sent to warm servers; by that measure the cold ones, which could relieve
-        them, would get nothing. So the recent peak counts, decaying over the warm-up time. If no server is or
-        was warm, all arriving work is taken as what the servers are built for.
+        In an overload little is sent to warm servers; with that as the measure, the cold ones, which could
+        relieve them, would get nothing. So the recent peak counts, decaying over the warm-up time. If no
+        server is or was warm, the servers are assumed to be built for all arriving work.
         """
         rate = self.work_rate.per_ms(self.now_ms)
         if self.restored_peak_rate:
             self.peak_rate, self.peak_ms, self.restored_peak_rate = self.restored_peak_rate, self.now_ms, 0.0
             self.peak_window = self._window_size()
         if not rate and not self.peak_rate:
-            mean = sum(usual.mean_ms for usual in self.latencies.values()) / max(1, len(self.latencies))
+            mean = sum(c.mean_ms for c in self.latencies.values()) / max(1, len(self.latencies))
             return self.arrivals.per_ms(self.now_ms) * mean / max(1.0, self.window_count)
-        kept = 1 - (self.now_ms - self.peak_ms) / max(1.0, self.settings.safety.cold_ms)
-        self.peak_rate, self.peak_ms = self.peak_rate * max(0.0, kept), self.now_ms
+        remaining = 1 - (self.now_ms - self.peak_ms) / max(1.0, self.settings.safety.cold_ms)
+        self.peak_rate, self.peak_ms = self.peak_rate * max(0.0, remaining), self.now_ms
         if rate >= self.peak_rate:
             self.peak_rate, self.peak_window = rate, self._window_size()
         return self.peak_rate
@@ -550,8 +550,8 @@
         else:
             # The last warm server of a small window gets the load of all; with that as the measure, the
             # proxies would overload the cold servers together.
-            least = MIN_WINDOW if self.crowded else 1.0
-            self.work_rate.add(self.now_ms, request.work / max(least, self.window_warm))
+            min_count = MIN_WINDOW if self.many_proxies else 1.0
+            self.work_rate.add(self.now_ms, request.work / max(min_count, self.window_warm))
         if endpoint.unused:
             endpoint.unused = False
             self.membership.unused.pop(endpoint.listed.name, None)
@@ -559,7 +559,7 @@
         self._drop_timer(request)
         attempt = Attempt(endpoint, self.now_ms)
         request.attempts.append(attempt)
-        # A slow connection attempt could otherwise overlap another one after the deduplication window.
+        # Otherwise a slow connection could deliver the request after servers stop deduplicating it.
         within_ms = inf if request.uploading else request.dedup_until_ms() - self.now_ms
         request.out += 1
         timeout_ms = 0.0
@@ -591,8 +591,8 @@
 
     def _target(self) -> float:
         """A server slows down for all classes alike, so the class with the least slack sets the target."""
-        seen = [usual.target() for usual in self.latencies.values() if usual.seen]
-        return min(seen, default=MIN_SLOWNESS)
+        targets = [c.target() for c in self.latencies.values() if c.seen]
+        return min(targets, default=MIN_SLOWNESS)
 
     def _reported_slowness(self, report: tuple[float, ...] | None) -> float:
         """Factor by which queueing at the server, as it reports, stretches latencies; 1 if unknown. A proxy
@@ -610,40 +610,40 @@
         cls = request.cls
         if not attempt.working:  # its response had started, or the server never had the whole request
             if outcome in (Outcome.REJECTED, *BROKEN) and not request.streaming and cls is not None:
-                self._failed(attempt.endpoint, self.latencies[cls.name], outcome)
+                self._record_failure(attempt.endpoint, self.latencies[cls.name], outcome)
             return
         attempt.working = False
         attempt.endpoint.in_flight -= 1
         # Beside a latency of zero every later one looks too slow, and no server would get requests.
         untimed = outcome in TIMED and latency_ms < MIN_LATENCY_MS
         if outcome in NO_EVIDENCE or cls is None or untimed:
-            self.flow.ended(self.now_ms, latency_ms, None)
+            self.flow.record_end(self.now_ms, latency_ms, None)
             return
-        usual = self.latencies[cls.name]
-        good_ms = usual.midpoint_ms()
+        class_latency = self.latencies[cls.name]
+        good_ms = class_latency.midpoint_ms()
         # A cold server is slow by nature; that must not close the pooled limit while warm servers idle.
         warmth = attempt.endpoint.warmth(self.now_ms)
-        slow = warmth * usual.slowness(latency_ms) / self._target() if outcome in TIMED else None
-        self.flow.ended(self.now_ms, usual.base_ms, slow)
+        slow = warmth * class_latency.slowness(latency_ms) / self._target() if outcome in TIMED else None
+        self.flow.record_end(self.now_ms, class_latency.base_ms, slow)
         if outcome is Outcome.OK:
-            slowness = usual.slowness(latency_ms)
-            usual.add(latency_ms)
+            slowness = class_latency.slowness(latency_ms)
+            class_latency.add(latency_ms)
             on_time = latency_ms <= self._aim_ms(cls, request)
             attempt.endpoint.learn(self.now_ms, 1.0 if on_time else cls.late_worth, slowness)
         else:
             # A server that fails fast must not look fast: a failure never counts as faster than normal.
-            attempt.endpoint.learn(self.now_ms, 0.0, max(1.0, usual.slowness(latency_ms)))
+            attempt.endpoint.learn(self.now_ms, 0.0, max(1.0, class_latency.slowness(latency_ms)))
         if outcome in SERVED:
-            attempt.endpoint.answered(self.now_ms, latency_ms)
+            attempt.endpoint.record_response(self.now_ms, latency_ms)
         if outcome in TIMED:
-            strain = max(usual.slowness(latency_ms), reported) / self._target()
-            least = MIN_LIMIT if self.crowded else 1.0
-            attempt.endpoint.adapt_limit(self.now_ms, min(latency_ms, good_ms), strain, least)
+            strain = max(class_latency.slowness(latency_ms), reported) / self._target()
+            min_limit = MIN_LIMIT if self.many_proxies else 1.0
+            attempt.endpoint.adapt_limit(self.now_ms, min(latency_ms, good_ms), strain, min_limit)
         else:
-            self._failed(attempt.endpoint, usual, outcome)
+            self._record_failure(attempt.endpoint, class_latency, outcome)
 
-    def _failed(self, endpoint: Endpoint, usual: ClassLatency, outcome: Outcome) -> None:
-        endpoint.failed(self.now_ms, usual.base_ms, self.longest_deadline_ms / 2, outcome in BROKEN)
+    def _record_failure(self, endpoint: Endpoint, class_latency: ClassLatency, outcome: Outcome) -> None:
+        endpoint.failed(self.now_ms, class_latency.base_ms, self.longest_deadline_ms / 2, outcome in BROKEN)
 
     def _on_stream(self, event: StreamStarted) -> None:
         request = self.requests.get(event.request_id)
@@ -660,7 +660,7 @@
             self._give_up(request)
 
     def _schedule_retry(self, request: Request) -> bool:
-        """Pays for a retry and schedules it after the backoff; False if time or tokens do not suffice."""
+        """Spends tokens on a retry after the backoff; returns False if time or tokens do not suffice."""
         wait = backoff_ms(request.previous_wait_ms, self.random)
         sleep = min(wait, self._worthless_from_ms(request) - self.now_ms - DEADLINE_MARGIN_MS)
         if self.now_ms + sleep >= request.dedup_until_ms():
@@ -668,10 +668,10 @@
         if sleep <= 0 or not self.budget.spend():
             return False
         request.previous_wait_ms = wait
-        request.timer = self._set_timer(sleep, partial(self._wake, request, self._dispatch))
+        request.timer = self._set_timer(sleep, partial(self._on_request_timer, request, self._dispatch))
         return True
 
-    def _wake(self, request: Request, then: Callable[[Request], None]) -> None:
+    def _on_request_timer(self, request: Request, then: Callable[[Request], None]) -> None:
         request.timer, request.queue_number = None, 0
         then(request)
 
--- a/cloverrouter/decide/endpoint.py
+++ b/cloverrouter/decide/endpoint.py
@@ -7,10 +7,9 @@
 from cloverrouter.interface import EndpointState, ListedEndpoint, Safety
 
 # A server with pending requests counts as silent after this many mean gaps between responses; by chance that
-# happens once in e**5 times.
+# happens once in e**5 gaps.
 SILENT_GAPS = 5.0
-# Growth of a limit per round of responses: a surge has had some rounds before latencies show it.
-LIMIT_GROWTH = 0.25
+LIMIT_GROWTH = 0.25  # per round of responses; slow, as latencies show a surge only after some rounds
 INITIAL_LIMIT = 1.0  # requests in flight to an unknown server: many proxies may start at once
 
 
@@ -21,10 +20,10 @@
         self.all_means = all_means
         self.safety = safety
         self.listed, self.weight = listed, max(0.0, listed.weight)
-        self.earned, self.slowness = all_means.means()  # smoothed: worth share; latency / base latency
-        self.strain = 1.0  # smoothed; above 1 it is overloaded
+        self.earned, self.slowness = all_means.means()  # smoothed: share of worth; latency / base latency
+        self.strain = 1.0  # smoothed latency relative to its target; above 1: overloaded
         self.in_flight = 0
-        self.limit = INITIAL_LIMIT  # own requests in flight that it may have
+        self.limit = INITIAL_LIMIT  # maximum of this proxy's requests in flight to it
         self.latency_ms = 0.0  # smoothed, over all classes
         self.waiting_since_ms = 0.0  # start of the current wait for a response
         self.failures = 0  # in a row; a burst counts once
@@ -41,13 +40,13 @@
         self.cold_until_ms = self._cold_until_ms()
 
     def has_room(self, now_ms: float) -> bool:
+        """Returns whether it has a free slot: it may get another request now."""
         if self.down or now_ms < self.paused_until_ms:
             return False
         return not self.in_flight or (self.in_flight < self.limit and not self.silent(now_ms))
 
     def silent(self, now_ms: float) -> bool:
-        """Detects a hung or unreachable server before the first timeout: pending responses take several times
-        the usual gap between responses."""
+        """Detects a hung or unreachable server before a timeout: several mean gaps without a response."""
         if not self.in_flight or not self.latency_ms:
             return False
         return now_ms - self.waiting_since_ms > SILENT_GAPS * self.latency_ms / min(self.in_flight, 4)
@@ -60,16 +59,16 @@
 
     def reset(self) -> None:
         """Resets the estimates: the server is, or may be, a new process."""
-        self._set(*self.all_means.means())
+        self._set_estimates(*self.all_means.means())
         self.cold_credit, self.cold_credit_ms, self.restored_credit = 0.0, None, None
         self.down = False
 
-    def _set(self, earned: float, slowness: float) -> None:
+    def _set_estimates(self, earned: float, slowness: float) -> None:
         if self.learned_ms is not None:
             self.all_means.change(earned - self.earned, slowness - self.slowness)
         self.earned, self.slowness = earned, slowness
 
-    def answered(self, now_ms: float, latency_ms: float) -> None:
+    def record_response(self, now_ms: float, latency_ms: float) -> None:
         self.waiting_since_ms = now_ms
         self.failures = 0
         self.latency_ms += (SMOOTHING_GAIN if self.latency_ms else 1.0) * (latency_ms - self.latency_ms)
@@ -92,10 +91,10 @@
         self.learned_ms = now_ms
         self.decay_towards(SMOOTHING_GAIN, earned, slowness)
 
-    def adapt_limit(self, now_ms: float, latency_ms: float, strain: float, least: float) -> None:
+    def adapt_limit(self, now_ms: float, latency_ms: float, strain: float, min_limit: float) -> None:
         """Adapts the concurrency limit: slow growth while latencies are on target, reduction in proportion to
-        slowness otherwise. Overfed servers slow down, time out and congest. Below one, a pause follows each
-        response, as one request from each of many proxies is an overload already."""
+        slowness otherwise, as overloaded servers slow down, time out and congest. Below one, a pause follows
+        each response, as one request from each of many proxies is an overload already."""
         self.strain += SMOOTHING_GAIN * (strain - self.strain)
         if self.strain > 1:
             self.limit -= min(1.0, self.limit) * (1 - 1 / self.strain)
@@ -103,7 +102,7 @@
             self.limit = min(1.0, 2 * self.limit)
         elif self.in_flight + 1 >= self.limit:
             self.limit += LIMIT_GROWTH / self.limit
-        self.limit = max(least, self.limit)
+        self.limit = max(min_limit, self.limit)
         if self.limit < 1:
             rest_ms = latency_ms * (1 / self.limit - 1)
             self.paused_until_ms = max(self.paused_until_ms, now_ms + rest_ms)
@@ -111,7 +110,7 @@
     def decay_towards(self, share: float, earned: float, slowness: float) -> None:
         """Moves the estimates towards the mean of all: a server judged bad is never drawn, so nothing would
         show that it has recovered."""
-        self._set(
+        self._set_estimates(
             self.earned + share * (earned - self.earned), self.slowness + share * (slowness - self.slowness)
         )
 
@@ -141,7 +140,7 @@
         return float("-inf") if started_ms is None else started_ms + max(0.0, self.safety.cold_ms)
 
     def warmth(self, now_ms: float) -> float:
-        """Returns the share of its full capacity that it has at least."""
+        """Returns the fraction of its full capacity that it has at least, as it warms up."""
         started_ms = self._started_ms()
         if now_ms >= self.cold_until_ms or started_ms is None:
             return 1.0
@@ -149,6 +148,6 @@
         return min(1.0, self.safety.cold_share + (1 - self.safety.cold_share) * age)
 
     def score(self) -> float:
-        """The figure that two draws are compared by. Credit alone limits a cold server: lowering its score as
-        well would leave it idle while the warm ones are full."""
+        """Returns the figure by which two drawn servers are compared. Only credit limits a cold server: with
+        a lower score as well, it would be idle while the warm ones are full."""
         return self.earned / self.slowness / (1 + self.in_flight)
--- a/cloverrouter/decide/latency.py
+++ b/cloverrouter/decide/latency.py
@@ -4,10 +4,9 @@
 
 from cloverrouter.interface import RequestClass
 
-# Smoothing factor for observations of a server: about the last ten responses count.
-SMOOTHING_GAIN = 0.2
-# Target slowness: base latency plus this fraction of the slack that slow unloaded responses leave up to the
-# aim, within these bounds.
+SMOOTHING_GAIN = 0.2  # smoothing factor for observations of a server: about the last ten responses count
+# Target slowness: 1 plus this fraction of the slack between slow responses of unloaded servers and the aim,
+# within these bounds.
 SLOWNESS_SLACK = 0.5
 MIN_SLOWNESS, MAX_SLOWNESS = 1.25, 3.0
 BASE_WINDOW = 25  # responses in one sample of a class's base latency
@@ -19,12 +18,13 @@
     def __init__(self, cls: RequestClass) -> None:
         self.cls = cls
         self.mean_ms = cls.aim_ms / 4  # initial value
-        self.base_ms = cls.aim_ms / 4  # the running mean, until a window is full
+        self.base_ms = cls.aim_ms / 4  # the mean until a window is full
         self.slow_ratio = 2.0  # latency of slow unloaded responses as a multiple of base_ms
         self.seen = 0
         self._window: list[float] = []
 
     def add(self, latency_ms: float) -> None:
+        """Adds the latency of a successful response."""
         self.seen += 1
         self.mean_ms += max(1 / self.seen, SMOOTHING_GAIN / 10) * (latency_ms - self.mean_ms)
         self.mean_ms = max(self.mean_ms, 0.01)
@@ -51,5 +51,5 @@
 
     def target(self) -> float:
         """Returns the slowness up to which this class lets servers be loaded."""
-        room = self.cls.aim_ms / (self.base_ms * self.slow_ratio) - 1
-        return min(MAX_SLOWNESS, max(MIN_SLOWNESS, 1 + SLOWNESS_SLACK * room))
+        slack = self.cls.aim_ms / (self.base_ms * self.slow_ratio) - 1
+        return min(MAX_SLOWNESS, max(MIN_SLOWNESS, 1 + SLOWNESS_SLACK * slack))
--- a/cloverrouter/decide/membership.py
+++ b/cloverrouter/decide/membership.py
@@ -1,4 +1,4 @@
-"""Index of the servers: changes are cheap and a draw does not look at all of them."""
+"""Index of the servers, in which changes are cheap and a draw does not read all servers."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 from cloverrouter import indexes
 from cloverrouter.decide.endpoint import Endpoint
-from cloverrouter.decide.flow import crowded
+from cloverrouter.decide.flow import many_proxies
 from cloverrouter.interface import (
     DedupScope,
     EndpointEstimates,
@@ -19,11 +19,10 @@
     Settings,
 )
 
-# From this price of a zone crossing on, draws follow the zone shares filled by capacity alone; below it they
-# are mixed with even ones in proportion.
+# From this price of a zone crossing on, draws use the zone shares that avoid crossings; below it, a mix of
+# those and shares by weight, in proportion to the price.
 HIGH_PRICE = 0.05
-# Names of listed servers to remember, which tells an operator's typing error from a server that has left.
-MAX_REMEMBERED_NAMES = 50_000
+MAX_REMEMBERED_NAMES = 50_000  # of listed servers; tells a server that has left from a mistyped name
 MAX_SCANNED = 32  # maximum number of servers checked one by one when draws found none
 
 
@@ -56,6 +55,7 @@
         self.restored_estimates: dict[str, EndpointEstimates] = {}  # of endpoints not listed yet
 
     def update(self, event: EndpointsListed) -> None:
+        """Applies a list from discovery."""
         if event.kind is ListKind.FAILED:
             return  # keeps the old list
         if event.kind is not ListKind.DELTA:
@@ -63,21 +63,21 @@
             for name in [name for name in self.endpoints if name not in listed]:
                 self._drop(name)
         for entry in event.endpoints:
-            known = self.endpoints.get(entry.name)
+            endpoint = self.endpoints.get(entry.name)
             self.names.pop(entry.name, None)
             self.names[entry.name] = None
             if entry.state is EndpointState.GONE:
                 self._drop(entry.name)
-            elif known is None:
-                known = self.endpoints[entry.name] = Endpoint(entry, self.all_means, self.settings.safety)
-                known.cordoned, known.back_ms = entry.name in self.cordons, self.back_ms.get(entry.name)
-                known.update_listing(entry)
-                self._restore(known)
-                self._index(known)
-            elif known.listed != entry:
-                self._unindex(known)
-                known.update_listing(entry)
-                self._index(known)
+            elif endpoint is None:
+                endpoint = self.endpoints[entry.name] = Endpoint(entry, self.all_means, self.settings.safety)
+                endpoint.cordoned, endpoint.back_ms = entry.name in self.cordons, self.back_ms.get(entry.name)
+                endpoint.update_listing(entry)
+                self._restore(endpoint)
+                self._index(endpoint)
+            elif endpoint.listed != entry:
+                self._unindex(endpoint)
+                endpoint.update_listing(entry)
+                self._index(endpoint)
         while len(self.names) > MAX_REMEMBERED_NAMES:
             self.names.pop(next(iter(self.names)))
         self._assign_zone_shares()
@@ -128,12 +128,12 @@
 
     def _restore(self, endpoint: Endpoint) -> None:
         """Restores what the previous balancer learned, if the server is still the same process."""
-        memory = self.restored_estimates.pop(endpoint.listed.name, None)
-        if memory is None or not memory.is_same_process(endpoint.listed.started_ms):
+        estimates = self.restored_estimates.pop(endpoint.listed.name, None)
+        if estimates is None or not estimates.is_same_process(endpoint.listed.started_ms):
             return
-        endpoint.earned, endpoint.slowness = memory.earned, memory.slowness
-        endpoint.limit, endpoint.latency_ms = memory.limit, memory.latency_ms
-        endpoint.restored_credit = memory.cold_credit
+        endpoint.earned, endpoint.slowness = estimates.earned, estimates.slowness
+        endpoint.limit, endpoint.latency_ms = estimates.limit, estimates.latency_ms
+        endpoint.restored_credit = estimates.cold_credit
 
     def cordon(self, now_ms: float, name: str, on: bool) -> bool:
         """Sets or ends a cordon; False if the endpoint was never listed. It may be restarted meanwhile, which
@@ -163,7 +163,7 @@
 
         If crossings cost and each proxy used only its own zone, a zone with few servers would be overloaded
         while others idle. Zones are assumed to have equal traffic: what exceeds the capacity of a zone's
-        servers goes to zones with spare capacity, in proportion; nothing more needs to cross.
+        servers goes to zones with spare capacity, in proportion to it; nothing else crosses.
         """
         weights = {self.settings.zone: 0.0, **{zone: ring.weight for zone, ring in self.rings.items()}}
         total, even, home = sum(weights.values()), 1 / len(weights), self.settings.zone
@@ -172,16 +172,15 @@
         if total <= 0:
             return
         spare = {zone: max(0.0, weight / total - even) for zone, weight in weights.items()}
-        at_home = min(1.0, weights[home] / total / even)
-        away = max(sum(spare.values()), 1e-9)
-        dear = min(1.0, self.settings.prices.cross_zone / HIGH_PRICE) if crowded(self.settings) else 0.0
+        home_share = min(1.0, weights[home] / total / even)
+        total_spare = max(sum(spare.values()), 1e-9)
+        bias = min(1.0, self.settings.prices.cross_zone / HIGH_PRICE) if many_proxies(self.settings) else 0.0
         for zone, weight in weights.items():
-            filled = at_home if zone == home else (1 - at_home) * spare[zone] / away
-            self.shares[zone] = dear * filled + (1 - dear) * weight / total
+            filled = home_share if zone == home else (1 - home_share) * spare[zone] / total_spare
+            self.shares[zone] = bias * filled + (1 - bias) * weight / total
 
-    def spans(self, size: float, place: float) -> list[Span]:
-        """Returns the servers that this proxy uses: about `size`, zone by zone, starting at position `place`
-        (0 to 1) of each zone's ring."""
+    def spans(self, size: float, position: float) -> list[Span]:
+        """Returns this proxy's servers: about `size`, by zone, from `position` (0 to 1) of each ring on."""
         if self._spans_size == size:
             return self._spans
         self._spans_size, self._spans = size, []
@@ -189,12 +188,12 @@
             ring = self.rings.get(zone)
             if ring is not None and share > 1e-9:
                 wanted = min(len(ring.members), ceil(size * share - 1e-9))
-                self._spans.append((ring, int(place * len(ring.members)), wanted, share))
+                self._spans.append((ring, int(position * len(ring.members)), wanted, share))
         return self._spans
 
     @staticmethod
     def window(now_ms: float, spans: list[Span]) -> list[Endpoint]:
-        """Returns servers with room, zone by zone; those without are replaced by the next on the ring."""
+        """Returns servers with a free slot, by zone; the next on the ring replace those without."""
         found: list[Endpoint] = []
         for ring, start, wanted, share in spans:
             size, weight, mine = len(ring.members), 0.0, []
--- a/cloverrouter/decide/request.py
+++ b/cloverrouter/decide/request.py
@@ -13,6 +13,8 @@
 
 @dataclass(slots=True, eq=False)
 class Attempt:
+    """One attempt of a request."""
+
     endpoint: Endpoint
     sent_ms: float
     outcome: Outcome | None = None  # None: in flight
@@ -24,6 +26,8 @@
 
 @dataclass(slots=True, eq=False)
 class Request:
+    """One client request until it is answered and has no attempt in flight."""
+
     id: int
     cls: RequestClass | None
     arrived_ms: float
@@ -34,9 +38,9 @@
     out: int = 0  # attempts in flight
     previous_wait_ms: float = BACKOFF_BASE_MS
     repeat: bool = False  # marked as a retry by its client
-    on_time_until_ms: float = 0.0  # sent by then, it is likely to be answered within its aim
+    on_time_until_ms: float = 0.0  # if sent by then, it probably meets its aim
     timer: int | None = None  # token of its only pending timer
-    queue_number: int = 0  # its number in the queue; 0: not queued
+    queue_number: int = 0  # 0: not queued
     done: bool = False
     streaming: bool = False
     uploading: bool = False
--- a/cloverrouter/indexes.py
+++ b/cloverrouter/indexes.py
@@ -185,14 +185,14 @@
 
     def pop(self, now_ms: float, untried: bool) -> Entry[W] | None:
         """Removes and returns the next entry; considers untried requests only if `untried`."""
-        best, line = self.tried.top(now_ms), self.tried
+        best, source = self.tried.top(now_ms), self.tried
         if untried:
             other = self.untried.top(now_ms)
             if other is not None and (best is None or other > best):
-                best, line = other, self.untried
+                best, source = other, self.untried
         if best is None:
             return None
-        line.pop(best[0])
+        source.pop(best[0])
         return best[1]
 
     def put_back(self, entries: list[Entry[W]]) -> None:
@@ -200,13 +200,13 @@
         for entry in entries:
             insort((self.tried if entry[2].attempts else self.untried).on_time, entry)
 
-    def compact(self, most: int) -> None:
-        """Removes entries that are no longer queued once there are more than `most`."""
-        if len(self._ages) > most:
+    def compact(self, max_entries: int) -> None:
+        """Removes entries that are no longer queued once there are more than `max_entries`."""
+        if len(self._ages) > max_entries:
             self._ages = [entry for entry in self._ages if is_queued(entry)]
             heapify(self._ages)
-            for line in (self.untried, self.tried):
-                line.compact()
+            for source in (self.untried, self.tried):
+                source.compact()
 
     def __iter__(self) -> Iterator[W]:
         return (entry[2] for entry in (*self.untried.entries(), *self.tried.entries()))
--- a/tests/test_mechanism.py
+++ b/tests/test_mechanism.py
@@ -135,7 +135,7 @@
     assert driver.balancer.membership.endpoints["s3"].earned == pytest.approx(0.6)
 
 
-def test_no_server_holds_then_refuses_and_a_server_in_time_serves() -> None:
+def test_requests_without_servers_wait_and_are_served_in_time_or_refused() -> None:
     driver = Driver(endpoints=[])
     lost, actions = driver.request()
     assert actions == []
@@ -209,7 +209,7 @@
         replace(SETTINGS, proxies=0)
 
 
-def test_a_deadline_beyond_the_classs_is_kept_as_told() -> None:
+def test_a_client_deadline_beyond_that_of_the_class_is_kept() -> None:
     driver = Driver(replace(SETTINGS, classes=(replace(SAFE, late_worth=0.5),)), [endpoint("s1")])
     _, actions = driver.request(deadline_ms=driver.now_ms + 3 * SAFE.deadline_ms)
     assert isinstance(actions[0], Send) and actions[0].timeout_ms == 3 * SAFE.deadline_ms
@@ -253,7 +253,7 @@
     assert counts["cold"] > counts["warm"] / 4
 
 
-def crowd(*servers: ListedEndpoint) -> Driver:
+def one_of_many_proxies(*servers: ListedEndpoint) -> Driver:
     """Returns one of 60 proxies that has served some requests."""
     driver = Driver(replace(SETTINGS, proxies=60), servers)
     driver.serve(40)
@@ -263,10 +263,10 @@
 def test_slow_answers_of_cold_servers_leave_the_pool_open() -> None:
     """A cold server is slow by nature. If most servers are cold, their latencies must not close the pooled
     limit while the warm ones could serve."""
-    driver = crowd(*(endpoint(f"w{i}") for i in range(9)))
+    driver = one_of_many_proxies(*(endpoint(f"w{i}") for i in range(9)))
     driver.tell(delta(endpoint("cold", started_ms=driver.now_ms)))
     flow, cold = driver.balancer.flow, driver.balancer.membership.endpoints["cold"]
-    flow.limit, flow.strain = flow.start, 1.0
+    flow.limit, flow.strain = flow.initial_limit, 1.0
     warm = [e for e in driver.balancer.membership.ready if e is not cold]
     for _ in range(8):
         for e in warm:
@@ -280,20 +280,20 @@
         driver.end(request, Outcome.OK, slow_ms)
         driver.wait(100)
     assert flow.strain <= 1
-    assert flow.limit >= flow.start
+    assert flow.limit >= flow.initial_limit
 
 
 def test_slow_answers_of_warm_servers_close_the_pool() -> None:
-    driver = crowd(*(endpoint(f"w{i}") for i in range(10)))
+    driver = one_of_many_proxies(*(endpoint(f"w{i}") for i in range(10)))
     flow = driver.balancer.flow
-    flow.limit = flow.start
+    flow.limit = flow.initial_limit
     for _ in range(20):
         request, _ = driver.request()
         driver.wait(300)
         if request in driver.sent:
             driver.end(request, Outcome.OK, 300.0)
     assert flow.strain > 1
-    assert flow.limit < flow.start
+    assert flow.limit < flow.initial_limit
 
 
 def test_no_cold_server_outside_the_window_is_sent_anything() -> None:
@@ -330,7 +330,7 @@
     def earned() -> float:
         """Returns the credit earned in 10 ms at the present window."""
         cold.cold_credit, cold.cold_credit_ms = 0.0, driver.now_ms - 10
-        balancer._cold_room(request, cold)
+        balancer._has_cold_credit(request, cold)
         return cold.cold_credit
 
     before = earned()
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -85,7 +85,7 @@
 def test_cold_server_gets_less_than_its_share_until_warm() -> None:
     """A server that has just started fails under a warm server's share of the load."""
 
-    def crowd(rounds: int) -> list[str]:
+    def send_rounds(rounds: int) -> list[str]:
         """Sends rounds of ten requests at once, served within 100 ms; returns the servers used."""
         names = []
         for _ in range(rounds):
@@ -97,12 +97,12 @@
         return names
 
     driver = Driver()
-    crowd(100)
+    send_rounds(100)
     driver.tell(delta(endpoint("new", started_ms=driver.now_ms)))
-    cold = crowd(30)  # 3 s of the 10 s that the warm-up may take
+    cold = send_rounds(30)  # 3 s of the 10 s that the warm-up may take
     assert 0 < cold.count("new") < len(cold) / 4 * 0.6
     driver.wait(10_000)
-    warm = crowd(30)
+    warm = send_rounds(30)
     assert warm.count("new") > len(warm) / 4 * 0.8
 
 
@@ -155,13 +155,13 @@
     driver.serve(30)
     server = driver.balancer.membership.endpoints["s1"]
     for _ in range(20):
-        server.adapt_limit(driver.now_ms, 100.0, 3.0, least=0.1)
+        server.adapt_limit(driver.now_ms, 100.0, 3.0, min_limit=0.1)
     assert server.limit == pytest.approx(0.1)
     assert not server.has_room(driver.now_ms + 899)  # a pause: one request in flight for a tenth of the time
     assert server.has_room(driver.now_ms + 901)
     for _ in range(60):
         server.in_flight = int(server.limit)
-        server.adapt_limit(driver.now_ms, 50.0, 0.5, least=0.1)
+        server.adapt_limit(driver.now_ms, 50.0, 0.5, min_limit=0.1)
     assert 3 < server.limit < 8  # grows slowly: a surge has had some rounds before latencies show it
 
 
@@ -240,11 +240,11 @@
     assert driver.balancer.flow.has_room(driver.now_ms)
 
 
-def test_no_repeat_while_an_attempt_is_out_where_that_is_forbidden() -> None:
+def test_no_parallel_attempt_where_that_is_forbidden() -> None:
     driver = Driver()
     request, _ = driver.request()
-    held = driver.balancer.requests[request]
-    assert not any(driver.balancer._may_send(held, e) for e in driver.balancer.membership.ready)
+    tracked = driver.balancer.requests[request]
+    assert not any(driver.balancer._may_send(tracked, e) for e in driver.balancer.membership.ready)
 
 
 def test_may_send_alone_enforces_the_rules() -> None:
@@ -254,19 +254,19 @@
     server = driver.balancer.membership.endpoints["s1"]
     for class_name, past_window in (("once", 0), ("keyed", 900)):
         request, _ = driver.request(class_name)
-        held = driver.balancer.requests[request]
-        held.attempts[0].outcome, held.out = Outcome.REJECTED, 0
+        tracked = driver.balancer.requests[request]
+        tracked.attempts[0].outcome, tracked.out = Outcome.REJECTED, 0
         driver.wait(past_window)
         driver.tell()
-        assert driver.balancer._may_send(held, server)
-        held.attempts[0].outcome = Outcome.TIMEOUT
-        assert not driver.balancer._may_send(held, server)
+        assert driver.balancer._may_send(tracked, server)
+        tracked.attempts[0].outcome = Outcome.TIMEOUT
+        assert not driver.balancer._may_send(tracked, server)
     request, _ = driver.request("keyed")
-    held = driver.balancer.requests[request]
-    held.out = 0
-    assert driver.balancer._may_send(held, server)
+    tracked = driver.balancer.requests[request]
+    tracked.out = 0
+    assert driver.balancer._may_send(tracked, server)
     server.listed = replace(server.listed, state=EndpointState.DRAINING)
-    assert not driver.balancer._may_send(held, server)
+    assert not driver.balancer._may_send(tracked, server)
 
 
 def test_attempts_end_with_the_aim_where_late_answers_earn_nothing() -> None:
@@ -289,7 +289,7 @@
         assert (limit < 4) == shrinks
 
 
-def test_the_class_with_the_least_room_sets_the_target_for_all() -> None:
+def test_the_class_with_the_least_slack_sets_the_target_for_all() -> None:
     """Servers loaded up to the target of a class with much slack would be too slow for the tight class."""
     roomy = replace(SAFE, name="roomy", aim_ms=5000, deadline_ms=8000)
     driver = Driver(replace(SETTINGS, classes=(SAFE, roomy)))
@@ -299,7 +299,7 @@
     assert driver.balancer._target() < alone / 1.5
 
 
-def test_all_attempts_out_together_stay_under_the_part_of_one_of_many_proxies() -> None:
+def test_attempts_in_flight_together_stay_within_the_share_of_one_of_many_proxies() -> None:
     """One request per server is no limit if each of hundreds of proxies allows itself that."""
     servers = [endpoint(f"s{i}") for i in range(10)]
     many = Balancer(replace(SETTINGS, proxies=300), seed=1)
@@ -330,17 +330,17 @@
     flow = driver.balancer.flow
     for _ in range(200):
         flow.out += 1
-        flow.ended(driver.now_ms, 900, 3.0)
-    assert flow.limit == flow.least > 0
+        flow.record_end(driver.now_ms, 900, 3.0)
+    assert flow.limit == flow.min_limit > 0
     for _ in range(300):
         flow.out += 1
-        flow.ended(driver.now_ms, 50, 0.3)
-    assert flow.limit == flow.start  # no further growth without demand
+        flow.record_end(driver.now_ms, 50, 0.3)
+    assert flow.limit == flow.initial_limit  # no further growth without demand
     for _ in range(300):
         flow.out = int(flow.limit) + 1
         assert not flow.has_room(driver.now_ms)
-        flow.ended(driver.now_ms, 50, 0.3)
-    assert flow.limit > 2 * flow.start
+        flow.record_end(driver.now_ms, 50, 0.3)
+    assert flow.limit > 2 * flow.initial_limit
 
 
 def test_busy_proxy_among_many_reaches_its_traffic_within_a_few_rounds() -> None:
@@ -353,7 +353,7 @@
         for _ in range(int(flow.limit)):
             flow.out = int(flow.limit) + 1
             flow.has_room(driver.now_ms)
-            flow.ended(driver.now_ms, 50, 0.5)
+            flow.record_end(driver.now_ms, 50, 0.5)
     assert flow.limit > 1.8 * first
 
 
@@ -389,7 +389,7 @@
 
 def window(driver: Driver) -> list[Endpoint]:
     balancer = driver.balancer
-    return balancer._window_with_room(
+    return balancer._available_window(
         balancer.membership.spans(balancer._window_size(), balancer.ring_position)
     )
 
@@ -403,7 +403,7 @@
     assert len(after) == len(before) and before[0] not in after
 
 
-def test_held_requests_that_can_make_their_aim_go_before_those_that_cannot() -> None:
+def test_queued_requests_that_can_meet_their_aim_go_before_those_that_cannot() -> None:
     """In an overload, serving those that have waited longest makes them late and delays the next ones as
     well."""
     classes = (replace(SAFE, late_worth=0.5), replace(UNSAFE, late_worth=0.5))
@@ -416,7 +416,7 @@
     assert [a.request_id for a in actions if isinstance(a, Send)] == [fresh, 900]
 
 
-def test_held_only_while_the_aim_can_be_met_and_never_past_the_deadline() -> None:
+def test_queued_only_while_the_aim_can_be_met_and_never_past_the_deadline() -> None:
     """Requests queued for long are served late, or their client is gone before the answer."""
     config = replace(SETTINGS, proxies=300, classes=(replace(SAFE, late_worth=0.5),))
     driver = Driver(config, endpoints=[])
@@ -435,11 +435,11 @@
     driver = Driver(config, [endpoint("s1")])
     for _ in range(8):
         driver.request("safe")
-    held = list(driver.balancer.queue)
-    assert len(held) > 2 and not [a for a in driver.log if isinstance(a, Refuse)]
+    queued = list(driver.balancer.queue)
+    assert len(queued) > 2 and not [a for a in driver.log if isinstance(a, Refuse)]
     driver.wait(20)
     driver.request("safe")
     # At once, not at its timeout.
     (refused,) = [a.request_id for a in driver.log if isinstance(a, Refuse)]
-    assert refused == min(request.id for request in held)
+    assert refused == min(request.id for request in queued)
     assert len(driver.balancer.requests) == 8
