--- a/cloverrouter/core/engine.py
+++ b/cloverrouter/core/engine.py
@@ -17,7 +17,7 @@
 
 
 class Engine:
-    """Takes events, asks the decision module, and passes effects to the driver."""
+    """Handles events: asks the decision module and passes effects to the driver."""
 
     def __init__(
         self,
--- a/cloverrouter/core/lifecycle.py
+++ b/cloverrouter/core/lifecycle.py
@@ -134,7 +134,7 @@
         self.calls: dict[int, Call] = {}
         self.open_calls = 0  # calls that are not final
         self.halted = False
-        # attempts that started up to then cannot be timed, because the clock stood still
+        # attempts sent up to then have no measurable latency, because the clock stood still
         self.untimed_until_ms = float("-inf")
 
     # Events
@@ -421,8 +421,8 @@
         return []
 
     def _abort_unsent(self, now_ms: float, unwanted: Callable[[Attempt], bool]) -> list[Effect]:
-        """Aborts unsent attempts; one that is still connecting to a draining endpoint could be sent after the
-        grace period."""
+        """Aborts unsent attempts for which `unwanted` returns True. One that is still connecting to a
+        draining endpoint could otherwise be sent after the grace period."""
         effects: list[Effect] = []
         for call in list(self.calls.values()):
             for attempt in list(call.out.values()):
--- a/cloverrouter/decide/balancer.py
+++ b/cloverrouter/decide/balancer.py
@@ -642,8 +642,8 @@
         else:
             self._record_failure(attempt.endpoint, class_latency, outcome)
 
-    def _record_failure(self, endpoint: Endpoint, class_latency: ClassLatency, outcome: Outcome) -> None:
-        endpoint.failed(self.now_ms, class_latency.base_ms, self.longest_deadline_ms / 2, outcome in BROKEN)
+    def _record_failure(self, endpoint: Endpoint, latency: ClassLatency, outcome: Outcome) -> None:
+        endpoint.failed(self.now_ms, latency.base_ms, self.longest_deadline_ms / 2, outcome in BROKEN)
 
     def _on_stream(self, event: StreamStarted) -> None:
         request = self.requests.get(event.request_id)
--- a/cloverrouter/decide/flow.py
+++ b/cloverrouter/decide/flow.py
@@ -34,7 +34,7 @@
         self._many_proxies = many_proxies(settings)
         self.limit = 0.0  # unset until servers are known
         self.initial_limit = self.min_limit = 0.0
-        self.out = 0  # attempts in flight
+        self.out = 0
         self.strain = 1.0  # smoothed latency relative to its target; above 1: overloaded
         self.paused_until_ms = 0.0
         self.due_ms = 0.0  # when the next attempt is due if attempts are evenly spaced
