--- a/cloverrouter/core/engine.py
+++ b/cloverrouter/core/engine.py
@@ -35,7 +35,7 @@
         self._events: list[Event] = []
         self._deciding = False
 
-    def take(self, event: LifecycleEvent) -> None:
+    def handle(self, event: LifecycleEvent) -> None:
         """Handles an event and everything that follows from it."""
         effects = self.lifecycle.on(self._clock(), event)
         if effects:
--- a/cloverrouter/core/lifecycle.py
+++ b/cloverrouter/core/lifecycle.py
@@ -108,7 +108,7 @@
 class Call:
     """One call, until it is final and has no attempt in flight."""
 
-    __slots__ = ("attempt_count", "body_consumed", "deadline_ms", "id", "out", "state", "uploaded")
+    __slots__ = ("attempt_count", "body_consumed", "deadline_ms", "id", "in_flight", "state", "uploaded")
 
     def __init__(self, call_id: int, deadline_ms: float | None, uploading: bool) -> None:
         self.id = call_id
@@ -117,7 +117,7 @@
         self.uploaded = uploading  # its time starts with its last byte
         self.body_consumed = False
         self.attempt_count = 0
-        self.out: dict[int, Attempt] = {}
+        self.in_flight: dict[int, Attempt] = {}
 
 
 class Lifecycle:
@@ -146,19 +146,19 @@
         """
         # The three events of every request come first and use the cheapest checks.
         if type(event) is RequestWritten:
-            self._written(now_ms, event.call, event.attempt)
+            self._request_written(now_ms, event.call, event.attempt)
             return []
         if type(event) is AttemptFinished:
-            return self._ended(now_ms, event)
+            return self._attempt_finished(now_ms, event)
         if type(event) is RequestArrived:
-            return self._arrived(event)
+            return self._request_arrived(event)
         match event:
             case TimerFired() | ShareAssigned() | Cordon() | ProbeEnded():
                 return [NotifyBalancer(event)]
             case AttemptTimedOut(call_id, number):
-                return self._time_up(now_ms, call_id, number)
+                return self._attempt_timed_out(now_ms, call_id, number)
             case SendWindowExpired(call_id, number):
-                return self._too_late(now_ms, call_id, number)
+                return self._send_window_expired(now_ms, call_id, number)
             case ClientDisconnected(call_id):
                 return self._client_disconnected(now_ms, call_id)
             case ResponseStarted(call_id, number):
@@ -169,21 +169,21 @@
                     attempt.state = AttemptState.HELD
                 return []
             case RequestCompleted(call_id):
-                return self._completed(event)
+                return self._request_completed(event)
             case BodyConsumed(call_id):
-                return self._body_taken(call_id)
+                return self._body_consumed(call_id)
             case TargetsListed():
-                return self._listed(now_ms, event)
+                return self._targets_listed(now_ms, event)
             case ProcessHalted():
-                return self._halted(now_ms)
+                return self._process_halted(now_ms)
             case _:
                 raise ValueError(f"not an event: {event!r}")
 
     def _find(self, call_id: int, number: int) -> Attempt | None:
         call = self.calls.get(call_id)
-        return call.out.get(number) if call is not None else None
+        return call.in_flight.get(number) if call is not None else None
 
-    def _arrived(self, event: RequestArrived) -> list[Effect]:
+    def _request_arrived(self, event: RequestArrived) -> list[Effect]:
         if event.request_id in self.calls:
             raise ValueError(f"call {event.request_id} arrived twice")
         if self.halted:
@@ -192,7 +192,7 @@
         self.open_calls += 1
         return [NotifyBalancer(event)]
 
-    def _halted(self, now_ms: float) -> list[Effect]:
+    def _process_halted(self, now_ms: float) -> list[Effect]:
         """Fails pending calls, which is a valid answer in every state of their attempts. Responses that are
         being streamed continue as long as the process does."""
         self.halted = True
@@ -202,7 +202,7 @@
                 effects += self._finish_call(now_ms, call, CallState.ANSWERED, DeliverFailure(call.id))
         return effects
 
-    def _completed(self, event: RequestCompleted) -> list[Effect]:
+    def _request_completed(self, event: RequestCompleted) -> list[Effect]:
         call = self.calls.get(event.request_id)
         if call is None or call.state.final:
             return []
@@ -211,18 +211,18 @@
             call.state = CallState.OPEN
         return [NotifyBalancer(event)]
 
-    def _body_taken(self, call_id: int) -> list[Effect]:
+    def _body_consumed(self, call_id: int) -> list[Effect]:
         call = self.calls.get(call_id)
         if call is not None:
             call.body_consumed = True
-            for attempt in call.out.values():
+            for attempt in call.in_flight.values():
                 if attempt.state is AttemptState.CONNECTING:
                     attempt.state = AttemptState.WRITING
         return []
 
-    def _written(self, now_ms: float, call_id: int, number: int) -> None:
+    def _request_written(self, now_ms: float, call_id: int, number: int) -> None:
         call = self.calls.get(call_id)
-        attempt = call.out.get(number) if call is not None else None
+        attempt = call.in_flight.get(number) if call is not None else None
         if attempt is not None and attempt.state in UNSENT:
             attempt.state, attempt.written_ms = AttemptState.WRITTEN, now_ms
 
@@ -241,13 +241,13 @@
             return []
         attempt.state, call.state = AttemptState.STREAMING, CallState.STREAMING
         effects: list[Effect] = [StartStreaming(call_id, number)]
-        for other in list(call.out.values()):
+        for other in list(call.in_flight.values()):
             if other is not attempt:
                 effects += self._abort(now_ms, call, other, Outcome.CANCELLED)
         latency_ms = self._latency_ms(now_ms, call, attempt)
         return [*effects, NotifyBalancer(StreamStarted(call_id, number, latency_ms))]
 
-    def _time_up(self, now_ms: float, call_id: int, number: int) -> list[Effect]:
+    def _attempt_timed_out(self, now_ms: float, call_id: int, number: int) -> list[Effect]:
         call, attempt = self.calls.get(call_id), self._find(call_id, number)
         if call is None or attempt is None or attempt.state is AttemptState.STREAMING:
             return []
@@ -255,15 +255,15 @@
             return [StreamHeldResponse(call_id, number)]  # its first bytes arrived in time
         return self._abort_and_release(now_ms, call, attempt, Outcome.TIMEOUT)
 
-    def _too_late(self, now_ms: float, call_id: int, number: int) -> list[Effect]:
+    def _send_window_expired(self, now_ms: float, call_id: int, number: int) -> list[Effect]:
         call, attempt = self.calls.get(call_id), self._find(call_id, number)
         if call is None or attempt is None or not attempt.state.unsent:
             return []
         return self._abort_and_release(now_ms, call, attempt, Outcome.NOT_SENT)
 
-    def _ended(self, now_ms: float, event: AttemptFinished) -> list[Effect]:
+    def _attempt_finished(self, now_ms: float, event: AttemptFinished) -> list[Effect]:
         call = self.calls.get(event.call)
-        attempt = call.out.get(event.attempt) if call is not None else None
+        attempt = call.in_flight.get(event.attempt) if call is not None else None
         if call is None or attempt is None:
             return []
         latency_ms = self._latency_ms(now_ms, call, attempt)
@@ -276,12 +276,12 @@
         elif served and event.answer is not None and call.state not in FINAL:
             effects = self._make_final(now_ms, call, CallState.ANSWERED)
             effects.append(DeliverResponse(call.id, event.answer))
-        if not call.out:
+        if not call.in_flight:
             effects += self._release_if_done(call)
         effects.append(self._ended_notification(call, attempt, event.outcome, latency_ms, event.report))
         return effects
 
-    def _listed(self, now_ms: float, event: TargetsListed) -> list[Effect]:
+    def _targets_listed(self, now_ms: float, event: TargetsListed) -> list[Effect]:
         self._targets = dict(event.targets)
         effects: list[Effect] = [NotifyBalancer(event.event)]
         return effects + self._abort_unsent(now_ms, lambda a: self._targets.get(a.endpoint) != a.target)
@@ -332,10 +332,10 @@
         if call.deadline_ms is not None:
             timeout_ms = min(timeout_ms, call.deadline_ms - now_ms)
         # A body that is not kept can be read by one attempt only; another one would send a part of it.
-        body_in_use = call.body_consumed or (call.uploaded and call.out)
+        body_in_use = call.body_consumed or (call.uploaded and call.in_flight)
         if call.state.final or body_in_use or target is None or min(timeout_ms, action.send_within_ms) <= 0:
             return [NotifyBalancer(AttemptEnded(call.id, number, Outcome.NOT_SENT, 0.0, call.state.final))]
-        call.out[number] = Attempt(number, action.endpoint, target, now_ms)
+        call.in_flight[number] = Attempt(number, action.endpoint, target, now_ms)
         uploading = call.state is CallState.UPLOADING
         due_ms = None if uploading else min(timeout_ms, self._longest_ms)
         # If the timeout comes first, it aborts the unsent attempt anyway.
@@ -361,7 +361,7 @@
             return effects
         call.state = state
         self.open_calls -= 1
-        for attempt in list(call.out.values()):
+        for attempt in list(call.in_flight.values()):
             if attempt.state.unsent:
                 effects += self._abort(now_ms, call, attempt, Outcome.NOT_SENT)
         return effects
@@ -373,7 +373,7 @@
             *answer,
             NotifyBalancer(ClientDisconnected(call.id)),
         ]
-        for attempt in list(call.out.values()):
+        for attempt in list(call.in_flight.values()):
             effects += self._abort(now_ms, call, attempt, Outcome.CANCELLED)
         return effects + self._release_if_done(call)
 
@@ -396,7 +396,7 @@
     @staticmethod
     def _end_attempt(call: Call, attempt: Attempt) -> None:
         attempt.state = AttemptState.ENDED
-        del call.out[attempt.number]
+        del call.in_flight[attempt.number]
 
     @staticmethod
     def _ended_notification(
@@ -416,7 +416,7 @@
         return max(0.0, now_ms - since_ms) if since_ms > self.untimed_until_ms else 0.0
 
     def _release_if_done(self, call: Call) -> list[Effect]:
-        if call.state in FINAL and not call.out and self.calls.pop(call.id, None) is not None:
+        if call.state in FINAL and not call.in_flight and self.calls.pop(call.id, None) is not None:
             return [ReleaseCall(call.id)]
         return []
 
@@ -425,7 +425,7 @@
         draining endpoint could otherwise be sent after the grace period."""
         effects: list[Effect] = []
         for call in list(self.calls.values()):
-            for attempt in list(call.out.values()):
+            for attempt in list(call.in_flight.values()):
                 if attempt.state.unsent and unwanted(attempt):
                     effects += self._abort(now_ms, call, attempt, Outcome.NOT_SENT)
             effects += self._release_if_done(call)
--- a/cloverrouter/core/shutdown.py
+++ b/cloverrouter/core/shutdown.py
@@ -68,7 +68,7 @@
     """What the driver observes at one check."""
 
     open_calls: int  # calls without a final answer
-    open: int  # client connections
+    open_connections: int  # client connections
     others_accept: bool = False  # another process accepts new connections
     no_connection_waiting: bool = False  # `ACCEPT_WAITING` has just found no connection
     connection_accepted: bool = False  # `ACCEPT_WAITING` has just accepted a connection
@@ -105,7 +105,7 @@
             return []
         if seen.open_calls:
             self._last_open_call_s = now_s
-        if seen.open:
+        if seen.open_connections:
             self._last_connection_s = now_s
         expects_connections = not seen.others_accept and now_s < self._begun_s + NEW_CONNECTIONS_S
         if self.stage is Stage.DRAINING and not expects_connections:
@@ -126,8 +126,10 @@
         idle_s = now_s - self._last_open_call_s
         # Requests cut off by the process's own exit count as lost; those that SIGKILL interrupts do not.
         # Responses that the client does not read end by themselves (`ClientConnection.check`).
-        stuck = bool(seen.open) and idle_s >= 2 * INCOMPLETE_REQUEST_S and not seen.data_in_transit
-        if not seen.open_calls and (stuck or not seen.open):
+        stuck = (
+            bool(seen.open_connections) and idle_s >= 2 * INCOMPLETE_REQUEST_S and not seen.data_in_transit
+        )
+        if not seen.open_calls and (stuck or not seen.open_connections):
             if seen.others_accept or seen.no_connection_waiting:
                 self.stage = Stage.OVER
                 return []
--- a/cloverrouter/decide/balancer.py
+++ b/cloverrouter/decide/balancer.py
@@ -237,7 +237,7 @@
         if not attempt.endpoint.in_flight:
             attempt.endpoint.waiting_since_ms = self.now_ms
         attempt.endpoint.in_flight += 1
-        self.flow.out += 1
+        self.flow.in_flight += 1
 
     def _dispatch(self, request: Request) -> None:
         """Sends the request's next attempt now, or queues it until a server has a free slot."""
@@ -253,7 +253,7 @@
 
     def _try_send(self, request: Request) -> Endpoint | None:
         """Sends to a server that has a free slot and may get the request; returns it, or None."""
-        if not self.flow.has_room(self.now_ms):
+        if not self.flow.has_slot(self.now_ms):
             return None
         spans = self.membership.spans(self._window_size(), self.ring_position)
         # After a cordon a cold server would lose every draw against warm ones, and operators would see it get
@@ -272,7 +272,7 @@
 
     def _has_slot(self, endpoint: Endpoint) -> bool:
         """Returns whether it has a free slot; else notes when its pause ends, to check the queue then."""
-        if endpoint.has_room(self.now_ms):
+        if endpoint.has_slot(self.now_ms):
             return True
         below_limit = not endpoint.down and endpoint.in_flight < max(1.0, endpoint.limit)
         if below_limit and self.now_ms < endpoint.paused_until_ms:
@@ -451,7 +451,7 @@
             return
         aside: list[Entry[Request]] = []
         while len(aside) < MAX_SCANNED:
-            if not self.flow.has_room(self.now_ms):
+            if not self.flow.has_slot(self.now_ms):
                 self.resume_ms = min(self.resume_ms, self.flow.paused_until_ms)
                 break
             top = queue.pop(self.now_ms, untried=not self.untried_blocked)
@@ -483,7 +483,7 @@
         limits = self.settings.limits
         if request.done or request.streaming or len(request.attempts) >= limits.max_attempts:
             return False
-        if request.out and not limits.parallel_attempts:
+        if request.in_flight and not limits.parallel_attempts:
             return False
         # No new work for a server that is draining or gone.
         if endpoint.listed.state is not EndpointState.READY or endpoint.cordoned:
@@ -561,7 +561,7 @@
         request.attempts.append(attempt)
         # Otherwise a slow connection could deliver the request after servers stop deduplicating it.
         within_ms = inf if request.uploading else request.dedup_until_ms() - self.now_ms
-        request.out += 1
+        request.in_flight += 1
         timeout_ms = 0.0
         if not request.uploading:
             self._count_in_flight(attempt)
@@ -576,7 +576,7 @@
         if attempt.outcome is not None:
             return
         attempt.outcome = event.outcome
-        request.out -= 1
+        request.in_flight -= 1
         if event.outcome is Outcome.OK:
             self.budget.earn()
         self._learn(request, attempt, event.outcome, event.latency_ms, self._reported_slowness(event.report))
@@ -586,7 +586,7 @@
             self._drop_if_over(request)
         elif event.body_consumed:
             self._give_up(request)
-        elif not request.out and not request.streaming:
+        elif not request.in_flight and not request.streaming:
             self._retry(request)
 
     def _target(self) -> float:
@@ -636,14 +636,14 @@
         if outcome in SERVED:
             attempt.endpoint.record_response(self.now_ms, latency_ms)
         if outcome in TIMED:
-            strain = max(class_latency.slowness(latency_ms), reported) / self._target()
+            load_ratio = max(class_latency.slowness(latency_ms), reported) / self._target()
             min_limit = MIN_LIMIT if self.many_proxies else 1.0
-            attempt.endpoint.adapt_limit(self.now_ms, min(latency_ms, good_ms), strain, min_limit)
+            attempt.endpoint.adapt_limit(self.now_ms, min(latency_ms, good_ms), load_ratio, min_limit)
         else:
             self._record_failure(attempt.endpoint, class_latency, outcome)
 
     def _record_failure(self, endpoint: Endpoint, latency: ClassLatency, outcome: Outcome) -> None:
-        endpoint.failed(self.now_ms, latency.base_ms, self.longest_deadline_ms / 2, outcome in BROKEN)
+        endpoint.record_failure(self.now_ms, latency.base_ms, self.longest_deadline_ms / 2, outcome in BROKEN)
 
     def _on_stream(self, event: StreamStarted) -> None:
         request = self.requests.get(event.request_id)
@@ -693,7 +693,7 @@
         self._drop_if_over(request)
 
     def _drop_if_over(self, request: Request) -> None:
-        if not request.out:
+        if not request.in_flight:
             self.requests.pop(request.id, None)
 
     # Timers
--- a/cloverrouter/decide/endpoint.py
+++ b/cloverrouter/decide/endpoint.py
@@ -21,7 +21,7 @@
         self.safety = safety
         self.listed, self.weight = listed, max(0.0, listed.weight)
         self.earned, self.slowness = all_means.means()  # smoothed: share of worth; latency / base latency
-        self.strain = 1.0  # smoothed latency relative to its target; above 1: overloaded
+        self.load_ratio = 1.0  # smoothed latency relative to its target; above 1: overloaded
         self.in_flight = 0
         self.limit = INITIAL_LIMIT  # maximum of this proxy's requests in flight to it
         self.latency_ms = 0.0  # smoothed, over all classes
@@ -39,7 +39,7 @@
         self.unused = False  # it has been sent nothing since then
         self.cold_until_ms = self._cold_until_ms()
 
-    def has_room(self, now_ms: float) -> bool:
+    def has_slot(self, now_ms: float) -> bool:
         """Returns whether it has a free slot: it may get another request now."""
         if self.down or now_ms < self.paused_until_ms:
             return False
@@ -73,7 +73,7 @@
         self.failures = 0
         self.latency_ms += (SMOOTHING_GAIN if self.latency_ms else 1.0) * (latency_ms - self.latency_ms)
 
-    def failed(self, now_ms: float, pause_ms: float, longest_ms: float, broken: bool = False) -> None:
+    def record_failure(self, now_ms: float, pause_ms: float, longest_ms: float, broken: bool = False) -> None:
         """Pauses a server that rejects or fails requests, twice as long each time, and halves its limit. A
         server that fails at once would otherwise attract and fail more than its share."""
         if now_ms >= self.paused_until_ms:
@@ -91,13 +91,13 @@
         self.learned_ms = now_ms
         self.decay_towards(SMOOTHING_GAIN, earned, slowness)
 
-    def adapt_limit(self, now_ms: float, latency_ms: float, strain: float, min_limit: float) -> None:
+    def adapt_limit(self, now_ms: float, latency_ms: float, load_ratio: float, min_limit: float) -> None:
         """Adapts the concurrency limit: slow growth while latencies are on target, reduction in proportion to
         slowness otherwise, as overloaded servers slow down, time out and congest. Below one, a pause follows
         each response, as one request from each of many proxies is an overload already."""
-        self.strain += SMOOTHING_GAIN * (strain - self.strain)
-        if self.strain > 1:
-            self.limit -= min(1.0, self.limit) * (1 - 1 / self.strain)
+        self.load_ratio += SMOOTHING_GAIN * (load_ratio - self.load_ratio)
+        if self.load_ratio > 1:
+            self.limit -= min(1.0, self.limit) * (1 - 1 / self.load_ratio)
         elif self.limit < 1:
             self.limit = min(1.0, 2 * self.limit)
         elif self.in_flight + 1 >= self.limit:
--- a/cloverrouter/decide/flow.py
+++ b/cloverrouter/decide/flow.py
@@ -34,8 +34,8 @@
         self._many_proxies = many_proxies(settings)
         self.limit = 0.0  # unset until servers are known
         self.initial_limit = self.min_limit = 0.0
-        self.out = 0
-        self.strain = 1.0  # smoothed latency relative to its target; above 1: overloaded
+        self.in_flight = 0
+        self.load_ratio = 1.0  # smoothed latency relative to its target; above 1: overloaded
         self.paused_until_ms = 0.0
         self.due_ms = 0.0  # when the next attempt is due if attempts are evenly spaced
         self.limit_reached = False  # an attempt was blocked since the last one ended
@@ -49,21 +49,21 @@
             self.limit *= min(1.0, self.initial_limit / before)
         self.limit = max(self.limit, self.min_limit) if self.limit else self.initial_limit
 
-    def has_room(self, now_ms: float) -> bool:
+    def has_slot(self, now_ms: float) -> bool:
         if not self._many_proxies:
             return True
-        available = self.out < max(1.0, self.limit) and now_ms >= self.paused_until_ms
+        available = self.in_flight < max(1.0, self.limit) and now_ms >= self.paused_until_ms
         self.limit_reached = self.limit_reached or not available
         return available
 
-    def record_end(self, now_ms: float, attempt_ms: float, strain: float | None) -> None:
+    def record_end(self, now_ms: float, attempt_ms: float, load_ratio: float | None) -> None:
         """Adapts the limit at the end of an attempt that usually takes `attempt_ms`."""
         limit_reached, self.limit_reached = self.limit_reached, False
-        self.out -= 1
-        if strain is not None:
-            self.strain += SMOOTHING_GAIN * (strain - self.strain)
-            if self.strain > 1:
-                self.limit -= min(1.0, self.limit) * (1 - 1 / self.strain)
+        self.in_flight -= 1
+        if load_ratio is not None:
+            self.load_ratio += SMOOTHING_GAIN * (load_ratio - self.load_ratio)
+            if self.load_ratio > 1:
+                self.limit -= min(1.0, self.limit) * (1 - 1 / self.load_ratio)
             elif self.limit < self.initial_limit:
                 self.limit = min(self.initial_limit, 2 * self.limit)
             elif limit_reached:
@@ -74,4 +74,4 @@
             # nothing is overloaded: with many such proxies the bursts even out.
             pause_ms = attempt_ms * (1 / self.limit - 1)
             self.due_ms = max(self.due_ms, now_ms) + pause_ms
-            self.paused_until_ms = self.due_ms - (FLOW_BURST * pause_ms if self.strain <= 1 else 0.0)
+            self.paused_until_ms = self.due_ms - (FLOW_BURST * pause_ms if self.load_ratio <= 1 else 0.0)
--- a/cloverrouter/decide/membership.py
+++ b/cloverrouter/decide/membership.py
@@ -199,7 +199,7 @@
             size, weight, mine = len(ring.members), 0.0, []
             for i in range(start, start + min(size, wanted + MAX_SCANNED)):
                 e = ring.members[i if i < size else i - size]
-                if e.has_room(now_ms):
+                if e.has_slot(now_ms):
                     mine.append(e)
                     weight += e.weight
                     if len(mine) == wanted:
--- a/cloverrouter/decide/request.py
+++ b/cloverrouter/decide/request.py
@@ -35,7 +35,7 @@
     work: float  # expected, in a unit common to all requests
     value: float  # worth per expected work
     attempts: list[Attempt] = field(default_factory=list)
-    out: int = 0
+    in_flight: int = 0
     previous_wait_ms: float = BACKOFF_BASE_MS
     repeat: bool = False  # marked as a retry by its client
     on_time_until_ms: float = 0.0  # if sent by then, it probably meets its aim
--- a/cloverrouter/explore/canon.py
+++ b/cloverrouter/explore/canon.py
@@ -54,7 +54,7 @@
     if known is not None:
         e = known
         module = (
-            _round(e.earned), _round(e.slowness), _round(e.strain), e.in_flight, _round(e.limit),
+            _round(e.earned), _round(e.slowness), _round(e.load_ratio), e.in_flight, _round(e.limit),
             _round(e.latency_ms), e.failures, max(0.0, _ago(world, e.paused_until_ms)),
             _ago(world, e.waiting_since_ms) if e.in_flight else 0, e.learned_ms is None, e.cordoned, e.unused,
             _round(e.cold_credit), e.listed.state.value, e.back_ms is None,
@@ -79,7 +79,8 @@
                     _call_of(balancer.timers[t.token])) for t in world.live())  # fmt: skip
     requests = tuple(
         (
-            r.id, _ago(world, r.arrived_ms), _ago(world, r.deadline_ms), r.out, _round(r.previous_wait_ms),
+            r.id, _ago(world, r.arrived_ms), _ago(world, r.deadline_ms), r.in_flight,
+            _round(r.previous_wait_ms),
             r.timer is not None, r.done, r.streaming, r.uploading, len(r.attempts),
             _ago(world, r.on_time_until_ms), _round(r.work),
         )
@@ -91,7 +92,7 @@
             c.state.value,
             c.body_consumed,
             c.attempt_count,
-            tuple((n, a.state.value) for n, a in c.out.items()),
+            tuple((n, a.state.value) for n, a in c.in_flight.items()),
         )
         for c in lifecycle.calls.values()
     )
@@ -101,7 +102,7 @@
     )
     held = tuple(request.id for request in balancer.queue)
     rest = (
-        balancer.budget.tokens, balancer.share, _round(balancer.flow.limit), balancer.flow.out,
+        balancer.budget.tokens, balancer.share, _round(balancer.flow.limit), balancer.flow.in_flight,
         len(balancer.membership.ready), world.halted, world.oks, world.retries, tuple(world.over[-1:]),
         tuple(sorted((kind, n) for kind, n in world.used.items() if kind in world.scope.most)),
     )  # fmt: skip
--- a/cloverrouter/explore/faults.py
+++ b/cloverrouter/explore/faults.py
@@ -86,7 +86,9 @@
 
     def _may_send(self, request: Request, endpoint: Endpoint) -> bool:
         attempts = request.attempts
-        request.attempts = [] if request.retryable() and len(attempts) < 3 and not request.out else attempts
+        request.attempts = (
+            [] if request.retryable() and len(attempts) < 3 and not request.in_flight else attempts
+        )
         try:
             return super()._may_send(request, endpoint)
         finally:
@@ -151,9 +153,9 @@
 class AnswersLeft(Lifecycle):
     """A success that crosses the client's leaving is given all the same."""
 
-    def _ended(self, now_ms: float, event: AttemptFinished) -> list[Effect]:
+    def _attempt_finished(self, now_ms: float, event: AttemptFinished) -> list[Effect]:
         call = self.calls.get(event.call)
-        effects = super()._ended(now_ms, event)
+        effects = super()._attempt_finished(now_ms, event)
         late = call is not None and call.state is CallState.LEFT and event.outcome is Outcome.OK
         return [DeliverResponse(event.call, event.answer), *effects] if late else effects
 
@@ -171,10 +173,10 @@
 class AnswersCopies(Lifecycle):
     """The answer of a second copy is given as well."""
 
-    def _ended(self, now_ms: float, event: AttemptFinished) -> list[Effect]:
+    def _attempt_finished(self, now_ms: float, event: AttemptFinished) -> list[Effect]:
         call = self.calls.get(event.call)
-        was_final = call is not None and call.state is CallState.ANSWERED and event.attempt in call.out
-        effects = super()._ended(now_ms, event)
+        was_final = call is not None and call.state is CallState.ANSWERED and event.attempt in call.in_flight
+        effects = super()._attempt_finished(now_ms, event)
         again = was_final and event.outcome is Outcome.OK and event.answer is not None
         return [DeliverResponse(event.call, event.answer), *effects] if again else effects
 
@@ -182,22 +184,22 @@
 class StaleTimers(Lifecycle):
     """The timer of an attempt that has ended still acts."""
 
-    def _time_up(self, now_ms: float, call_id: int, number: int) -> list[Effect]:
+    def _attempt_timed_out(self, now_ms: float, call_id: int, number: int) -> list[Effect]:
         call = self.calls.get(call_id)
-        if call is not None and number not in call.out and not call.state.final:
+        if call is not None and number not in call.in_flight and not call.state.final:
             effects = self._make_final(now_ms, call, CallState.ANSWERED)
             return [*effects, DeliverFailure(call_id), *self._release_if_done(call)]
-        return super()._time_up(now_ms, call_id, number)
+        return super()._attempt_timed_out(now_ms, call_id, number)
 
 
 class CutsHeld(Lifecycle):
     """An answer that is held for a moment is given up when its attempt's time ends in that moment."""
 
-    def _time_up(self, now_ms: float, call_id: int, number: int) -> list[Effect]:
+    def _attempt_timed_out(self, now_ms: float, call_id: int, number: int) -> list[Effect]:
         attempt = self._find(call_id, number)
         if attempt is not None and attempt.state is AttemptState.HELD:
             attempt.state = AttemptState.WRITTEN
-        return super()._time_up(now_ms, call_id, number)
+        return super()._attempt_timed_out(now_ms, call_id, number)
 
 
 class CallsNothingBack(Lifecycle):
@@ -264,11 +266,11 @@
 
     def _response_started(self, now_ms: float, call_id: int, number: int) -> list[Effect]:
         call = self.calls.get(call_id)
-        kept = dict(call.out) if call is not None else {}
+        kept = dict(call.in_flight) if call is not None else {}
         effects = super()._response_started(now_ms, call_id, number)
         if call is not None and effects:
-            call.out.update({n: a for n, a in kept.items() if n != number})
-            for attempt in call.out.values():
+            call.in_flight.update({n: a for n, a in kept.items() if n != number})
+            for attempt in call.in_flight.values():
                 if attempt.state is AttemptState.ENDED:
                     attempt.state = AttemptState.WRITTEN
             return [e for e in effects if not isinstance(e, AbortAttempt) and not _cancelled(e)]
@@ -288,17 +290,17 @@
 
     def _client_disconnected(self, now_ms: float, call_id: int) -> list[Effect]:
         call = self.calls.get(call_id)
-        return super()._client_disconnected(now_ms, call_id) if call is not None and call.out else []
+        return super()._client_disconnected(now_ms, call_id) if call is not None and call.in_flight else []
 
 
 class HaltsOnlyWhatIsOut(Lifecycle):
     """At the end of the process, requests that wait for a server are not answered."""
 
-    def _halted(self, now_ms: float) -> list[Effect]:
-        kept = {number: call for number, call in self.calls.items() if not call.out}
+    def _process_halted(self, now_ms: float) -> list[Effect]:
+        kept = {number: call for number, call in self.calls.items() if not call.in_flight}
         for number in kept:
             del self.calls[number]
-        effects = super()._halted(now_ms)
+        effects = super()._process_halted(now_ms)
         self.calls.update(kept)
         return effects
 
--- a/cloverrouter/explore/properties.py
+++ b/cloverrouter/explore/properties.py
@@ -49,7 +49,7 @@
 
 def _agree(world: World) -> Iterator[str]:
     """What the lifecycle and the module take to be out is what is out."""
-    out = sum(len(call.out) for call in world.lifecycle.calls.values())
+    out = sum(len(call.in_flight) for call in world.lifecycle.calls.values())
     if out != len(world.wires):
         yield f"rest: the lifecycle has {out} attempts out, the network {len(world.wires)}"
     owed = sum(client.owed for client in world.clients.values())
@@ -84,8 +84,8 @@
     if balancer.requests:
         yield f"rest: the module still has requests {sorted(balancer.requests)}"
     flying = {name: e.in_flight for name, e in balancer.membership.endpoints.items() if e.in_flight}
-    if flying or balancer.flow.out:
-        yield f"rest: still counted as in flight: {flying}, {balancer.flow.out} in all"
+    if flying or balancer.flow.in_flight:
+        yield f"rest: still counted as in flight: {flying}, {balancer.flow.in_flight} in all"
     if list(balancer.queue):
         yield "rest: the module still holds a request"
     if timers:
--- a/cloverrouter/explore/world.py
+++ b/cloverrouter/explore/world.py
@@ -158,7 +158,7 @@
         request = self.requests.get(HEDGE - event.token) if event.token <= HEDGE else None
         if request is None:
             super()._on_timer(event)
-        elif not request.done and request.retryable() and request.out == 1:
+        elif not request.done and request.retryable() and request.in_flight == 1:
             self._try_send(request)
 
 
@@ -403,9 +403,9 @@
             self._by_operator(kind, what)
         elif kind == "halt":
             self.halted = True
-            self.engine.take(ProcessHalted())
+            self.engine.handle(ProcessHalted())
         elif kind in ("part", "whole"):
-            self.engine.take(ShareAssigned(0.5 if kind == "part" else 1.0))
+            self.engine.handle(ShareAssigned(0.5 if kind == "part" else 1.0))
         elif kind == "tick":
             self._tick(int(what))
         elif kind == "wait":
@@ -424,12 +424,12 @@
 
     def _at_wire(self, kind: str, key: Key) -> None:
         if kind == "late":  # what the network still brings of an attempt that is over
-            self.engine.take(RequestWritten(*key))
-            self.engine.take(ResponseStarted(*key))
-            self.engine.take(AttemptFinished(*key, Outcome.OK, f"answer {key[0]}"))
+            self.engine.handle(RequestWritten(*key))
+            self.engine.handle(ResponseStarted(*key))
+            self.engine.handle(AttemptFinished(*key, Outcome.OK, f"answer {key[0]}"))
             return
         if kind == "stale":  # a timer that was about to fire when it was called off
-            self.engine.take(AttemptTimedOut(*key))
+            self.engine.handle(AttemptTimedOut(*key))
             return
         wire, client = self.wires.get(key), self.clients.get(key[0])
         if wire is None or client is None:
@@ -445,7 +445,7 @@
                 self._end(key, Outcome.CONNECT_FAILED)
             case "held":
                 wire.phase = Phase.HELD
-                self.engine.take(ResponseHeld(*key))
+                self.engine.handle(ResponseHeld(*key))
             case "begun":
                 self._begin(key)
             case _:
@@ -476,12 +476,12 @@
             if self.now_ms > first.at_ms + cls.dedup_window_ms + SLACK_MS:
                 self.breach("repeat", f"call {key[0]} is repeated after its window")
         client.runs.append(Run(key[1], wire.endpoint, wire.started_ms))
-        self.engine.take(RequestWritten(*key))
+        self.engine.handle(RequestWritten(*key))
 
     def _begin(self, key: Key) -> None:
         wire, client = self.wires[key], self.clients[key[0]]
         wire.phase = Phase.STREAMING
-        self.engine.take(ResponseStarted(*key))
+        self.engine.handle(ResponseStarted(*key))
         if client.streaming != key[1] and key in self.wires:
             self._end(key, Outcome.SPOILT)  # not wanted: the connection ends
 
@@ -499,7 +499,7 @@
             Phase.WRITING,
         )
         answer = f"answer {key[0]}" if wire.phase is not Phase.STREAMING else None
-        self.engine.take(AttemptFinished(*key, Outcome.CONNECT_FAILED if early else outcome, answer))
+        self.engine.handle(AttemptFinished(*key, Outcome.CONNECT_FAILED if early else outcome, answer))
 
     def _by_client(self, kind: str, call: int) -> None:
         if kind == "arrive":
@@ -511,18 +511,18 @@
                 client.upload = Upload(self.budget, None, self._read_on)
                 client.upload.on_spent = partial(self._body_taken, call)
                 client.upload.feed(PIECE)
-            self.engine.take(
+            self.engine.handle(
                 RequestArrived(call, arrival.class_name, deadline_ms, uploading=arrival.uploading)
             )
             return
         client = self.clients[call]
         if kind == "leave":
             client.left = True
-            self.engine.take(ClientDisconnected(call))
+            self.engine.handle(ClientDisconnected(call))
             self._drop_body(client)
         elif kind == "hedge":
             self.hedging = True
-            self.engine.take(TimerFired(HEDGE - call))
+            self.engine.handle(TimerFired(HEDGE - call))
             self.hedging = False
         else:
             cls = class_of(self.scope.settings, client.class_name)
@@ -530,10 +530,10 @@
             if client.upload is not None:
                 client.upload.feed(PIECE)
                 client.upload.ended = True
-            self.engine.take(RequestCompleted(call, client.deadline_ms))
+            self.engine.handle(RequestCompleted(call, client.deadline_ms))
 
     def _body_taken(self, call: int) -> None:
-        self.engine.take(BodyConsumed(call))
+        self.engine.handle(BodyConsumed(call))
 
     def _read_on(self) -> None:
         """The client's connection may be read again; here it always is."""
@@ -553,7 +553,7 @@
         if server.banned and not was:
             server.told_ms = self.now_ms
         if kind in ("cordon", "uncordon"):
-            self.engine.take(Cordon(name, kind == "cordon"))
+            self.engine.handle(Cordon(name, kind == "cordon"))
         else:
             self._list(ListKind.DELTA, [name])
 
@@ -563,7 +563,7 @@
             for name in names
         )
         ready = {name for name, server in self.servers.items() if server.state is EndpointState.READY}
-        self.engine.take(
+        self.engine.handle(
             TargetsListed(EndpointsListed(kind, entries), {name: name for name in sorted(ready)})
         )
 
@@ -574,11 +574,11 @@
         timer = timers.pop(which)
         self.now_ms = max(self.now_ms, timer.due_ms)
         if timer.token is not None:
-            self.engine.take(TimerFired(timer.token))
+            self.engine.handle(TimerFired(timer.token))
         elif timer.to_go_out:
-            self.engine.take(SendWindowExpired(*timer.key))
+            self.engine.handle(SendWindowExpired(*timer.key))
         else:
-            self.engine.take(AttemptTimedOut(*timer.key))
+            self.engine.handle(AttemptTimedOut(*timer.key))
         self._check_time()
 
     def _check_time(self) -> None:
--- a/cloverrouter/lab/simulate.py
+++ b/cloverrouter/lab/simulate.py
@@ -145,7 +145,7 @@
             else:
                 self.targets.pop(entry.name, None)
                 self.drop_idle(entry.name)
-        self.engine.take(TargetsListed(EndpointsListed(kind, entries), dict(self.targets)))
+        self.engine.handle(TargetsListed(EndpointsListed(kind, entries), dict(self.targets)))
 
     # Its connections, and what the budget of the fleet allows it
 
@@ -220,7 +220,7 @@
                 pass  # the lists come by themselves here
 
     def _fire(self, token: int) -> None:
-        self.engine.take(TimerFired(token))
+        self.engine.handle(TimerFired(token))
 
     def _watch(self, sent: Sent, timeout_ms: float) -> None:
         sent.watch += 1
@@ -228,7 +228,7 @@
 
     def _time_up(self, sent: Sent, number: int) -> None:
         if sent.key in self.sent and sent.watch == number:
-            self.engine.take(AttemptTimedOut(*sent.key))
+            self.engine.handle(AttemptTimedOut(*sent.key))
 
     def _start(self, start: StartAttempt) -> None:
         key, world = (start.call, start.attempt), self.world
@@ -239,7 +239,7 @@
         if start.timeout_ms is not None:
             self._watch(sent, start.timeout_ms)
         if start.send_within_ms < float("inf"):
-            world.clock.after(start.send_within_ms, self.engine.take, SendWindowExpired(*key))
+            world.clock.after(start.send_within_ms, self.engine.handle, SendWindowExpired(*key))
         if self.idle.get(start.endpoint):
             self.idle[start.endpoint].pop()
             self.idle_count -= 1
@@ -251,7 +251,7 @@
         """Tell the core, if it still waits for it."""
         if self.sent.pop(sent.key, None) is not None:
             answer = "answer" if outcome is Outcome.OK else None
-            self.engine.take(AttemptFinished(*sent.key, outcome, answer, report))
+            self.engine.handle(AttemptFinished(*sent.key, outcome, answer, report))
 
 
 class Simulation(World):
@@ -338,7 +338,7 @@
         first = self.retries_left[ask.number] == self.scenario.load.clients.retries
         self.proxies[ask.proxy].arrived += 1
         self.proxies[ask.proxy].begin()
-        self.proxies[ask.proxy].engine.take(
+        self.proxies[ask.proxy].engine.handle(
             RequestArrived(request, ask.cls, deadline_ms, ask.member, ask.key, repeat=not first)
         )
 
@@ -356,7 +356,7 @@
         if self.clock.now_ms < one.until_ms - 1e-6:  # before its time: its client has gone for good
             self.retries_left[one.ask] = 0
             self.judge.left(request, self.clock.now_ms)
-        self.proxies[self.proxy_of[request]].engine.take(ClientDisconnected(request))
+        self.proxies[self.proxy_of[request]].engine.handle(ClientDisconnected(request))
         self._retry(self.ask_of[request])
 
     def _retry(self, ask: load.Ask) -> None:
@@ -402,7 +402,7 @@
     def write(self, sent: Sent) -> None:
         """The request goes out whole."""
         sent.written = True
-        sent.proxy.engine.take(RequestWritten(*sent.key))
+        sent.proxy.engine.handle(RequestWritten(*sent.key))
         self.clock.after(self._way_ms(sent.proxy, sent.server), self._reach, sent)
 
     def close(self, server: str, count: int) -> None:
@@ -474,7 +474,7 @@
         slowly_kb = ask.answer_bytes / 1024 - KEPT_KB
         if outcome is Outcome.OK and ask.reads_kb_s is not None and slowly_kb > 0:
             # Its connection is taken up until the client has read all but what is kept on the way.
-            sent.proxy.engine.take(ResponseStarted(*sent.key))
+            sent.proxy.engine.handle(ResponseStarted(*sent.key))
             self.clock.after(slowly_kb / ask.reads_kb_s * 1000, self._passed_on, sent, report)
             return
         self._done(sent, outcome, report)
@@ -524,4 +524,4 @@
     def _silence_lists(self, spoilt: bool) -> None:
         """A list that can't be read is a call that failed, as one that does not come."""
         for proxy in self.proxies:
-            proxy.engine.take(TargetsListed(EndpointsListed(ListKind.FAILED), dict(proxy.targets)))
+            proxy.engine.handle(TargetsListed(EndpointsListed(ListKind.FAILED), dict(proxy.targets)))
--- a/cloverrouter/proxy/node.py
+++ b/cloverrouter/proxy/node.py
@@ -255,7 +255,7 @@
     def take(self, happening: LifecycleEvent) -> None:
         """Something has happened: all that follows from it is done before this returns."""
         try:
-            self._engine.take(happening)
+            self._engine.handle(happening)
         except Exception as error:
             # A module that has lost its way would go on with wrong decisions for every request.
             self._crash(error)
--- a/tests/test_hosts.py
+++ b/tests/test_hosts.py
@@ -400,7 +400,7 @@
             module = node._balancer
             assert not module.requests and not node._ids and not node._numbers and not node._out
             assert [e.in_flight for e in module.membership.endpoints.values()] == [0, 0]
-            assert module.flow.out == 0
+            assert module.flow.in_flight == 0
             await asyncio.sleep(0.3)  # timers of the last requests
             assert not list(module.queue)
             gc.collect()
@@ -422,7 +422,7 @@
         (send,) = [a for a in actions if isinstance(a, Send)]
         sent.add(send.endpoint)
         balancer.handle(i * 100.0 + 50, [AttemptEnded(i, 0, Outcome.SPOILT, 50.0)])
-        assert all(e.has_room(i * 100.0 + 51) for e in balancer.membership.ready)
+        assert all(e.has_slot(i * 100.0 + 51) for e in balancer.membership.ready)
     assert sent == {"a", "b"}
 
 
@@ -433,7 +433,7 @@
     for i in range(1, failures + 1):
         balancer.handle(i * 2.0, [RequestArrived(i, "unsafe", i * 2.0 + 1000)])
         balancer.handle(i * 2.0 + 1, [AttemptEnded(i, 0, outcome, 1.0)])
-    return not balancer.membership.ready[0].has_room(failures * 2.0 + 1)
+    return not balancer.membership.ready[0].has_slot(failures * 2.0 + 1)
 
 
 def test_one_broken_connection_pauses_no_server_but_two_in_a_row_do() -> None:
--- a/tests/test_lifecycle.py
+++ b/tests/test_lifecycle.py
@@ -256,12 +256,12 @@
     def carry_out(effect: Effect) -> None:
         done.append(effect)
         if isinstance(effect, StartAttempt):
-            engine.take(AttemptFinished(1, 0, Outcome.CONNECT_FAILED))
+            engine.handle(AttemptFinished(1, 0, Outcome.CONNECT_FAILED))
 
     done: list[Effect] = []
     engine = Engine(Lifecycle(2000.0), decide, lambda: 0.0, carry_out)
-    engine.take(LISTED)
-    engine.take(RequestArrived(1, "x", 1000.0))
+    engine.handle(LISTED)
+    engine.handle(RequestArrived(1, "x", 1000.0))
     assert [type(events[0]) for events in rounds] == [EndpointsListed, RequestArrived, AttemptEnded]
     assert done == [StartAttempt(1, 0, "a", 1, 500.0), DeliverFailure(1), ReleaseCall(1)]
 
--- a/tests/test_many_servers.py
+++ b/tests/test_many_servers.py
@@ -32,15 +32,15 @@
 def looked_at(monkeypatch: pytest.MonkeyPatch, driver: Driver, ask: int) -> float:
     """Returns how many servers are checked per request, for `ask` requests served one after the other."""
     looks = 0
-    has_room = Endpoint.has_room
+    has_slot = Endpoint.has_slot
 
     def counted(self: Endpoint, now_ms: float) -> bool:
         nonlocal looks
         looks += 1
-        return has_room(self, now_ms)
+        return has_slot(self, now_ms)
 
     with monkeypatch.context() as patched:
-        patched.setattr(Endpoint, "has_room", counted)
+        patched.setattr(Endpoint, "has_slot", counted)
         driver.serve(ask)
     return looks / ask
 
@@ -59,7 +59,7 @@
             looks.append(self.listed.name)
             return False
 
-        patched.setattr(Endpoint, "has_room", full_up)
+        patched.setattr(Endpoint, "has_slot", full_up)
         many.request()
         many.request()
     assert len(looks) <= 2 * 2 * 2 * MAX_SCANNED
@@ -168,7 +168,7 @@
     again."""
     driver = Driver(endpoints=[endpoint("s1")])
     server = driver.balancer.membership.endpoints["s1"]
-    server.failed(driver.now_ms, 200.0, 1000.0)
+    server.record_failure(driver.now_ms, 200.0, 1000.0)
     request, actions = driver.request()
     assert actions == [] and driver.wait(199) == []
     assert [a.request_id for a in driver.wait(2) if isinstance(a, Send)] == [request]
@@ -189,7 +189,7 @@
 
 def test_check_timer_that_is_not_needed_is_dropped() -> None:
     driver = Driver(replace(SETTINGS, classes=(UNSAFE,)), endpoints=[endpoint("s1")])
-    driver.balancer.membership.endpoints["s1"].failed(driver.now_ms, 200.0, 1000.0)
+    driver.balancer.membership.endpoints["s1"].record_failure(driver.now_ms, 200.0, 1000.0)
     request, _ = driver.request("unsafe")
     assert len(driver.balancer.timers) == 2
     driver.tell(ClientDisconnected(request))
--- a/tests/test_mechanism.py
+++ b/tests/test_mechanism.py
@@ -266,7 +266,7 @@
     driver = one_of_many_proxies(*(endpoint(f"w{i}") for i in range(9)))
     driver.tell(delta(endpoint("cold", started_ms=driver.now_ms)))
     flow, cold = driver.balancer.flow, driver.balancer.membership.endpoints["cold"]
-    flow.limit, flow.strain = flow.initial_limit, 1.0
+    flow.limit, flow.load_ratio = flow.initial_limit, 1.0
     warm = [e for e in driver.balancer.membership.ready if e is not cold]
     for _ in range(8):
         for e in warm:
@@ -279,7 +279,7 @@
         driver.wait(slow_ms)
         driver.end(request, Outcome.OK, slow_ms)
         driver.wait(100)
-    assert flow.strain <= 1
+    assert flow.load_ratio <= 1
     assert flow.limit >= flow.initial_limit
 
 
@@ -292,7 +292,7 @@
         driver.wait(300)
         if request in driver.sent:
             driver.end(request, Outcome.OK, 300.0)
-    assert flow.strain > 1
+    assert flow.load_ratio > 1
     assert flow.limit < flow.initial_limit
 
 
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -118,7 +118,7 @@
     for _ in range(40):
         driver.request()
         driver.wait(250)
-        for request in [r.id for r in driver.balancer.requests.values() if r.out]:
+        for request in [r.id for r in driver.balancer.requests.values() if r.in_flight]:
             driver.end(request, Outcome.OK, 100)
     served = sum(len(names) for names in driver.sent.values())
     assert served > 5
@@ -157,8 +157,8 @@
     for _ in range(20):
         server.adapt_limit(driver.now_ms, 100.0, 3.0, min_limit=0.1)
     assert server.limit == pytest.approx(0.1)
-    assert not server.has_room(driver.now_ms + 899)  # a pause: one request in flight for a tenth of the time
-    assert server.has_room(driver.now_ms + 901)
+    assert not server.has_slot(driver.now_ms + 899)  # a pause: one request in flight for a tenth of the time
+    assert server.has_slot(driver.now_ms + 901)
     for _ in range(60):
         server.in_flight = int(server.limit)
         server.adapt_limit(driver.now_ms, 50.0, 0.5, min_limit=0.1)
@@ -172,12 +172,12 @@
     server = driver.balancer.membership.endpoints["s1"]
     pauses = []
     for _ in range(3):
-        server.failed(driver.now_ms, 50, 1000)
-        server.failed(driver.now_ms, 50, 1000)  # belongs to the same burst
+        server.record_failure(driver.now_ms, 50, 1000)
+        server.record_failure(driver.now_ms, 50, 1000)  # belongs to the same burst
         pauses.append(server.paused_until_ms - driver.now_ms)
-        assert not server.has_room(driver.now_ms)
+        assert not server.has_slot(driver.now_ms)
         driver.wait(pauses[-1])
-        assert server.has_room(driver.now_ms)
+        assert server.has_slot(driver.now_ms)
     assert pauses == [50, 100, 200]
 
 
@@ -196,7 +196,7 @@
     assert all(driver.sent[i] == ["s2"] for i in range(1001, 1011))
     for i in on_s1:
         driver.end(i, Outcome.OK, 300)
-    assert driver.balancer.membership.endpoints["s1"].has_room(driver.now_ms)
+    assert driver.balancer.membership.endpoints["s1"].has_slot(driver.now_ms)
 
 
 def shares(zone: str, price: float, **servers: int) -> dict[str, float]:
@@ -237,7 +237,7 @@
         driver.wait(2000)
     assert driver.balancer.membership.endpoints["s1"].limit == 1.0
     driver.balancer.flow.limit = 0.01
-    assert driver.balancer.flow.has_room(driver.now_ms)
+    assert driver.balancer.flow.has_slot(driver.now_ms)
 
 
 def test_no_parallel_attempt_where_that_is_forbidden() -> None:
@@ -255,7 +255,7 @@
     for class_name, past_window in (("once", 0), ("keyed", 900)):
         request, _ = driver.request(class_name)
         tracked = driver.balancer.requests[request]
-        tracked.attempts[0].outcome, tracked.out = Outcome.REJECTED, 0
+        tracked.attempts[0].outcome, tracked.in_flight = Outcome.REJECTED, 0
         driver.wait(past_window)
         driver.tell()
         assert driver.balancer._may_send(tracked, server)
@@ -263,7 +263,7 @@
         assert not driver.balancer._may_send(tracked, server)
     request, _ = driver.request("keyed")
     tracked = driver.balancer.requests[request]
-    tracked.out = 0
+    tracked.in_flight = 0
     assert driver.balancer._may_send(tracked, server)
     server.listed = replace(server.listed, state=EndpointState.DRAINING)
     assert not driver.balancer._may_send(tracked, server)
@@ -311,7 +311,7 @@
     assert many.flow.limit < 1
     sent = paused = 0
     for i in range(16):  # a few at once, and then with pauses, to stay within the share
-        request_id = next(r.id for r in many.requests.values() if r.out)
+        request_id = next(r.id for r in many.requests.values() if r.in_flight)
         actions = many.handle(100 + 2 * i, [AttemptEnded(request_id, 0, Outcome.OK, 50, True)])
         if not any(isinstance(a, Send) for a in actions):
             assert any(isinstance(a, SetTimer) for a in actions)
@@ -329,16 +329,16 @@
     driver = Driver(replace(SETTINGS, proxies=21))
     flow = driver.balancer.flow
     for _ in range(200):
-        flow.out += 1
+        flow.in_flight += 1
         flow.record_end(driver.now_ms, 900, 3.0)
     assert flow.limit == flow.min_limit > 0
     for _ in range(300):
-        flow.out += 1
+        flow.in_flight += 1
         flow.record_end(driver.now_ms, 50, 0.3)
     assert flow.limit == flow.initial_limit  # no further growth without demand
     for _ in range(300):
-        flow.out = int(flow.limit) + 1
-        assert not flow.has_room(driver.now_ms)
+        flow.in_flight = int(flow.limit) + 1
+        assert not flow.has_slot(driver.now_ms)
         flow.record_end(driver.now_ms, 50, 0.3)
     assert flow.limit > 2 * flow.initial_limit
 
@@ -351,8 +351,8 @@
     flow.limit = first = 20.0
     for _ in range(12):  # rounds in which all requests in flight are answered in time
         for _ in range(int(flow.limit)):
-            flow.out = int(flow.limit) + 1
-            flow.has_room(driver.now_ms)
+            flow.in_flight = int(flow.limit) + 1
+            flow.has_slot(driver.now_ms)
             flow.record_end(driver.now_ms, 50, 0.5)
     assert flow.limit > 1.8 * first
 
@@ -398,7 +398,7 @@
     servers = [endpoint(f"s{i}") for i in range(12)]
     driver = Driver(replace(SETTINGS, proxies=240, proxy_index=0), servers)
     before = window(driver)
-    before[0].failed(driver.now_ms, 500, 1000)
+    before[0].record_failure(driver.now_ms, 500, 1000)
     after = window(driver)
     assert len(after) == len(before) and before[0] not in after
 
