--- a/cloverrouter/core/engine.py
+++ b/cloverrouter/core/engine.py
@@ -17,7 +17,7 @@
 
 
 class Engine:
-    """Takes events, asks the decision module, and passes effects to the driver."""
+    """Handles events: asks the decision module and passes effects to the driver."""
 
     def __init__(
         self,
@@ -35,15 +35,15 @@
         self._events: list[Event] = []
         self._deciding = False
 
-    def take(self, event: LifecycleEvent) -> None:
+    def handle(self, event: LifecycleEvent) -> None:
         """Handles an event and everything that follows from it."""
         effects = self.lifecycle.on(self._clock(), event)
         if effects:
             self._run(effects)
         if self._events and not self._deciding:
-            self._settle()
+            self._process_events()
 
-    def _settle(self) -> None:
+    def _process_events(self) -> None:
         self._deciding = True
         try:
             while self._events:
--- a/cloverrouter/proxy/node.py
+++ b/cloverrouter/proxy/node.py
@@ -270,7 +270,7 @@
     def handle_event(self, lifecycle_event: LifecycleEvent) -> None:
         """Handles an event; all its effects are applied before this returns."""
         try:
-            self._engine.take(lifecycle_event)
+            self._engine.handle(lifecycle_event)
         except Exception as error:
             # After an exception the state may be inconsistent, and every later decision wrong.
             self._crash(error)
