--- a/cloverrouter/explore/canon.py
+++ b/cloverrouter/explore/canon.py
@@ -1,8 +1,9 @@
-"""When two worlds are the same: a digest of all that can make a difference to what comes after.
+"""State canonicalisation: a digest of everything in a world that can affect later events.
 
-Times count from now, figures are rounded to three digits, servers of one bay stand in an order of their own
-state instead of their names (symmetry), and what only serves the record is left out. Rounding can make two
-worlds one that are not quite the same: the search may then miss something, and never reports what is not.
+Times are relative to the current time, and measured values are rounded to three significant digits. Servers
+are sorted by their state instead of their names, because servers of one cell are interchangeable. Data that
+is only recorded for reports is left out. Rounding can give two slightly different worlds the same digest: the
+search may then miss a breach, but it never reports a false one.
 """
 
 from __future__ import annotations
@@ -20,12 +21,12 @@
 
 
 def _ago(world: World, at_ms: float) -> float:
-    """How long ago, or in how long; what is long past makes no difference."""
+    """Returns the time from now to `at_ms`, negative for the past. Times over 10 s ago all count as equal."""
     return round(max(-10_000.0, at_ms - world.now_ms), 1)
 
 
 def _call_of(timer: Any) -> Any:
-    """What a timer of the module will do, and for which request."""
+    """Returns the callback of a balancer timer, with the ids of the requests that it is bound to."""
     if isinstance(timer, partial):
         return tuple(getattr(part, "id", None) or getattr(part, "__name__", "") for part in timer.args)
     return getattr(timer, "__name__", "")
@@ -64,7 +65,7 @@
 
 
 def digest(world: World) -> int:
-    """128 bits that stand for this state."""
+    """Returns a 128-bit digest of the state of `world`."""
     balancer, lifecycle = world.balancer, world.lifecycle
     servers = tuple(sorted((_server(world, name) for name in world.servers), key=repr))
     clients = tuple(
--- a/cloverrouter/explore/choices.py
+++ b/cloverrouter/explore/choices.py
@@ -1,4 +1,4 @@
-"""Randomness as an input: each draw is a choice that the search makes, of two outcomes."""
+"""A random source whose draws the search chooses: each draw is either low or high."""
 
 from __future__ import annotations
 
@@ -8,8 +8,11 @@
 
 
 class Choices(Random):
-    """Stands in for the balancer's random source. `script` says how each draw falls, low (0) or high (1);
-    past its end all fall low. `drawn` is how they fell since `play`."""
+    """Replaces the balancer's random source.
+
+    `script` sets the result of each draw, low (0) or high (1); draws past its end are low. `drawn` records
+    the results since the last call of `play`.
+    """
 
     def __init__(self) -> None:
         super().__init__(0)
@@ -17,7 +20,7 @@
         self.drawn: list[int] = []
 
     def __reduce__(self) -> tuple[type[Choices], tuple[()]]:
-        return Choices, ()  # between two steps there is nothing to be kept
+        return Choices, ()  # the script and the draws are only used within one step
 
     def play(self, script: tuple[int, ...]) -> None:
         self.script, self.drawn = script, []
@@ -33,7 +36,7 @@
 
 
 def next_script(drawn: list[int]) -> tuple[int, ...] | None:
-    """The next way for draws to fall, after those in `drawn`; None when all have been played."""
+    """Returns the script that follows the draws `drawn` in binary order, or None after the last one."""
     left = list(drawn)
     while left and left[-1] == 1:
         left.pop()
--- a/cloverrouter/explore/connections.py
+++ b/cloverrouter/explore/connections.py
@@ -1,11 +1,11 @@
-"""Every ordering of what can happen on one connection, against the real table of `core.connection`.
+"""Explores every event order on one connection, with the real transition table of `core.connection`.
 
-The peer answers what it is asked, in one piece or in several, and may send more than belongs to it: a second
-copy of an answer, or noise. What it sends waits in the network, each piece with a mark that says which
-exchange it was made for; the marks are what the checks go by, and the reader under test never sees them.
+The peer answers each request in one or several pieces, and may send unsolicited data: a second copy of an
+answer, or noise. Each piece in transit carries the number of the exchange that it was sent for. Only the
+checks use this number; the reader under test never sees it.
 
-One thing is assumed, since nothing on such a connection could tell otherwise: what a peer sends behind an
-answer has left it before the next request goes out. The upstream waits `SETTLE_S` for that.
+One assumption is made, because such a connection has no way to detect its violation: whatever a peer sends
+after an answer has left the peer before the next request goes out. The upstream waits `SETTLE_S` for that.
 """
 
 from __future__ import annotations
@@ -20,38 +20,41 @@
 NOISE = -1
 
 PROPERTIES = {
-    "mixed": "An exchange is given only what was sent for it.",
-    "once": "An exchange ends once.",
-    "closed": "A closed connection gives nothing and takes nothing.",
-    "table": "No event comes in a state for which the table has no entry.",
+    "mixed": "An exchange receives only data that was sent for it.",
+    "once": "An exchange ends exactly once.",
+    "closed": "A closed connection delivers nothing and accepts nothing.",
+    "table": "No event occurs in a state for which the table has no entry.",
 }
 
 
 @dataclass(frozen=True, slots=True)
 class Wire:
-    """One state of connection, network and peer."""
+    """One state of the connection, the network and the peer."""
 
     state: State = State.CONNECTING
-    asked: int = 0  # exchanges that have been put on it
-    ended: tuple[int, ...] = ()
-    owes: int | None = None  # what the peer is to answer
-    begun: bool = False  # and has begun to
-    network: tuple[tuple[str, int], ...] = ()  # (piece, the exchange it was made for), the oldest first
-    extra: int = 1  # how often the peer may still send what is not asked for
-    whole_so_far: bool = True  # every piece read for this exchange was its own
+    asked: int = 0  # number of exchanges assigned to the connection
+    ended: tuple[int, ...] = ()  # exchanges that have ended, in order
+    owes: int | None = None  # the exchange that the peer has not fully answered yet
+    begun: bool = False  # the peer has sent the first piece of that answer
+    network: tuple[tuple[str, int], ...] = ()  # (piece, exchange it was sent for), oldest first
+    extra: int = 1  # unsolicited pieces that the peer may still send
+    whole_so_far: bool = True  # every piece read for this exchange was sent for it
 
 
 @dataclass(frozen=True, slots=True)
 class Found:
-    """A breach, and the events that lead to it."""
+    """A breach of a property, and the events that lead to it."""
 
     breach: str
     events: tuple[str, ...]
 
 
 def explore(settles: bool = True) -> tuple[int, Found | None]:
-    """All states, and the first breach. `settles` False: requests go out on a connection on which bytes
-    still wait, which is the fault that this is to find."""
+    """Returns the number of states and the first breach.
+
+    With `settles` False, requests also go out on a connection with unread data: a seeded fault that the
+    exploration must find.
+    """
     seen: dict[Wire, tuple[Wire, str] | None] = {Wire(): None}
     for wire, name, after, breach in _transitions(settles):
         if breach:
@@ -61,7 +64,7 @@
 
 
 def _transitions(settles: bool) -> Iterator[tuple[Wire, str, Wire, str]]:
-    """Breadth first: each state, each event in it, the state after it, and what it breaks, if anything."""
+    """Yields each transition breadth first: state, event, next state, and the breach or an empty string."""
     left, seen = deque([Wire()]), {Wire()}
     while left:
         wire = left.popleft()
@@ -87,7 +90,7 @@
 def _enabled(wire: Wire, settles: bool) -> Iterator[str]:
     if wire.state is State.CONNECTING:
         yield "open"
-    # The pool's rule: nothing goes out on a connection on which something waits to be read.
+    # The connection pool's rule: no request goes out on a connection that has unread data.
     if wire.state is State.IDLE and wire.asked < EXCHANGES and (not settles or not wire.network):
         yield "ask"
     if wire.owes is not None:
@@ -138,7 +141,7 @@
 
 
 def _read(wire: Wire, current: int) -> tuple[Wire, str]:
-    """What the reader makes of the next piece: it goes by the piece and its own state alone."""
+    """Reads the next piece. The reader decides by the piece and the connection state alone."""
     (piece, made_for), rest = wire.network[0], wire.network[1:]
     wire = replace(wire, network=rest)
     if wire.state is State.CLOSED:
@@ -152,7 +155,7 @@
         "noise": Event.SPOILT,
     }[piece]
     if piece == "open-ended" and wire.state is not State.AWAITING:
-        event = Event.SPOILT  # a second head in the middle of an answer can't be read
+        event = Event.SPOILT  # a second response head within an answer is unreadable
     wire = replace(wire, whole_so_far=wire.whole_so_far and made_for == current)
     return _on(wire, event)
 
@@ -175,12 +178,12 @@
             breach = f"once: exchange {current} ends a second time"
         after = replace(after, ended=(*wire.ended, current))
     if do in (ConnectionAction.KEEP_OPEN, ConnectionAction.DELIVER_AND_CLOSE) and not wire.whole_so_far:
-        breach = f"mixed: exchange {current} is given what was not sent for it"
+        breach = f"mixed: exchange {current} receives data that was not sent for it"
     return after, breach
 
 
 def unreachable() -> list[str]:
-    """Entries of the table that no history reaches, as `state: event`."""
+    """Returns the table entries that no event order reaches, each as `state: event`."""
     reached: set[tuple[State, Event]] = set()
     for wire, _, after, _ in _transitions(settles=True):
         if after.state is not wire.state:
--- a/cloverrouter/explore/faults.py
+++ b/cloverrouter/explore/faults.py
@@ -1,6 +1,6 @@
-"""Seeded faults: the shipped code with one mistake in it, which the search must find.
+"""Seeded faults: variants of the shipped code with one defect each, which the search must find.
 
-Each is a class that overrides what it spoils, and lives here only: the shipped modules have no switch.
+Each fault is a subclass that overrides the affected methods. The shipped modules have no switch for them.
 """
 
 from __future__ import annotations
@@ -38,11 +38,11 @@
     Send,
 )
 
-# In the decision module
+# Faults in the balancer
 
 
 class RepeatsDialOut(HedgingBalancer):
-    """Takes a reset connection for one on which nothing has run, and tries again."""
+    """Treats a reset connection as if the request had not been executed, and retries it."""
 
     def _may_send(self, request: Request, endpoint: Endpoint) -> bool:
         reset = [a for a in request.attempts if a.outcome is Outcome.RESET]
@@ -60,7 +60,7 @@
 
 
 class HeldIgnoreDrains(HedgingBalancer):
-    """While requests are held, servers that are told to drain stay in use."""
+    """Keeps using draining servers while requests are queued."""
 
     def _on_list(self, event: EndpointsListed) -> None:
         if self.queue:
@@ -73,7 +73,7 @@
 
 
 class ForgetsCordons(HedgingBalancer):
-    """A new list lifts what operators have banned."""
+    """Lifts all cordons whenever a new server list arrives."""
 
     def _on_list(self, event: EndpointsListed) -> None:
         for name in list(self.membership.cordons):
@@ -82,7 +82,7 @@
 
 
 class LeavesItsBay(HedgingBalancer):
-    """Repeats a keyed request wherever there is room."""
+    """Repeats a keyed request on servers outside of its cell."""
 
     def _may_send(self, request: Request, endpoint: Endpoint) -> bool:
         attempts = request.attempts
@@ -94,7 +94,7 @@
 
 
 class NeverStops(HedgingBalancer):
-    """Counts attempts only up to the limit, and goes on past it."""
+    """Ignores the limit on the number of attempts."""
 
     def _may_send(self, request: Request, endpoint: Endpoint) -> bool:
         attempts = request.attempts
@@ -110,7 +110,7 @@
 
 
 class LeaksInFlight(HedgingBalancer):
-    """Does not count down what it has called off itself."""
+    """Does not decrement the in-flight count for attempts that it cancelled."""
 
     def _learn(
         self, request: Request, attempt: Sent, outcome: Outcome, latency_ms: float, reported: float
@@ -120,7 +120,7 @@
 
 
 class RetriesForFree(HedgingBalancer):
-    """Does not pay for the second retry of a request."""
+    """Does not charge the retry budget for retries after a backoff."""
 
     def _schedule_retry(self, request: Request) -> bool:
         tokens = self.budget.tokens
@@ -131,25 +131,25 @@
 
 
 class HoldsTooLong(HedgingBalancer):
-    """Gives held requests their answer some time after they could use it."""
+    """Lets queued requests expire 200 ms too late."""
 
     def _worthless_from_ms(self, request: Request) -> float:
         return super()._worthless_from_ms(request) + (200.0 if not request.attempts else 0.0)
 
 
 class HoldsForEver(HedgingBalancer):
-    """Sets no timer for a request that it holds."""
+    """Sets no timer for a queued request."""
 
     def _enqueue(self, request: Request) -> None:
         super()._enqueue(request)
         self.actions = [a for a in self.actions if getattr(a, "token", None) != request.timer]
 
 
-# In the lifecycle
+# Faults in the lifecycle
 
 
 class AnswersLeft(Lifecycle):
-    """A success that crosses the client's leaving is given all the same."""
+    """Delivers a successful answer although the client has disconnected."""
 
     def _ended(self, now_ms: float, event: AttemptFinished) -> list[Effect]:
         call = self.calls.get(event.call)
@@ -169,7 +169,7 @@
 
 
 class AnswersCopies(Lifecycle):
-    """The answer of a second copy is given as well."""
+    """Also delivers the answer of a second, hedged copy."""
 
     def _ended(self, now_ms: float, event: AttemptFinished) -> list[Effect]:
         call = self.calls.get(event.call)
@@ -180,7 +180,7 @@
 
 
 class StaleTimers(Lifecycle):
-    """The timer of an attempt that has ended still acts."""
+    """Acts on the timeout of an attempt that has already ended."""
 
     def _time_up(self, now_ms: float, call_id: int, number: int) -> list[Effect]:
         call = self.calls.get(call_id)
@@ -191,7 +191,7 @@
 
 
 class CutsHeld(Lifecycle):
-    """An answer that is held for a moment is given up when its attempt's time ends in that moment."""
+    """Aborts an attempt whose answer is being held when its timeout fires."""
 
     def _time_up(self, now_ms: float, call_id: int, number: int) -> list[Effect]:
         attempt = self._find(call_id, number)
@@ -201,14 +201,14 @@
 
 
 class CallsNothingBack(Lifecycle):
-    """What is still connecting when its server drains goes out."""
+    """Does not abort unsent attempts when their server drains."""
 
     def _abort_unsent(self, now_ms: float, unwanted: Callable[[Attempt], bool]) -> list[Effect]:
         return []
 
 
 class SendsAfterAnswers(Lifecycle):
-    """What is still connecting when its call is over goes out."""
+    """Does not abort unsent attempts when their call is over."""
 
     def _make_final(self, now_ms: float, call: Call, state: CallState) -> list[Effect]:
         if not call.state.final:
@@ -224,14 +224,14 @@
 
 
 class ForgetsSpentBodies(Lifecycle):
-    """Does not tell that a part of the body is gone."""
+    """Does not report that part of the request body has been consumed."""
 
     def on(self, now_ms: float, happening: LifecycleEvent) -> list[Effect]:
         return [] if isinstance(happening, BodyConsumed) else super().on(now_ms, happening)
 
 
 class TakesWrittenForUnsent(Lifecycle):
-    """Says of every attempt it abandons that it never ran."""
+    """Reports every aborted attempt as never executed."""
 
     def _abort(self, now_ms: float, call: Call, attempt: Attempt, outcome: Outcome) -> list[Effect]:
         self._end_attempt(call, attempt)
@@ -240,7 +240,7 @@
 
 
 class ForgetsEarly(Lifecycle):
-    """A call is forgotten with its answer, whatever is still out of it."""
+    """Releases a call with its answer, even if attempts are still in flight."""
 
     def _release_if_done(self, call: Call) -> list[Effect]:
         if call.state.final and self.calls.pop(call.id, None) is not None:
@@ -249,7 +249,7 @@
 
 
 class PassesOnAnything(Lifecycle):
-    """Passes answers on at the end of an attempt's time, whether or not any has begun."""
+    """Starts streaming at an attempt's timeout, whether or not a response is held."""
 
     def on(self, now_ms: float, happening: LifecycleEvent) -> list[Effect]:
         if isinstance(happening, AttemptTimedOut):
@@ -260,7 +260,7 @@
 
 
 class BeginsTwice(Lifecycle):
-    """A second copy's answer begins although the first one's is being passed on."""
+    """Lets a second copy's answer begin while the first one is being streamed."""
 
     def _response_started(self, now_ms: float, call_id: int, number: int) -> list[Effect]:
         call = self.calls.get(call_id)
@@ -276,7 +276,7 @@
 
 
 class ForgetsLateRepeats(HedgingBalancer):
-    """Does not say by when a repeat has to have gone out: its connection may come up after the window."""
+    """Sets no send deadline on a repeat, so it may go out after the deduplication window."""
 
     def _send(self, request: Request, endpoint: Endpoint) -> None:
         super()._send(request, endpoint)
@@ -284,7 +284,7 @@
 
 
 class MissesLeaversThatWait(Lifecycle):
-    """A client that leaves while nothing of its request is out is not noticed."""
+    """Ignores the disconnect of a client whose call has no attempt in flight."""
 
     def _client_disconnected(self, now_ms: float, call_id: int) -> list[Effect]:
         call = self.calls.get(call_id)
@@ -292,7 +292,7 @@
 
 
 class HaltsOnlyWhatIsOut(Lifecycle):
-    """At the end of the process, requests that wait for a server are not answered."""
+    """Does not answer calls without an attempt in flight when the process halts."""
 
     def _halted(self, now_ms: float) -> list[Effect]:
         kept = {number: call for number, call in self.calls.items() if not call.out}
@@ -304,7 +304,7 @@
 
 
 class TakesMoreAtTheEnd(Lifecycle):
-    """What comes after the end of all is taken as ever."""
+    """Continues to accept events after the process has halted."""
 
     def on(self, now_ms: float, happening: LifecycleEvent) -> list[Effect]:
         effects = super().on(now_ms, happening)
@@ -319,15 +319,16 @@
 
 @dataclass(frozen=True, slots=True)
 class Fault:
-    """One mistake, and the properties under which it can show."""
+    """One seeded fault, and the properties that it can violate."""
 
     shows: tuple[str, ...]
-    scope: str  # the smallest in which it shows
+    scope: str  # the smallest scope in which the fault is found
     lifecycle: type[Lifecycle] = Lifecycle
     balancer: type[HedgingBalancer] = HedgingBalancer
 
     @property
     def text(self) -> str:
+        """Returns the description of the fault: the doc comment of its class."""
         kind = self.lifecycle if self.lifecycle is not Lifecycle else self.balancer
         return (kind.__doc__ or "").strip()
 
@@ -364,7 +365,7 @@
 
 
 def world_type(fault: str | None) -> type[World]:
-    """The world, with this fault in its code. Raises KeyError for a fault that is not known."""
+    """Returns the World class whose code has this fault. Raises KeyError for an unknown fault."""
     if fault is None:
         return World
     if fault not in _worlds:
@@ -372,6 +373,6 @@
         name = f"World_{fault.replace('-', '_')}"
         kind = type(name, (World,), {"lifecycle_type": seeded.lifecycle, "balancer_type": seeded.balancer})
         kind.__module__ = __name__
-        globals()[name] = kind  # where pickle looks for it
+        globals()[name] = kind  # pickle looks the class up by its name in this module
         _worlds[fault] = kind
     return _worlds[fault]
--- a/cloverrouter/explore/model_trace.py
+++ b/cloverrouter/explore/model_trace.py
@@ -1,4 +1,4 @@
-"""Counter-examples of the models of control, as they are saved and read."""
+"""Reads and writes saved counterexamples of the control-plane models."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class SavedTrace(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """A history from a named start, at whose end an invariant does not hold."""
+    """An event sequence from a named start state, after which an invariant does not hold."""
 
     form: str
     scope: str
@@ -24,7 +24,7 @@
 
 
 def is_one(path: Path) -> bool:
-    """Whether the file says that it is one of these."""
+    """Returns whether the file declares the format of a control-plane counterexample."""
     try:
         found = msgspec.json.decode(path.read_bytes())
     except (OSError, msgspec.MsgspecError, UnicodeDecodeError):
@@ -33,18 +33,21 @@
 
 
 def write(trace: SavedTrace, path: Path) -> None:
-    """Save it. Raises OSError."""
+    """Writes `trace` as indented JSON. Raises OSError."""
     path.write_bytes(msgspec.json.format(msgspec.json.encode(trace), indent=1) + b"\n")
 
 
 def read(path: Path) -> SavedTrace:
-    """Raises TraceError, which names the file, what was found and what is allowed."""
+    """Reads a saved counterexample.
+
+    Raises TraceError, which names the file, the value found and the values allowed.
+    """
     try:
         found = msgspec.json.decode(path.read_bytes(), type=SavedTrace)
     except OSError as error:
         raise TraceError(f"{path}: {error.strerror}") from error
     except (msgspec.MsgspecError, UnicodeDecodeError) as error:
-        raise TraceError(f"{path}: no counterexample: {error}") from error
+        raise TraceError(f"{path}: not a counterexample: {error}") from error
     if found.form != FORM:
         raise TraceError(f"{path}: form: found {found.form!r}, this version reads {FORM!r}")
     if found.scope not in MODELS:
--- a/cloverrouter/explore/models.py
+++ b/cloverrouter/explore/models.py
@@ -1,4 +1,4 @@
-"""The models of control that `explore --scope` knows, by name. Each kind of core adds its own table."""
+"""The control-plane models that `explore --scope` offers, by name. Each model module adds its own table."""
 
 from __future__ import annotations
 
@@ -23,5 +23,5 @@
 
 
 def faults() -> dict[str, ModelFault]:
-    """The faults of all models, by name."""
+    """Returns the seeded faults of all models, by name."""
     return {name: fault for scope in MODELS.values() for name, fault in scope.faults.items()}
--- a/cloverrouter/explore/properties.py
+++ b/cloverrouter/explore/properties.py
@@ -1,8 +1,8 @@
-"""What must hold in every history, in writing. Each property has a name, which breaches are reported under.
+"""The properties that must hold in every history. Breaches are reported under the name of the property.
 
-Most are checked by the world at the moment in which something goes out, is given or is cut (`World.breach`);
-those that speak of the end are checked here, on states in which nothing can come any more, and those that
-speak of figures are checked here in every state.
+The world checks most of them when a request is sent or an answer is delivered or cut off (`World.breach`).
+This module checks counters and budgets in every state, and the final properties in states in which no call
+is open any more.
 """
 
 from __future__ import annotations
@@ -12,31 +12,33 @@
 from cloverrouter.explore.world import World
 
 PROPERTIES = {
-    "answer": "A call gets one final answer and never two; none after its client has left, none in the "
-    "middle of another, and nothing of the call goes out after it.",
-    "late": "The final answer lands before the call's give-up time, unless an answer has begun by then.",
-    "repeat": "What may have run is repeated only where its class permits: a dial-out never, a join only in "
-    "its bay and within its window.",
-    "refusal": "A call is refused, which says that trying again is harmless, only if nothing of it may have "
-    "run.",
-    "drain": "Nothing starts out to a server that drains, is gone or is cordoned, and nothing that had "
-    "started goes out to it later than the grace after it was told.",
-    "halt": "Once the process has halted nothing is owed but answers that have begun, and nothing starts.",
-    "attempts": "No call is sent more often than the settings allow.",
-    "body": "A call whose body is partly gone is not sent again.",
-    "cut": "An answer that has begun is finished, or visibly cut; it is never cut while its server gives it.",
-    "held": "Nothing is passed on of which nothing was held.",
-    "tokens": "The retry budget is never under nought, nor over what was there, was earned and not spent.",
-    "rest": "When all is over, nothing is left: no call, no attempt in flight, no held request, no timer, "
-    "and no byte in the budget of streams, which is never under nought.",
-    "stuck": "No call is held for ever: while one is owed, something is due that will end it.",
-    "crash": "The module and the lifecycle take every order of events.",
+    "answer": "A call gets exactly one final answer: none after its client has disconnected, none in the "
+    "middle of another answer, and no attempt of the call is sent after it.",
+    "late": "The final answer is delivered by the call's deadline, unless an answer has begun by then.",
+    "repeat": "A request that may have been executed is repeated only where its class permits: a dial-out "
+    "never, a join only in its cell and within its deduplication window.",
+    "refusal": "A call is refused, which tells the client that a retry is safe, only if none of its attempts "
+    "can have been executed.",
+    "drain": "No attempt starts to a server that drains, is gone or is cordoned, and an attempt that had "
+    "started is not sent to it later than the drain grace period after the change was announced.",
+    "halt": "Once the process has halted, only answers that have begun are outstanding; no attempt starts.",
+    "attempts": "No call has more attempts than the settings allow.",
+    "body": "A call whose body is partly consumed is not sent again.",
+    "cut": "An answer that has begun is finished or visibly cut off; its server is never "
+    "interrupted while it is sending the answer.",
+    "held": "An answer is streamed only if a response was held for it.",
+    "tokens": "The retry budget is never negative, and never exceeds its capacity plus what was earned "
+    "minus what was spent.",
+    "rest": "When all calls are over nothing remains: no call, attempt in flight, queued request, timer, "
+    "or byte in the stream buffer budget, which is never negative.",
+    "stuck": "No call waits forever: while it has no answer, a timer is pending that will end it.",
+    "crash": "The balancer and the lifecycle accept every order of events without an exception.",
 }
 CAPACITY, COST = 100.0, 10.0
 
 
 def breaches(world: World) -> list[str]:
-    """What is wrong in this state, each with the name of its property first."""
+    """Returns all breaches in this state, each as `property: text`."""
     return [*world.breaches, *_tokens(world), *_end(world), *_agree(world)]
 
 
@@ -48,20 +50,20 @@
 
 
 def _agree(world: World) -> Iterator[str]:
-    """What the lifecycle and the module take to be out is what is out."""
+    """Checks the in-flight counts of the lifecycle and the balancer against the simulated network."""
     out = sum(len(call.out) for call in world.lifecycle.calls.values())
     if out != len(world.wires):
-        yield f"rest: the lifecycle has {out} attempts out, the network {len(world.wires)}"
+        yield f"rest: the lifecycle has {out} attempts in flight, the network {len(world.wires)}"
     owed = sum(client.owed for client in world.clients.values())
     if world.lifecycle.open_calls != owed:
-        yield f"rest: the lifecycle owes {world.lifecycle.open_calls} answers, the clients wait for {owed}"
+        yield f"rest: the lifecycle has {world.lifecycle.open_calls} open calls, {owed} clients wait"
     if world.budget.held < 0:
-        yield f"rest: the budget of streams stands at {world.budget.held} bytes"
+        yield f"rest: the stream buffer budget is at {world.budget.held} bytes"
     flying = sum(e.in_flight for e in world.balancer.membership.endpoints.values())
     if flying > len(world.wires) or any(
         e.in_flight < 0 for e in world.balancer.membership.endpoints.values()
     ):
-        yield f"rest: the module has {flying} requests in flight, the network {len(world.wires)}"
+        yield f"rest: the balancer has {flying} requests in flight, the network {len(world.wires)}"
 
 
 def _end(world: World) -> Iterator[str]:
@@ -71,22 +73,22 @@
         for call, client in world.clients.items()
         if client.owed and not client.body_left and client.streaming is None
     ]
-    # Timers of attempts end what is out, the module's end what is held.
+    # Attempt timeouts end requests in flight; balancer timers end queued requests.
     if waiting and not timers:
-        yield f"stuck: nothing is due that would end call {waiting[0]}"
+        yield f"stuck: no timer is pending that would end call {waiting[0]}"
     if world.wires or any(client.owed for client in world.clients.values()):
         return
     balancer = world.balancer
     if world.budget.held:
-        yield f"rest: {world.budget.held} bytes are left in the budget of streams"
+        yield f"rest: {world.budget.held} bytes are left in the stream buffer budget"
     if world.lifecycle.calls:
         yield f"rest: calls are left: {sorted(world.lifecycle.calls)}"
     if balancer.requests:
-        yield f"rest: the module still has requests {sorted(balancer.requests)}"
+        yield f"rest: the balancer still has requests {sorted(balancer.requests)}"
     flying = {name: e.in_flight for name, e in balancer.membership.endpoints.items() if e.in_flight}
     if flying or balancer.flow.out:
         yield f"rest: still counted as in flight: {flying}, {balancer.flow.out} in all"
     if list(balancer.queue):
-        yield "rest: the module still holds a request"
+        yield "rest: the balancer still has a queued request"
     if timers:
         yield f"rest: {len(timers)} timers are left"
--- a/cloverrouter/explore/scope.py
+++ b/cloverrouter/explore/scope.py
@@ -1,4 +1,4 @@
-"""How large a world is explored, and how often each kind of thing may happen in it."""
+"""Scopes: the size of an explored world, and how often each kind of event may occur in it."""
 
 from __future__ import annotations
 
@@ -14,6 +14,7 @@
 def settings(
     deadline_ms: float = DEADLINE_MS, aim_ms: float = AIM_MS, window_ms: float = WINDOW_MS
 ) -> Settings:
+    """Returns settings with two classes: "join", keyed and deduplicated per cell, and "dial-out", unsafe."""
     join = RequestClass(
         "join",
         aim_ms,
@@ -39,7 +40,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Arrival:
-    """A request that may come."""
+    """A request that may arrive, and whether its body is still being uploaded then."""
 
     class_name: str
     uploading: bool = False
@@ -47,19 +48,19 @@
 
 @dataclass(frozen=True, slots=True)
 class Scope:
-    """What is explored, up to `depth` steps exhaustively and `walk` steps on random walks."""
+    """One scope: explored exhaustively up to `depth` steps, and by random walks of `walk` steps."""
 
     name: str
-    cells: tuple[int, ...]  # of each server
+    cells: tuple[int, ...]  # the cell of each server
     arrivals: tuple[Arrival, ...]
     depth: int
     walk: int
     outcomes: tuple[str, ...] = ("ok", "error", "rejected", "reset")
-    # How often each kind of event may happen in one history; what is not named here is not bounded.
+    # Upper limit per event kind within one history; kinds that are not listed are unlimited.
     most: dict[str, int] = field(default_factory=dict)
     settings: Settings = SETTINGS
-    wait_ms: float = 60.0  # that pass in a `wait`
-    connect_ms: float = 250.0  # what has not gone out by then never does
+    wait_ms: float = 60.0  # time that one `wait` event adds
+    connect_ms: float = 250.0  # a connection that is not established by then never is
 
 
 JOIN, DIAL, UPLOAD = Arrival("join"), Arrival("dial-out"), Arrival("join", uploading=True)
@@ -70,7 +71,7 @@
     scope.name: scope
     for scope in (
         Scope("small", (0, 0), (JOIN, DIAL), depth=5, walk=30, most=RARE),
-        # One matter each, for what can be found in little.
+        # Small scopes with one subject each.
         Scope("join", (0, 0), (JOIN,), depth=6, walk=30, most=RARE),
         Scope("dial-out", (0, 0), (DIAL,), depth=7, walk=30, most=RARE),
         Scope("bays", (0, 1), (JOIN,), depth=6, walk=30, most=RARE),
--- a/cloverrouter/explore/search.py
+++ b/cloverrouter/explore/search.py
@@ -1,8 +1,9 @@
-"""The search: breadth first over all histories up to a depth, then seeded walks beyond it.
+"""The search: breadth first over all histories up to a depth, then seeded random walks beyond it.
 
-Two histories that lead to the same state (`canon`) are one. A state is kept as the history that led to it
-and made again by playing it; from there each event, with each way for its draws to fall, is played on a
-copy. So memory is what the digests take, and a counterexample found breadth first has no shorter one.
+Histories that lead to the same state (`canon`) are explored once. A state is stored as the history that led
+to it and rebuilt by replaying it; each enabled event, with each combination of random draws, is then applied
+to a copy. Memory use is therefore small, mostly the digests, and a counterexample that was found breadth
+first is a shortest one.
 """
 
 from __future__ import annotations
@@ -25,28 +26,28 @@
 
 Progress = Callable[["Report"], None]
 ROOT = -1
-EXHAUSTIVE = 0.6  # of the time
+EXHAUSTIVE = 0.6  # share of the time limit for the breadth-first search
 
 
 @dataclass
 class Report:
-    """What has been explored, and what was found."""
+    """What has been explored, and the counterexample, if one was found."""
 
     scope: str
-    states: int = 0  # that differ
+    states: int = 0  # distinct states
     transitions: int = 0
-    depth: int = 0  # explored whole
-    left: int = 0  # states at the next depth that were not opened
+    depth: int = 0  # the greatest depth that was explored completely
+    left: int = 0  # states whose successors were not explored
     walks: int = 0
-    walked: int = 0  # steps of these
+    walked: int = 0  # steps in all walks
     seconds: float = 0.0
-    searched_s: float = 0.0  # of these, breadth first
-    exhausted: bool = False  # all states up to the bound were opened
+    searched_s: float = 0.0  # the part of `seconds` that the breadth-first search took
+    exhausted: bool = False  # all states up to the depth bound were explored
     found: Counterexample | None = None
 
     @property
     def rate(self) -> float:
-        """States a second, breadth first."""
+        """Returns the states per second of the breadth-first search."""
         return self.states / self.searched_s if self.searched_s else 0.0
 
 
@@ -58,10 +59,11 @@
 
 @dataclass
 class Search:
-    """One search. `run` does it all; it ends at the first breach, or when time is up.
+    """One search, which ends at the first breach or at the time limit.
 
-    `depth` is explored whole, None: the scope's. `walks` bounds the walks after that, None: by time alone.
-    With both bounds and time enough, two runs do the same and say the same.
+    `depth` bounds the breadth-first search; None means the depth of the scope. `walks` bounds the number of
+    random walks after it; None means that only the time limit applies. If both bounds are reached within the
+    time limit, two runs give the same result.
     """
 
     scope: Scope
@@ -76,7 +78,7 @@
     _seen: set[int] = field(default_factory=set)
 
     def run(self) -> Report:
-        """Three fifths of the time at most are for the exhaustive part, the rest for walks."""
+        """Runs the search: at most three fifths of the time breadth first, the rest as random walks."""
         report, begun = Report(self.scope.name), self.clock()
         self._breadth(report, begun, begun + self.seconds * EXHAUSTIVE)
         report.searched_s = self.clock() - begun
@@ -132,7 +134,7 @@
         report.exhausted = True
 
     def _open(self, report: Report, node: int, path: list[Step], following: list[int]) -> bool:
-        """Play every event that can follow; False at a breach."""
+        """Applies every enabled event to the state of `node`. Returns False at a breach."""
         world = self._fresh()
         for one in path:
             world.apply(one.event, one.draws)
@@ -161,7 +163,7 @@
         number = 0
         while self.clock() < until and number != self.walks:
             number += 1
-            # A walk can be played again from its own number, whatever came before it.
+            # Seeding each walk by its own number makes it reproducible independently of earlier walks.
             chance = Random(f"{self.seed}/{number}")
             if not self._walk(report, chance):
                 return
--- a/cloverrouter/explore/trace.py
+++ b/cloverrouter/explore/trace.py
@@ -1,4 +1,4 @@
-"""Histories: played again, cut down to what matters, told as a numbered timeline, saved and read."""
+"""Histories: replayed, shrunk, formatted as a numbered timeline, saved and read."""
 
 from __future__ import annotations
 
@@ -17,14 +17,14 @@
 
 
 class Step(msgspec.Struct, frozen=True, array_like=True):
-    """One event, and how the draws fell that the module made on it."""
+    """One event, and the results of the random draws that the balancer made on it."""
 
     event: str
     draws: tuple[int, ...] = ()
 
 
 class Counterexample(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """A history at whose end a property does not hold."""
+    """A history after which a property does not hold."""
 
     form: int
     scope: str
@@ -34,12 +34,12 @@
 
 
 class TraceError(Exception):
-    """A file that is no counterexample, or one that can't be played here."""
+    """A file that is not a counterexample, or one that this version can't replay."""
 
 
 @dataclass(frozen=True, slots=True)
 class Played:
-    """A history as it was played: the breaches at its end, and how many steps were taken."""
+    """A replayed history: the breaches at its end, the number of steps, and the formatted timeline."""
 
     breaches: list[str]
     steps: int
@@ -47,16 +47,19 @@
 
 
 def step(world: World, event: str, draws: tuple[int, ...]) -> tuple[list[int], list[str]]:
-    """Make `event` happen; how the draws fell, and what is wrong after it."""
+    """Applies `event`. Returns the results of its random draws, and the breaches after it."""
     try:
         drawn = world.apply(event, draws)
         return drawn, breaches(world)
-    except Exception as error:  # whatever it is, no order of events may raise it
+    except Exception as error:  # any exception is a breach: no order of events may raise one
         return world.choices.drawn, [f"crash: {type(error).__name__}: {error}"]
 
 
 def play(scope: Scope, fault: str | None, steps: tuple[Step, ...], tell: bool = False) -> Played | None:
-    """Play a history from the start, up to its first breach. None if one of its events can't happen."""
+    """Replays a history from the start up to its first breach. Returns None if an event is not enabled.
+
+    With `tell`, the timeline also contains the effects of each event.
+    """
     world = world_type(fault)(scope)
     timeline: list[str] = []
     if tell:
@@ -73,7 +76,7 @@
 
 
 def _listen(world: World, timeline: list[str]) -> None:
-    """Have the timeline tell what follows from each event."""
+    """Adds the effects of each event to the timeline."""
     carry_out = world._carry_out
 
     def told(effect: Effect) -> None:
@@ -86,11 +89,15 @@
 
 
 def name_of(breach: str) -> str:
+    """Returns the name of the property that a breach text begins with."""
     return breach.partition(":")[0]
 
 
 def shrink(scope: Scope, fault: str | None, steps: tuple[Step, ...]) -> tuple[Step, ...]:
-    """The same breach with as few events as can be had by leaving out one, two or four in a row at a time."""
+    """Returns a shorter history with a breach of the same property.
+
+    Removes runs of four, two and one events, until no removal preserves the breach.
+    """
     first = play(scope, fault, steps)
     if first is None or not first.breaches:
         return steps
@@ -111,18 +118,21 @@
 
 
 def write(found: Counterexample, path: Path) -> None:
-    """Save it. Raises OSError."""
+    """Writes `found` as indented JSON. Raises OSError."""
     path.write_bytes(msgspec.json.format(msgspec.json.encode(found), indent=1) + b"\n")
 
 
 def read(path: Path) -> Counterexample:
-    """Raises TraceError, which names the file, what was found and what is allowed."""
+    """Reads a saved counterexample.
+
+    Raises TraceError, which names the file, the value found and the values allowed.
+    """
     try:
         found = msgspec.json.decode(path.read_bytes(), type=Counterexample)
     except OSError as error:
         raise TraceError(f"{path}: {error.strerror}") from error
     except (msgspec.MsgspecError, UnicodeDecodeError) as error:
-        raise TraceError(f"{path}: no counterexample: {error}") from error
+        raise TraceError(f"{path}: not a counterexample: {error}") from error
     if found.form != FORM:
         raise TraceError(f"{path}: form: found {found.form}, this version reads {FORM}")
     if found.scope not in SCOPES:
--- a/cloverrouter/explore/world.py
+++ b/cloverrouter/explore/world.py
@@ -1,12 +1,11 @@
-"""A small world round the real engine, lifecycle and balancer, in which one thing happens at a time.
+"""A simulated environment of the real engine, lifecycle and balancer, in which one event occurs at a time.
 
-The world plays what the driver, the network, the servers, the clients, the lists and the clock do; each of
-its events has a name, so that a history is a list of names. It keeps a record of its own of what went out
-and what was given, which the properties are checked against: nothing in it asks the code under test what
-it believes.
+The world simulates the driver, the network, the servers, the clients, the server lists and the clock. Each
+event has a name, so a history is a list of names. The world keeps its own record of the requests sent and
+the answers delivered, and checks the properties against it instead of the state of the code under test.
 
-Time stands still while things happen and moves in `tick`, to the next timer, and `wait`. So whatever can
-happen in the same moment is played in every order.
+Time advances only in `tick`, to the next timer, and in `wait`. Events that can occur at the same time are
+therefore explored in every order.
 """
 
 from __future__ import annotations
@@ -64,10 +63,10 @@
 from cloverrouter.proxy.streams import Budget, Upload
 
 GRACE_MS = 500.0
-SLACK_MS = 50.0  # of the rules' times
+SLACK_MS = 50.0  # tolerance on the deduplication window
 START_MS = 1000.0
-PIECE = b"x" * 1000  # of a body that is not kept
-HEDGE = -1_000_000  # tokens from here down ask for a second copy
+PIECE = b"x" * 1000  # a piece of a request body that is not retained for retries
+HEDGE = -1_000_000  # timer tokens up to this value request a hedged copy
 Key = tuple[int, int]
 OUTCOMES = {
     "ok": Outcome.OK,
@@ -79,7 +78,7 @@
 
 
 class Phase(Enum):
-    """Where an attempt really is."""
+    """The actual phase of an attempt in the simulated network."""
 
     CONNECTING = "connecting"
     WRITING = "writing"
@@ -90,7 +89,7 @@
 
 @dataclass(slots=True)
 class Wire:
-    """An attempt as the network and its server know it."""
+    """An attempt in flight, as the simulated network and its server see it."""
 
     endpoint: str
     started_ms: float
@@ -99,26 +98,26 @@
 
 @dataclass(slots=True)
 class Run:
-    """A request that has reached a server whole."""
+    """A request that has reached a server completely."""
 
     attempt: int
     endpoint: str
     at_ms: float
-    never_ran: bool = False  # the server said so
+    never_ran: bool = False  # the server answered that it did not execute the request
 
 
 @dataclass(slots=True)
 class Client:
-    """A call as its client, and whoever watches the servers, knows it."""
+    """A call as its client and an observer of the servers see it."""
 
     class_name: str
     deadline_ms: float | None
-    body_left: bool  # its body is still coming
+    body_left: bool  # part of its body has not arrived yet
     starts: int = 0
-    upload: Upload | None = None  # a body that is not kept
-    body_kept_by: int | None = None  # the attempt that has taken a part of it
+    upload: Upload | None = None  # a body that is not retained for retries
+    body_kept_by: int | None = None  # the attempt that has consumed part of the body
     left: bool = False
-    streaming: int | None = None  # the attempt whose answer it is getting
+    streaming: int | None = None  # the attempt whose answer the client is receiving
     given: list[str] = field(default_factory=list)
     runs: list[Run] = field(default_factory=list)
 
@@ -129,12 +128,12 @@
 
 @dataclass(slots=True)
 class Server:
-    """A server as the list and the operators have told of it."""
+    """A server as announced by the server list and the operators."""
 
     cell: int
     state: EndpointState = EndpointState.READY
     cordoned: bool = False
-    told_ms: float = 0.0  # of what bans it now
+    told_ms: float = 0.0  # when its current ban was announced
 
     @property
     def banned(self) -> bool:
@@ -145,14 +144,17 @@
 class Timer:
     due_ms: float
     order: int
-    token: int | None = field(compare=False)  # the module's; None: an attempt's
+    token: int | None = field(compare=False)  # token of a balancer timer; None for a timer of an attempt
     key: Key = field(compare=False, default=(0, 0))
-    to_go_out: bool = field(compare=False, default=False)  # an attempt has to have gone out by then
+    to_go_out: bool = field(compare=False, default=False)  # the time by which the attempt must have been sent
 
 
 class HedgingBalancer(Balancer):
-    """The balancer, made to send a second copy when it is asked for: the shipped one never does by itself,
-    while the rules allow it. Everything else, its guard before each send too, is as shipped."""
+    """The shipped balancer, extended to send a hedged copy on request.
+
+    The shipped one never hedges on its own, although the rules allow it. Everything else, including the
+    check before each send, is unchanged.
+    """
 
     def _on_timer(self, event: TimerFired) -> None:
         request = self.requests.get(HEDGE - event.token) if event.token <= HEDGE else None
@@ -163,7 +165,7 @@
 
 
 class World:
-    """One state of everything. `enabled` names what can happen next, and `apply` makes it happen."""
+    """One state of the world. `enabled` lists the events that can occur next, and `apply` applies one."""
 
     lifecycle_type: type[Lifecycle] = Lifecycle
     balancer_type: type[HedgingBalancer] = HedgingBalancer
@@ -172,16 +174,16 @@
     def __init__(self, scope: Scope) -> None:
         self.scope = scope
         self.now_ms = START_MS
-        self.used: dict[str, int] = {}  # events so far, by kind
+        self.used: dict[str, int] = {}  # number of events so far, by kind
         self.wires: dict[Key, Wire] = {}
-        self.over: list[Key] = []  # attempts that have ended, for what comes late of them
+        self.over: list[Key] = []  # ended attempts, for which late events may still arrive
         self.clients: dict[int, Client] = {}
         self.timers: list[Timer] = []
         self.order = 0
         self.breaches: list[str] = []
         self.oks = self.retries = 0
-        self.halted = False  # the process ends
-        self.hedging = False  # a second copy is being asked for
+        self.halted = False  # the process has halted
+        self.hedging = False  # a hedged copy is being requested
         self.servers = {f"s{i}": Server(cell) for i, cell in enumerate(scope.cells)}
         self.budget = Budget(0)
         self.choices = Choices()
@@ -194,13 +196,13 @@
 
     def __getstate__(self) -> dict[str, object]:
         state = self.__dict__.copy()
-        del state["scope"]  # the same for all
+        del state["scope"]  # identical in all states of a search; the search restores it
         return state
 
     def _use_choices(self) -> None:
         self.balancer.random = self.choices
 
-    # What the engine is given
+    # Callbacks of the engine
 
     def _clock(self) -> float:
         return self.now_ms
@@ -208,10 +210,10 @@
     def _decide(self, now_ms: float, events: Sequence[Event]) -> Sequence[Action]:
         actions = self.balancer.handle(now_ms, events)
         for action in actions:
-            # Checked here as well: the lifecycle would not carry it out, and so would hide it.
+            # Checked here as well, because the lifecycle drops such an action and would hide the fault.
             if isinstance(action, Send) and self.servers[action.endpoint].banned:
                 self.breach(
-                    "drain", f"call {action.request_id} is to go to {action.endpoint}, which is banned"
+                    "drain", f"call {action.request_id} is directed to {action.endpoint}, which is banned"
                 )
         return actions
 
@@ -229,7 +231,7 @@
             case StreamHeldResponse(call, attempt):
                 wire = self.wires.get((call, attempt))
                 if wire is None or wire.phase is not Phase.HELD:
-                    self.breach("held", f"asked to pass on {call}/{attempt}, of which nothing is held")
+                    self.breach("held", f"asked to stream {call}/{attempt}, for which no response is held")
                 else:
                     self._begin((call, attempt))
             case StartStreaming(call, attempt):
@@ -242,16 +244,16 @@
             case DeliverRefusal(call, _):
                 self._give(call, "refused")
                 if any(not run.never_ran for run in self.clients[call].runs):
-                    self.breach("refusal", f"call {call} is refused, and may have run")
+                    self.breach("refusal", f"call {call} is refused, but may have been executed")
             case DeliverFailure(call):
                 self._give(call, "failed")
             case ReleaseCall(call):
                 if any(key[0] == call for key in self.wires):
-                    self.breach("rest", f"call {call} is forgotten with an attempt still out")
+                    self.breach("rest", f"call {call} is released with an attempt still in flight")
                 if self.clients[call].owed:
-                    self.breach("answer", f"call {call} is forgotten without an answer")
+                    self.breach("answer", f"call {call} is released without an answer")
             case _:
-                pass  # discovery and the log have no part here
+                pass  # effects on discovery and logs are not simulated
 
     def breach(self, name: str, text: str) -> None:
         self.breaches.append(f"{name}: {text}")
@@ -260,14 +262,14 @@
         key, client = (start.call, start.attempt), self.clients[start.call]
         client.starts += 1
         if client.starts > 1 and not self.hedging:
-            self.retries += 1  # a second copy is no retry, and costs nothing
+            self.retries += 1  # a hedged copy is not a retry and costs no tokens
         self.wires[key] = Wire(start.endpoint, self.now_ms)
         if self.halted:
             self.breach("halt", f"call {key[0]} is sent to {start.endpoint} after the process has halted")
         if client.owed is False:
             self.breach("answer", f"call {key[0]} is sent to {start.endpoint} after its final answer")
         if self.servers[start.endpoint].banned:
-            self.breach("drain", f"call {key[0]} starts out to {start.endpoint}, which may get nothing new")
+            self.breach("drain", f"call {key[0]} starts to {start.endpoint}, which may get no new requests")
         if client.starts > self.scope.settings.limits.max_attempts:
             self.breach("attempts", f"call {key[0]} is sent {client.starts} times")
         if client.body_kept_by is not None:
@@ -283,25 +285,27 @@
         self.over.append(key)
         given = wire.phase in (Phase.HELD, Phase.STREAMING)
         if given and client.owed and client.streaming in (None, key[1]):
-            self.breach("cut", f"the answer to call {key[0]} is cut off while {wire.endpoint} still gives it")
+            self.breach(
+                "cut", f"the answer to call {key[0]} is cut off while {wire.endpoint} still sends it"
+            )
 
     def _give(self, call: int, what: str) -> None:
         client = self.clients[call]
         if client.given:
             self.breach("answer", f"call {call} is {what} after it was {client.given[-1]}")
         elif client.left:
-            self.breach("answer", f"call {call} is {what} after its client has left")
+            self.breach("answer", f"call {call} is {what} after its client has disconnected")
         elif client.streaming is not None:
             self.breach("answer", f"call {call} is {what} in the middle of an answer")
         if client.deadline_ms is not None and self.now_ms > client.deadline_ms + 1e-6:
             late_ms = self.now_ms - client.deadline_ms
-            self.breach("late", f"call {call} is {what} {late_ms:.0f} ms after its time")
+            self.breach("late", f"call {call} is {what} {late_ms:.0f} ms after its deadline")
         client.given.append(what)
         self._drop_body(client)
 
     @staticmethod
     def _drop_body(client: Client) -> None:
-        """What the front does once a call is over."""
+        """Drops the body of a finished call, as the HTTP frontend does."""
         if client.upload is not None:
             client.upload.drop()
 
@@ -315,8 +319,10 @@
         self.timers = [t for t in self.timers if t.token is not None or t.key != key or t.to_go_out]
 
     def live(self) -> list[Timer]:
-        """Timers that still mean something, the earliest first. The module can't unset its own; one that it
-        has forgotten does nothing."""
+        """Returns the timers that still have an effect, earliest first.
+
+        The balancer can't cancel its timers; one whose token it no longer knows has no effect.
+        """
         known = self.balancer.timers
         self.timers = sorted(
             t
@@ -332,6 +338,7 @@
     # Events
 
     def enabled(self) -> list[str]:
+        """Returns the names of the events that can occur in this state, within the limits of the scope."""
         names: list[str] = []
         arrivals = self.scope.arrivals
         if len(self.clients) < len(arrivals):
@@ -389,8 +396,11 @@
                 return ["ok", "reset"]
 
     def apply(self, name: str, script: tuple[int, ...] = ()) -> list[int]:
-        """Make it happen, with draws that fall by `script`; how they fell. Raises ValueError for an event
-        that can't happen here, and whatever the code under test raises."""
+        """Applies the event `name`, with random draws set by `script`. Returns the results of the draws.
+
+        Raises ValueError for an event that can't occur in this state, and any exception of the code under
+        test.
+        """
         kind, _, what = name.partition(" ")
         self.used[kind] = self.used.get(kind, 0) + 1
         self.choices.play(script)
@@ -420,20 +430,20 @@
     def _check_halted(self) -> None:
         for call, client in self.clients.items():
             if client.owed and client.streaming is None:
-                self.breach("halt", f"call {call} has no answer, and the process has halted")
+                self.breach("halt", f"call {call} has no answer after the process has halted")
 
     def _at_wire(self, kind: str, key: Key) -> None:
-        if kind == "late":  # what the network still brings of an attempt that is over
+        if kind == "late":  # network events of an attempt that has already ended
             self.engine.take(RequestWritten(*key))
             self.engine.take(ResponseStarted(*key))
             self.engine.take(AttemptFinished(*key, Outcome.OK, f"answer {key[0]}"))
             return
-        if kind == "stale":  # a timer that was about to fire when it was called off
+        if kind == "stale":  # a timer that was cancelled just before it fired
             self.engine.take(AttemptTimedOut(*key))
             return
         wire, client = self.wires.get(key), self.clients.get(key[0])
         if wire is None or client is None:
-            raise ValueError(f"{kind}: attempt {key[0]}/{key[1]} is not out")
+            raise ValueError(f"{kind}: attempt {key[0]}/{key[1]} is not in flight")
         match kind:
             case "written":
                 self._written(key, wire, client)
@@ -460,21 +470,21 @@
             client.body_kept_by = key[1]
         server, settings = self.servers[wire.endpoint], self.scope.settings
         if server.banned and self.now_ms > server.told_ms + GRACE_MS:
-            self.breach("drain", f"call {key[0]} goes out to {wire.endpoint} after its grace")
+            self.breach("drain", f"call {key[0]} is sent to {wire.endpoint} after its grace period")
         if client.body_kept_by not in (None, key[1]):
-            self.breach("body", f"call {key[0]} goes out to {wire.endpoint} without a part of its body")
+            self.breach("body", f"call {key[0]} is sent to {wire.endpoint} without a part of its body")
         if not client.owed:
-            self.breach("answer", f"call {key[0]} goes out to {wire.endpoint} after its final answer")
+            self.breach("answer", f"call {key[0]} is sent to {wire.endpoint} after its final answer")
         before = [run for run in client.runs if not run.never_ran]
         cls = class_of(settings, client.class_name)
         if before and client.class_name == "dial-out":
-            self.breach("repeat", f"dial-out {key[0]} may run a second time")
+            self.breach("repeat", f"dial-out {key[0]} may be executed a second time")
         elif before:
             first = before[0]
             if self.servers[first.endpoint].cell != server.cell:
-                self.breach("repeat", f"call {key[0]} is repeated outside of its bay")
+                self.breach("repeat", f"call {key[0]} is repeated outside of its cell")
             if self.now_ms > first.at_ms + cls.dedup_window_ms + SLACK_MS:
-                self.breach("repeat", f"call {key[0]} is repeated after its window")
+                self.breach("repeat", f"call {key[0]} is repeated after its deduplication window")
         client.runs.append(Run(key[1], wire.endpoint, wire.started_ms))
         self.engine.take(RequestWritten(*key))
 
@@ -483,7 +493,7 @@
         wire.phase = Phase.STREAMING
         self.engine.take(ResponseStarted(*key))
         if client.streaming != key[1] and key in self.wires:
-            self._end(key, Outcome.SPOILT)  # not wanted: the connection ends
+            self._end(key, Outcome.SPOILT)  # the answer is unwanted, so the connection is closed
 
     def _end(self, key: Key, outcome: Outcome) -> None:
         wire, client = self.wires.pop(key), self.clients[key[0]]
@@ -536,7 +546,7 @@
         self.engine.take(BodyConsumed(call))
 
     def _read_on(self) -> None:
-        """The client's connection may be read again; here it always is."""
+        """Does nothing: the simulated client connection is never paused."""
 
     def _by_operator(self, kind: str, name: str) -> None:
         server = self.servers[name]
@@ -585,7 +595,7 @@
         for call, client in self.clients.items():
             past = client.deadline_ms is not None and self.now_ms > client.deadline_ms + 1e-6
             if past and client.owed and client.streaming is None:
-                self.breach("late", f"call {call} has no answer when its time is over")
+                self.breach("late", f"call {call} has no answer at its deadline")
 
 
 def kind_of(name: str) -> str:
--- a/tests/test_explore.py
+++ b/tests/test_explore.py
@@ -1,4 +1,4 @@
-"""The explorer: clean code is clean, each seeded fault is found, and what is found can be played again."""
+"""The explorer: the shipped code has no breach, each seeded fault is found, and counterexamples replay."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 from cloverrouter.explore.world import World
 from tests import command_line
 
-LONG_S = 600.0  # never reached by what is bounded
+LONG_S = 600.0  # never reached by a search with bounds on depth and walks
 
 
 def explored(scope: str, fault: str | None = None, depth: int | None = None, walks: int = 0) -> Report:
@@ -46,7 +46,7 @@
     report = explored(seeded.scope, fault, walks=200)
     assert report.found is not None
     assert trace.name_of(report.found.breach) in seeded.shows
-    # The same history breaks nothing in the shipped code, or can't happen there.
+    # In the shipped code, the same history has no breach or is impossible.
     clean = trace.play(SCOPES[seeded.scope], None, report.found.steps)
     assert clean is None or not clean.breaches
 
@@ -66,12 +66,12 @@
 
 def test_a_breach_beyond_the_bound_is_found_by_a_walk_and_cut_down() -> None:
     report = explored("join", "leaves-its-bay", depth=1, walks=50)
-    assert report.found is None  # one bay: there is nothing to leave
+    assert report.found is None  # this scope has only one cell
     report = explored("bays", "leaves-its-bay", depth=1, walks=5000)
     assert report.found is not None
     steps = report.found.steps
     assert len(steps) <= 8
-    for i in range(len(steps)):  # nothing in it can be left out
+    for i in range(len(steps)):  # no single step can be removed
         shorter = trace.play(SCOPES["bays"], "leaves-its-bay", steps[:i] + steps[i + 1 :])
         assert shorter is None or not shorter.breaches
 
@@ -116,7 +116,7 @@
 def test_every_ordering_on_one_connection() -> None:
     states, found = connections.explore()
     assert found is None and states > 100
-    # Without the pool's rule, a second copy of one answer is taken for the next one.
+    # Without the connection pool's rule, a second copy of one answer is read as the next answer.
     _, found = connections.explore(settles=False)
     assert found is not None and found.breach.startswith("mixed: exchange 1")
     assert connections.unreachable() == []
