--- a/cloverrouter/explore/choices.py
+++ b/cloverrouter/explore/choices.py
@@ -4,14 +4,14 @@
 
 from random import Random
 
-LOW, HIGH = 0.02, 0.98
+LOW_DRAW, HIGH_DRAW = 0.02, 0.98
 
 
 class Choices(Random):
     """Replaces the balancer's random source.
 
     `script` sets the result of each draw, low (0) or high (1); draws past its end are low. `drawn` records
-    the results since the last call of `play`.
+    the results since the last call of `load_script`.
     """
 
     def __init__(self) -> None:
@@ -22,13 +22,13 @@
     def __reduce__(self) -> tuple[type[Choices], tuple[()]]:
         return Choices, ()  # the script and the draws are only used within one step
 
-    def play(self, script: tuple[int, ...]) -> None:
+    def load_script(self, script: tuple[int, ...]) -> None:
         self.script, self.drawn = script, []
 
     def random(self) -> float:
         at = len(self.drawn)
         self.drawn.append(self.script[at] if at < len(self.script) else 0)
-        return HIGH if self.drawn[-1] else LOW
+        return HIGH_DRAW if self.drawn[-1] else LOW_DRAW
 
     def randrange(self, start: int, stop: int | None = None, step: int = 1) -> int:
         low, high = (0, start) if stop is None else (start, stop)
--- a/cloverrouter/explore/connections.py
+++ b/cloverrouter/explore/connections.py
@@ -16,7 +16,7 @@
 
 from cloverrouter.core.connection import TABLE, ConnectionAction, ConnectionMachine, Event, State
 
-EXCHANGES = 3
+MAX_EXCHANGES = 3
 NOISE = -1
 
 PROPERTIES = {
@@ -28,156 +28,180 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Wire:
+class ModelState:
     """One state of the connection, the network and the peer."""
 
     state: State = State.CONNECTING
-    asked: int = 0  # number of exchanges assigned to the connection
-    ended: tuple[int, ...] = ()  # exchanges that have ended, in order
-    owes: int | None = None  # the exchange that the peer has not fully answered yet
-    begun: bool = False  # the peer has sent the first piece of that answer
-    network: tuple[tuple[str, int], ...] = ()  # (piece, exchange it was sent for), oldest first
-    extra: int = 1  # unsolicited pieces that the peer may still send
-    whole_so_far: bool = True  # every piece read for this exchange was sent for it
+    exchange_count: int = 0  # number of exchanges assigned to the connection
+    ended_exchanges: tuple[int, ...] = ()  # exchanges that have ended, in order
+    pending_answer: int | None = None  # the exchange that the peer has not fully answered yet
+    answer_begun: bool = False  # the peer has sent the first piece of that answer
+    in_transit: tuple[tuple[str, int], ...] = ()  # (piece, exchange it was sent for), oldest first
+    unsolicited_left: int = 1  # unsolicited pieces that the peer may still send
+    only_own_pieces: bool = True  # every piece read for this exchange was sent for it
 
 
 @dataclass(frozen=True, slots=True)
-class Found:
+class Violation:
     """A breach of a property, and the events that lead to it."""
 
     breach: str
     events: tuple[str, ...]
 
 
-def explore(settles: bool = True) -> tuple[int, Found | None]:
+def explore(require_empty_network: bool = True) -> tuple[int, Violation | None]:
     """Returns the number of states and the first breach.
 
-    With `settles` False, requests also go out on a connection with unread data: a seeded fault that the
-    exploration must find.
+    With `require_empty_network` False, requests also go out on a connection with unread data: a seeded
+    fault that the exploration must find.
     """
-    seen: dict[Wire, tuple[Wire, str] | None] = {Wire(): None}
-    for wire, name, after, breach in _transitions(settles):
+    seen: dict[ModelState, tuple[ModelState, str] | None] = {ModelState(): None}
+    for model, name, after, breach in _transitions(require_empty_network):
         if breach:
-            return len(seen), Found(breach, (*_path(seen, wire), name))
-        seen.setdefault(after, (wire, name))
+            return len(seen), Violation(breach, (*_event_path(seen, model), name))
+        seen.setdefault(after, (model, name))
     return len(seen), None
 
 
-def _transitions(settles: bool) -> Iterator[tuple[Wire, str, Wire, str]]:
+def _transitions(require_empty_network: bool) -> Iterator[tuple[ModelState, str, ModelState, str]]:
     """Yields each transition breadth first: state, event, next state, and the breach or an empty string."""
-    left, seen = deque([Wire()]), {Wire()}
+    left, seen = deque([ModelState()]), {ModelState()}
     while left:
-        wire = left.popleft()
-        for name in _enabled(wire, settles):
+        model = left.popleft()
+        for name in _enabled(model, require_empty_network):
             try:
-                after, breach = _apply(wire, name)
+                after, breach = _apply(model, name)
             except ValueError as error:
-                after, breach = wire, f"table: {error}"
-            yield wire, name, after, breach
+                after, breach = model, f"table: {error}"
+            yield model, name, after, breach
             if after not in seen:
                 seen.add(after)
                 left.append(after)
 
 
-def _path(seen: dict[Wire, tuple[Wire, str] | None], wire: Wire) -> list[str]:
+def _event_path(seen: dict[ModelState, tuple[ModelState, str] | None], model: ModelState) -> list[str]:
     names: list[str] = []
-    while (before := seen[wire]) is not None:
-        wire, name = before
+    while (before := seen[model]) is not None:
+        model, name = before
         names.append(name)
     return names[::-1]
 
 
-def _enabled(wire: Wire, settles: bool) -> Iterator[str]:
-    if wire.state is State.CONNECTING:
+def _enabled(model: ModelState, require_empty_network: bool) -> Iterator[str]:
+    if model.state is State.CONNECTING:
         yield "open"
     # The connection pool's rule: no request goes out on a connection that has unread data.
-    if wire.state is State.IDLE and wire.asked < EXCHANGES and (not settles or not wire.network):
+    if (
+        model.state is State.IDLE
+        and model.exchange_count < MAX_EXCHANGES
+        and (not require_empty_network or not model.in_transit)
+    ):
         yield "ask"
-    if wire.owes is not None:
-        if not wire.begun:
+    if model.pending_answer is not None:
+        if not model.answer_begun:
             yield from ("answer", "begin open-ended", "begin long")
         else:
             yield "end"
-    if wire.extra and wire.state is not State.CONNECTING and wire.asked:
+    if model.unsolicited_left and model.state is not State.CONNECTING and model.exchange_count:
         yield "send noise"
-        if wire.owes is None:
+        if model.pending_answer is None:
             yield "send a copy"
-    if wire.network:
+    if model.in_transit:
         yield "read"
-    if wire.state is State.HOLDING:
+    if model.state is State.HOLDING:
         yield "held enough"
     yield from ("peer closes", "give up")
 
 
-def _apply(wire: Wire, name: str) -> tuple[Wire, str]:
-    current = wire.asked - 1
+def _apply(model: ModelState, name: str) -> tuple[ModelState, str]:
+    current = model.exchange_count - 1
     match name:
         case "open":
-            return _on(wire, Event.OPENED)
+            return _apply_machine_event(model, Event.OPENED)
         case "ask":
-            after, breach = _on(wire, Event.ASSIGNED)
+            after, breach = _apply_machine_event(model, Event.ASSIGNED)
             return replace(
-                after, asked=wire.asked + 1, owes=wire.asked, begun=False, whole_so_far=True
+                after,
+                exchange_count=model.exchange_count + 1,
+                pending_answer=model.exchange_count,
+                answer_begun=False,
+                only_own_pieces=True,
             ), breach
         case "answer":
-            return replace(wire, owes=None, network=(*wire.network, ("whole", current))), ""
+            return replace(model, pending_answer=None, in_transit=(*model.in_transit, ("whole", current))), ""
         case "begin open-ended" | "begin long":
             piece = name.removeprefix("begin ")
-            return replace(wire, begun=True, network=(*wire.network, (piece, current))), ""
+            return replace(model, answer_begun=True, in_transit=(*model.in_transit, (piece, current))), ""
         case "end":
-            return replace(wire, owes=None, begun=False, network=(*wire.network, ("whole", current))), ""
+            return replace(
+                model,
+                pending_answer=None,
+                answer_begun=False,
+                in_transit=(*model.in_transit, ("whole", current)),
+            ), ""
         case "send noise":
-            return replace(wire, extra=wire.extra - 1, network=(*wire.network, ("noise", NOISE))), ""
+            return replace(
+                model,
+                unsolicited_left=model.unsolicited_left - 1,
+                in_transit=(*model.in_transit, ("noise", NOISE)),
+            ), ""
         case "send a copy":
-            return replace(wire, extra=wire.extra - 1, network=(*wire.network, ("whole", current))), ""
+            return replace(
+                model,
+                unsolicited_left=model.unsolicited_left - 1,
+                in_transit=(*model.in_transit, ("whole", current)),
+            ), ""
         case "read":
-            return _read(wire, current)
+            return _read(model, current)
         case "held enough":
-            return _on(wire, Event.HOLD_EXPIRED)
+            return _apply_machine_event(model, Event.HOLD_EXPIRED)
         case "peer closes":
-            return _on(wire, Event.CONNECTION_LOST)
+            return _apply_machine_event(model, Event.CONNECTION_LOST)
         case _:
-            return _on(wire, Event.GIVEN_UP)
+            return _apply_machine_event(model, Event.GIVEN_UP)
 
 
-def _read(wire: Wire, current: int) -> tuple[Wire, str]:
+def _read(model: ModelState, current: int) -> tuple[ModelState, str]:
     """Reads the next piece. The reader decides by the piece and the connection state alone."""
-    (piece, made_for), rest = wire.network[0], wire.network[1:]
-    wire = replace(wire, network=rest)
-    if wire.state is State.CLOSED:
-        return wire, ""
-    if not wire.state.busy:
-        return _on(wire, Event.STRAY)
+    (piece, sent_for), rest = model.in_transit[0], model.in_transit[1:]
+    model = replace(model, in_transit=rest)
+    if model.state is State.CLOSED:
+        return model, ""
+    if not model.state.busy:
+        return _apply_machine_event(model, Event.STRAY)
     event = {
         "whole": Event.COMPLETE,
         "open-ended": Event.OPEN_ENDED,
         "long": Event.LONG,
         "noise": Event.SPOILT,
     }[piece]
-    if piece == "open-ended" and wire.state is not State.AWAITING:
+    if piece == "open-ended" and model.state is not State.AWAITING:
         event = Event.SPOILT  # a second response head within an answer is unreadable
-    wire = replace(wire, whole_so_far=wire.whole_so_far and made_for == current)
-    return _on(wire, event)
+    model = replace(model, only_own_pieces=model.only_own_pieces and sent_for == current)
+    return _apply_machine_event(model, event)
 
 
-def _on(wire: Wire, event: Event) -> tuple[Wire, str]:
+def _apply_machine_event(model: ModelState, event: Event) -> tuple[ModelState, str]:
     machine = ConnectionMachine()
-    machine.state = wire.state
-    do = machine.on(event)
-    current, breach = wire.asked - 1, ""
-    after = replace(wire, state=machine.state)
-    if wire.state is State.CLOSED and do is not ConnectionAction.NOTHING:
-        breach = f"closed: {do.value} on {event.value}"
-    ends = do in (
+    machine.state = model.state
+    action = machine.on(event)
+    current, breach = model.exchange_count - 1, ""
+    after = replace(model, state=machine.state)
+    if model.state is State.CLOSED and action is not ConnectionAction.NOTHING:
+        breach = f"closed: {action.value} on {event.value}"
+    ends = action in (
         ConnectionAction.KEEP_OPEN,
         ConnectionAction.DELIVER_AND_CLOSE,
         ConnectionAction.FAIL_AND_CLOSE,
-    ) or (do is ConnectionAction.CLOSE and wire.state.busy)
+    ) or (action is ConnectionAction.CLOSE and model.state.busy)
     if ends:
-        if current in wire.ended:
+        if current in model.ended_exchanges:
             breach = f"once: exchange {current} ends a second time"
-        after = replace(after, ended=(*wire.ended, current))
-    if do in (ConnectionAction.KEEP_OPEN, ConnectionAction.DELIVER_AND_CLOSE) and not wire.whole_so_far:
+        after = replace(after, ended_exchanges=(*model.ended_exchanges, current))
+    if (
+        action in (ConnectionAction.KEEP_OPEN, ConnectionAction.DELIVER_AND_CLOSE)
+        and not model.only_own_pieces
+    ):
         breach = f"mixed: exchange {current} receives data that was not sent for it"
     return after, breach
 
@@ -185,10 +209,12 @@
 def unreachable() -> list[str]:
     """Returns the table entries that no event order reaches, each as `state: event`."""
     reached: set[tuple[State, Event]] = set()
-    for wire, _, after, _ in _transitions(settles=True):
-        if after.state is not wire.state:
-            ways = TABLE[wire.state].items()
-            reached |= {(wire.state, event) for event, (state, _) in ways if state is after.state}
+    for model, _, after, _ in _transitions(require_empty_network=True):
+        if after.state is not model.state:
+            entries_of_state = TABLE[model.state].items()
+            reached |= {
+                (model.state, event) for event, (state, _) in entries_of_state if state is after.state
+            }
     return [
         f"{state.value}: {event.value}"
         for state, entries in TABLE.items()
--- a/cloverrouter/explore/faults.py
+++ b/cloverrouter/explore/faults.py
@@ -124,10 +124,10 @@
 
     def _schedule_retry(self, request: Request) -> bool:
         tokens = self.budget.tokens
-        slept = super()._schedule_retry(request)
-        if slept:
+        scheduled = super()._schedule_retry(request)
+        if scheduled:
             self.budget.tokens = tokens
-        return slept
+        return scheduled
 
 
 class HoldsTooLong(HedgingBalancer):
@@ -226,8 +226,8 @@
 class ForgetsSpentBodies(Lifecycle):
     """Does not report that part of the request body has been consumed."""
 
-    def on(self, now_ms: float, happening: LifecycleEvent) -> list[Effect]:
-        return [] if isinstance(happening, BodyConsumed) else super().on(now_ms, happening)
+    def on(self, now_ms: float, event: LifecycleEvent) -> list[Effect]:
+        return [] if isinstance(event, BodyConsumed) else super().on(now_ms, event)
 
 
 class TakesWrittenForUnsent(Lifecycle):
@@ -251,12 +251,12 @@
 class PassesOnAnything(Lifecycle):
     """Starts streaming at an attempt's timeout, whether or not a response is held."""
 
-    def on(self, now_ms: float, happening: LifecycleEvent) -> list[Effect]:
-        if isinstance(happening, AttemptTimedOut):
-            attempt = self._find(happening.call, happening.attempt)
+    def on(self, now_ms: float, event: LifecycleEvent) -> list[Effect]:
+        if isinstance(event, AttemptTimedOut):
+            attempt = self._find(event.call, event.attempt)
             if attempt is not None and attempt.state is AttemptState.WRITTEN:
-                return [StreamHeldResponse(happening.call, happening.attempt)]
-        return super().on(now_ms, happening)
+                return [StreamHeldResponse(event.call, event.attempt)]
+        return super().on(now_ms, event)
 
 
 class BeginsTwice(Lifecycle):
@@ -271,7 +271,7 @@
             for attempt in call.out.values():
                 if attempt.state is AttemptState.ENDED:
                     attempt.state = AttemptState.WRITTEN
-            return [e for e in effects if not isinstance(e, AbortAttempt) and not _cancelled(e)]
+            return [e for e in effects if not isinstance(e, AbortAttempt) and not _reports_ended_attempt(e)]
         return effects
 
 
@@ -306,14 +306,14 @@
 class TakesMoreAtTheEnd(Lifecycle):
     """Continues to accept events after the process has halted."""
 
-    def on(self, now_ms: float, happening: LifecycleEvent) -> list[Effect]:
-        effects = super().on(now_ms, happening)
-        if isinstance(happening, ProcessHalted):
+    def on(self, now_ms: float, event: LifecycleEvent) -> list[Effect]:
+        effects = super().on(now_ms, event)
+        if isinstance(event, ProcessHalted):
             self.halted = False
         return effects
 
 
-def _cancelled(effect: Effect) -> bool:
+def _reports_ended_attempt(effect: Effect) -> bool:
     return isinstance(effect, NotifyBalancer) and isinstance(effect.event, AttemptEnded)
 
 
@@ -361,18 +361,18 @@
 }
 
 
-_worlds: dict[str, type[World]] = {}
+_world_types: dict[str, type[World]] = {}
 
 
 def world_type(fault: str | None) -> type[World]:
     """Returns the World class whose code has this fault. Raises KeyError for an unknown fault."""
     if fault is None:
         return World
-    if fault not in _worlds:
+    if fault not in _world_types:
         seeded = FAULTS[fault]
         name = f"World_{fault.replace('-', '_')}"
         kind = type(name, (World,), {"lifecycle_type": seeded.lifecycle, "balancer_type": seeded.balancer})
         kind.__module__ = __name__
         globals()[name] = kind  # pickle looks the class up by its name in this module
-        _worlds[fault] = kind
-    return _worlds[fault]
+        _world_types[fault] = kind
+    return _world_types[fault]
--- a/cloverrouter/explore/models.py
+++ b/cloverrouter/explore/models.py
@@ -10,10 +10,10 @@
     registry_scopes,
 )
 from cloverrouter.explore.coordination.scope import ModelFault, ModelScope
-from cloverrouter.explore.coordination.scopes import SCOPES as REPLICAS
+from cloverrouter.explore.coordination.scopes import SCOPES as REPLICA_SCOPES
 
 MODELS: dict[str, ModelScope] = {
-    **REPLICAS,
+    **REPLICA_SCOPES,
     **orders_scopes.SCOPES,
     **distribution_scopes.SCOPES,
     **lease_scopes.SCOPES,
--- a/cloverrouter/explore/properties.py
+++ b/cloverrouter/explore/properties.py
@@ -34,49 +34,54 @@
     "stuck": "No call waits forever: while it has no answer, a timer is pending that will end it.",
     "crash": "The balancer and the lifecycle accept every order of events without an exception.",
 }
-CAPACITY, COST = 100.0, 10.0
+BUDGET_CAPACITY_TOKENS, RETRY_COST_TOKENS = 100.0, 10.0
 
 
 def breaches(world: World) -> list[str]:
     """Returns all breaches in this state, each as `property: text`."""
-    return [*world.breaches, *_tokens(world), *_end(world), *_agree(world)]
+    return [
+        *world.breaches,
+        *_check_retry_budget(world),
+        *_check_final_state(world),
+        *_check_in_flight_counts(world),
+    ]
 
 
-def _tokens(world: World) -> Iterator[str]:
+def _check_retry_budget(world: World) -> Iterator[str]:
     tokens = world.balancer.budget.tokens
-    most = CAPACITY + world.oks - COST * world.retries
-    if not -1e-9 <= tokens <= max(0.0, most) + 1e-9:
-        yield f"tokens: {tokens:g} are left, with {world.oks} earned and {world.retries} retries"
+    max_tokens = BUDGET_CAPACITY_TOKENS + world.successes - RETRY_COST_TOKENS * world.retries
+    if not -1e-9 <= tokens <= max(0.0, max_tokens) + 1e-9:
+        yield f"tokens: {tokens:g} are left, with {world.successes} earned and {world.retries} retries"
 
 
-def _agree(world: World) -> Iterator[str]:
+def _check_in_flight_counts(world: World) -> Iterator[str]:
     """Checks the in-flight counts of the lifecycle and the balancer against the simulated network."""
     out = sum(len(call.out) for call in world.lifecycle.calls.values())
-    if out != len(world.wires):
-        yield f"rest: the lifecycle has {out} attempts in flight, the network {len(world.wires)}"
-    owed = sum(client.owed for client in world.clients.values())
-    if world.lifecycle.open_calls != owed:
-        yield f"rest: the lifecycle has {world.lifecycle.open_calls} open calls, {owed} clients wait"
+    if out != len(world.exchanges):
+        yield f"rest: the lifecycle has {out} attempts in flight, the network {len(world.exchanges)}"
+    waiting = sum(client.awaits_answer for client in world.clients.values())
+    if world.lifecycle.open_calls != waiting:
+        yield f"rest: the lifecycle has {world.lifecycle.open_calls} open calls, waiting clients: {waiting}"
     if world.budget.held < 0:
         yield f"rest: the stream buffer budget is at {world.budget.held} bytes"
-    flying = sum(e.in_flight for e in world.balancer.membership.endpoints.values())
-    if flying > len(world.wires) or any(
+    counted = sum(e.in_flight for e in world.balancer.membership.endpoints.values())
+    if counted > len(world.exchanges) or any(
         e.in_flight < 0 for e in world.balancer.membership.endpoints.values()
     ):
-        yield f"rest: the balancer has {flying} requests in flight, the network {len(world.wires)}"
+        yield f"rest: the balancer has {counted} requests in flight, the network {len(world.exchanges)}"
 
 
-def _end(world: World) -> Iterator[str]:
-    timers = world.live()
-    waiting = [
+def _check_final_state(world: World) -> Iterator[str]:
+    timers = world.pending_timers()
+    waiting_calls = [
         call
         for call, client in world.clients.items()
-        if client.owed and not client.body_left and client.streaming is None
+        if client.awaits_answer and not client.body_incomplete and client.streaming is None
     ]
     # Attempt timeouts end requests in flight; balancer timers end queued requests.
-    if waiting and not timers:
-        yield f"stuck: no timer is pending that would end call {waiting[0]}"
-    if world.wires or any(client.owed for client in world.clients.values()):
+    if waiting_calls and not timers:
+        yield f"stuck: no timer is pending that would end call {waiting_calls[0]}"
+    if world.exchanges or any(client.awaits_answer for client in world.clients.values()):
         return
     balancer = world.balancer
     if world.budget.held:
@@ -85,9 +90,9 @@
         yield f"rest: calls are left: {sorted(world.lifecycle.calls)}"
     if balancer.requests:
         yield f"rest: the balancer still has requests {sorted(balancer.requests)}"
-    flying = {name: e.in_flight for name, e in balancer.membership.endpoints.items() if e.in_flight}
-    if flying or balancer.flow.out:
-        yield f"rest: still counted as in flight: {flying}, {balancer.flow.out} in all"
+    counted = {name: e.in_flight for name, e in balancer.membership.endpoints.items() if e.in_flight}
+    if counted or balancer.flow.out:
+        yield f"rest: still counted as in flight: {counted}, {balancer.flow.out} in all"
     if list(balancer.queue):
         yield "rest: the balancer still has a queued request"
     if timers:
--- a/cloverrouter/explore/search.py
+++ b/cloverrouter/explore/search.py
@@ -25,8 +25,8 @@
 from cloverrouter.explore.world import World
 
 Progress = Callable[["Report"], None]
-ROOT = -1
-EXHAUSTIVE = 0.6  # share of the time limit for the breadth-first search
+ROOT_NODE = -1
+BREADTH_FIRST_TIME_SHARE = 0.6  # share of the time limit for the breadth-first search
 
 
 @dataclass
@@ -79,114 +79,114 @@
 
     def run(self) -> Report:
         """Runs the search: at most three fifths of the time breadth first, the rest as random walks."""
-        report, begun = Report(self.scope.name), self.clock()
-        self._breadth(report, begun, begun + self.seconds * EXHAUSTIVE)
-        report.searched_s = self.clock() - begun
+        report, started_s = Report(self.scope.name), self.clock()
+        self._search_breadth_first(report, started_s, started_s + self.seconds * BREADTH_FIRST_TIME_SHARE)
+        report.searched_s = self.clock() - started_s
         if report.found is None:
-            self._walks(report, begun, begun + self.seconds)
-        report.seconds = self.clock() - begun
+            self._run_walks(report, started_s, started_s + self.seconds)
+        report.seconds = self.clock() - started_s
         if report.found is not None:
             steps = trace.shrink(self.scope, self.fault, report.found.steps)
             report.found = msgspec.structs.replace(report.found, steps=steps)
         return report
 
-    def _fresh(self) -> World:
+    def _new_world(self) -> World:
         return world_type(self.fault)(self.scope)
 
     def _path(self, node: int) -> list[Step]:
         steps: list[Step] = []
-        while node != ROOT:
+        while node != ROOT_NODE:
             steps.append(self._nodes[node].step)
             node = self._nodes[node].parent
         return steps[::-1]
 
-    def _copies(self, world: World) -> Callable[[], World]:
-        kept, scope = pickle.dumps(world, pickle.HIGHEST_PROTOCOL), self.scope
+    def _copier(self, world: World) -> Callable[[], World]:
+        pickled, scope = pickle.dumps(world, pickle.HIGHEST_PROTOCOL), self.scope
 
         def copy() -> World:
-            again: World = pickle.loads(kept)
-            again.scope = scope
-            again._use_choices()
-            return again
+            restored: World = pickle.loads(pickled)
+            restored.scope = scope
+            restored._use_choices()
+            return restored
 
         return copy
 
-    def _breadth(self, report: Report, begun: float, until: float) -> None:
+    def _search_breadth_first(self, report: Report, started_s: float, deadline_s: float) -> None:
         bound = self.depth if self.depth is not None else self.scope.depth
-        self._seen.add(digest(self._fresh()))
-        level = [ROOT]
+        self._seen.add(digest(self._new_world()))
+        frontier = [ROOT_NODE]
         report.states = 1
         for depth in range(bound):
-            following: list[int] = []
-            for at, node in enumerate(level):
-                if self.clock() > until:
-                    report.left = len(level) - at + len(following)
+            next_frontier: list[int] = []
+            for index, node in enumerate(frontier):
+                if self.clock() > deadline_s:
+                    report.left = len(frontier) - index + len(next_frontier)
                     return
                 path = self._path(node)
-                if not self._open(report, node, path, following):
+                if not self._expand(report, node, path, next_frontier):
                     return
-                if at % 200 == 0:
-                    report.seconds = report.searched_s = self.clock() - begun
+                if index % 200 == 0:
+                    report.seconds = report.searched_s = self.clock() - started_s
                     self.progress(report)
             report.depth = depth + 1
-            level = following
-        report.left = len(level)
+            frontier = next_frontier
+        report.left = len(frontier)
         report.exhausted = True
 
-    def _open(self, report: Report, node: int, path: list[Step], following: list[int]) -> bool:
+    def _expand(self, report: Report, node: int, path: list[Step], next_frontier: list[int]) -> bool:
         """Applies every enabled event to the state of `node`. Returns False at a breach."""
-        world = self._fresh()
-        for one in path:
-            world.apply(one.event, one.draws)
+        world = self._new_world()
+        for path_step in path:
+            world.apply(path_step.event, path_step.draws)
         names = world.enabled()
-        copy = self._copies(world)
+        copy = self._copier(world)
         for name in names:
             script: tuple[int, ...] | None = ()
             while script is not None:
                 world = copy()
-                drawn, wrong = trace.step(world, name, script)
+                drawn, found_breaches = trace.step(world, name, script)
                 report.transitions += 1
                 taken = Step(name, tuple(drawn))
-                if wrong:
-                    report.found = self._found(wrong[0], [*path, taken])
+                if found_breaches:
+                    report.found = self._counterexample(found_breaches[0], [*path, taken])
                     return False
                 key = digest(world)
                 if key not in self._seen:
                     self._seen.add(key)
                     self._nodes.append(_Node(node, taken))
-                    following.append(len(self._nodes) - 1)
+                    next_frontier.append(len(self._nodes) - 1)
                     report.states += 1
                 script = next_script(drawn)
         return True
 
-    def _walks(self, report: Report, begun: float, until: float) -> None:
+    def _run_walks(self, report: Report, started_s: float, deadline_s: float) -> None:
         number = 0
-        while self.clock() < until and number != self.walks:
+        while self.clock() < deadline_s and number != self.walks:
             number += 1
             # Seeding each walk by its own number makes it reproducible independently of earlier walks.
-            chance = Random(f"{self.seed}/{number}")
-            if not self._walk(report, chance):
+            generator = Random(f"{self.seed}/{number}")
+            if not self._run_walk(report, generator):
                 return
             report.walks = number
             if number % 20 == 0:
-                report.seconds = self.clock() - begun
+                report.seconds = self.clock() - started_s
                 self.progress(report)
 
-    def _walk(self, report: Report, chance: Random) -> bool:
-        world, steps = self._fresh(), []
-        for _ in range(self.scope.walk):
+    def _run_walk(self, report: Report, generator: Random) -> bool:
+        world, steps = self._new_world(), []
+        for _ in range(self.scope.walk_steps):
             names = world.enabled()
             if not names:
                 break
-            name = chance.choice(names)
-            script = tuple(chance.randrange(2) for _ in range(8))
-            drawn, wrong = trace.step(world, name, script)
+            name = generator.choice(names)
+            script = tuple(generator.randrange(2) for _ in range(8))
+            drawn, found_breaches = trace.step(world, name, script)
             report.walked += 1
             steps.append(Step(name, tuple(drawn)))
-            if wrong:
-                report.found = self._found(wrong[0], steps)
+            if found_breaches:
+                report.found = self._counterexample(found_breaches[0], steps)
                 return False
         return True
 
-    def _found(self, breach: str, steps: list[Step]) -> Counterexample:
+    def _counterexample(self, breach: str, steps: list[Step]) -> Counterexample:
         return Counterexample(trace.FORM, self.scope.name, self.fault, breach, tuple(steps))
--- a/cloverrouter/explore/trace.py
+++ b/cloverrouter/explore/trace.py
@@ -63,29 +63,29 @@
     world = world_type(fault)(scope)
     timeline: list[str] = []
     if tell:
-        _listen(world, timeline)
-    for number, one in enumerate(steps, 1):
-        if one.event not in world.enabled():
+        _record_effects(world, timeline)
+    for number, entry in enumerate(steps, 1):
+        if entry.event not in world.enabled():
             return None
-        timeline.append(f"{number:3}  {world.now_ms - 1000:7.1f} ms  {one.event}")
-        _, wrong = step(world, one.event, one.draws)
-        if wrong:
-            timeline += [f"     BROKEN  {text}" for text in wrong]
-            return Played(wrong, number, timeline)
+        timeline.append(f"{number:3}  {world.now_ms - 1000:7.1f} ms  {entry.event}")
+        _, found_breaches = step(world, entry.event, entry.draws)
+        if found_breaches:
+            timeline += [f"     BROKEN  {text}" for text in found_breaches]
+            return Played(found_breaches, number, timeline)
     return Played([], len(steps), timeline)
 
 
-def _listen(world: World, timeline: list[str]) -> None:
+def _record_effects(world: World, timeline: list[str]) -> None:
     """Adds the effects of each event to the timeline."""
     carry_out = world._carry_out
 
-    def told(effect: Effect) -> None:
+    def record_and_carry_out(effect: Effect) -> None:
         fields = [getattr(effect, name) for name in getattr(effect, "__slots__", ())]
-        shown = " ".join(f"{f:.0f}" if isinstance(f, float) else str(f) for f in fields)
-        timeline.append(f"                      -> {type(effect).__name__} {shown}")
+        field_texts = " ".join(f"{f:.0f}" if isinstance(f, float) else str(f) for f in fields)
+        timeline.append(f"                      -> {type(effect).__name__} {field_texts}")
         carry_out(effect)
 
-    world.engine._carry_out = told
+    world.engine._carry_out = record_and_carry_out
 
 
 def name_of(breach: str) -> str:
@@ -101,7 +101,7 @@
     first = play(scope, fault, steps)
     if first is None or not first.breaches:
         return steps
-    wanted, steps = name_of(first.breaches[0]), steps[: first.steps]
+    property_name, steps = name_of(first.breaches[0]), steps[: first.steps]
     changed = True
     while changed:
         changed = False
@@ -109,9 +109,9 @@
             at = 0
             while at + size <= len(steps):
                 shorter = steps[:at] + steps[at + size :]
-                again = play(scope, fault, shorter)
-                if again is not None and any(name_of(b) == wanted for b in again.breaches):
-                    steps, changed = shorter[: again.steps], True
+                replayed = play(scope, fault, shorter)
+                if replayed is not None and any(name_of(b) == property_name for b in replayed.breaches):
+                    steps, changed = shorter[: replayed.steps], True
                 else:
                     at += 1
     return steps
--- a/cloverrouter/explore/world.py
+++ b/cloverrouter/explore/world.py
@@ -62,12 +62,12 @@
 )
 from cloverrouter.proxy.streams import Budget, Upload
 
-GRACE_MS = 500.0
-SLACK_MS = 50.0  # tolerance on the deduplication window
+DRAIN_GRACE_MS = 500.0
+DEDUP_SLACK_MS = 50.0  # tolerance on the deduplication window
 START_MS = 1000.0
-PIECE = b"x" * 1000  # a piece of a request body that is not retained for retries
-HEDGE = -1_000_000  # timer tokens up to this value request a hedged copy
-Key = tuple[int, int]
+BODY_PIECE = b"x" * 1000  # a piece of a request body that is not retained for retries
+HEDGE_TOKEN_BASE = -1_000_000  # timer tokens up to this value request a hedged copy
+AttemptKey = tuple[int, int]
 OUTCOMES = {
     "ok": Outcome.OK,
     "error": Outcome.ERROR,
@@ -88,7 +88,7 @@
 
 
 @dataclass(slots=True)
-class Wire:
+class Exchange:
     """An attempt in flight, as the simulated network and its server see it."""
 
     endpoint: str
@@ -97,13 +97,13 @@
 
 
 @dataclass(slots=True)
-class Run:
+class Execution:
     """A request that has reached a server completely."""
 
     attempt: int
     endpoint: str
     at_ms: float
-    never_ran: bool = False  # the server answered that it did not execute the request
+    not_executed: bool = False  # the server answered that it did not execute the request
 
 
 @dataclass(slots=True)
@@ -112,18 +112,18 @@
 
     class_name: str
     deadline_ms: float | None
-    body_left: bool  # part of its body has not arrived yet
-    starts: int = 0
+    body_incomplete: bool  # part of its body has not arrived yet
+    attempts_started: int = 0
     upload: Upload | None = None  # a body that is not retained for retries
-    body_kept_by: int | None = None  # the attempt that has consumed part of the body
-    left: bool = False
+    body_consumed_by: int | None = None  # the attempt that has consumed part of the body
+    disconnected: bool = False
     streaming: int | None = None  # the attempt whose answer the client is receiving
-    given: list[str] = field(default_factory=list)
-    runs: list[Run] = field(default_factory=list)
+    answers: list[str] = field(default_factory=list)
+    executions: list[Execution] = field(default_factory=list)
 
     @property
-    def owed(self) -> bool:
-        return not self.given and not self.left
+    def awaits_answer(self) -> bool:
+        return not self.answers and not self.disconnected
 
 
 @dataclass(slots=True)
@@ -133,7 +133,7 @@
     cell: int
     state: EndpointState = EndpointState.READY
     cordoned: bool = False
-    told_ms: float = 0.0  # when its current ban was announced
+    banned_since_ms: float = 0.0  # when its current ban was announced
 
     @property
     def banned(self) -> bool:
@@ -145,8 +145,9 @@
     due_ms: float
     order: int
     token: int | None = field(compare=False)  # token of a balancer timer; None for a timer of an attempt
-    key: Key = field(compare=False, default=(0, 0))
-    to_go_out: bool = field(compare=False, default=False)  # the time by which the attempt must have been sent
+    key: AttemptKey = field(compare=False, default=(0, 0))
+    # Whether it ends the time within which the attempt must be sent, instead of the attempt's timeout.
+    is_send_window: bool = field(compare=False, default=False)
 
 
 class HedgingBalancer(Balancer):
@@ -157,7 +158,9 @@
     """
 
     def _on_timer(self, event: TimerFired) -> None:
-        request = self.requests.get(HEDGE - event.token) if event.token <= HEDGE else None
+        request = (
+            self.requests.get(HEDGE_TOKEN_BASE - event.token) if event.token <= HEDGE_TOKEN_BASE else None
+        )
         if request is None:
             super()._on_timer(event)
         elif not request.done and request.retryable() and request.out == 1:
@@ -174,14 +177,14 @@
     def __init__(self, scope: Scope) -> None:
         self.scope = scope
         self.now_ms = START_MS
-        self.used: dict[str, int] = {}  # number of events so far, by kind
-        self.wires: dict[Key, Wire] = {}
-        self.over: list[Key] = []  # ended attempts, for which late events may still arrive
+        self.event_counts: dict[str, int] = {}  # number of events so far, by kind
+        self.exchanges: dict[AttemptKey, Exchange] = {}
+        self.ended_attempts: list[AttemptKey] = []  # ended attempts, for which late events may still arrive
         self.clients: dict[int, Client] = {}
         self.timers: list[Timer] = []
         self.order = 0
         self.breaches: list[str] = []
-        self.oks = self.retries = 0
+        self.successes = self.retries = 0
         self.halted = False  # the process has halted
         self.hedging = False  # a hedged copy is being requested
         self.servers = {f"s{i}": Server(cell) for i, cell in enumerate(scope.cells)}
@@ -192,7 +195,7 @@
         longest_ms = max(cls.deadline_ms for cls in scope.settings.classes)
         self.lifecycle = self.lifecycle_type(longest_ms)
         self.engine = self.engine_type(self.lifecycle, self._decide, self._clock, self._carry_out)
-        self._list(ListKind.FULL, list(self.servers))
+        self._send_server_list(ListKind.FULL, list(self.servers))
 
     def __getstate__(self) -> dict[str, object]:
         state = self.__dict__.copy()
@@ -220,37 +223,37 @@
     def _carry_out(self, effect: Effect) -> None:
         match effect:
             case StartAttempt():
-                self._start(effect)
+                self._start_attempt(effect)
             case SetTimer(delay_ms, token):
-                self._add(self.now_ms + max(0.0, delay_ms), token)
+                self._add_timer(self.now_ms + max(0.0, delay_ms), token)
             case SetAttemptTimeout(call, attempt, timeout_ms):
-                self._drop_due((call, attempt))
-                self._add(self.now_ms + timeout_ms, None, (call, attempt))
+                self._cancel_timers((call, attempt))
+                self._add_timer(self.now_ms + timeout_ms, None, (call, attempt))
             case AbortAttempt(call, attempt):
-                self._abandoned((call, attempt))
+                self._abort_attempt((call, attempt))
             case StreamHeldResponse(call, attempt):
-                wire = self.wires.get((call, attempt))
-                if wire is None or wire.phase is not Phase.HELD:
+                exchange = self.exchanges.get((call, attempt))
+                if exchange is None or exchange.phase is not Phase.HELD:
                     self.breach("held", f"asked to stream {call}/{attempt}, for which no response is held")
                 else:
-                    self._begin((call, attempt))
+                    self._begin_response((call, attempt))
             case StartStreaming(call, attempt):
-                self._drop_due((call, attempt))
+                self._cancel_timers((call, attempt))
                 self.clients[call].streaming = attempt
             case DeliverResponse(call, answer):
-                self._give(call, "served")
+                self._deliver(call, "served")
                 if answer != f"answer {call}":
                     self.breach("answer", f"call {call} was served {answer!r}")
             case DeliverRefusal(call, _):
-                self._give(call, "refused")
-                if any(not run.never_ran for run in self.clients[call].runs):
+                self._deliver(call, "refused")
+                if any(not execution.not_executed for execution in self.clients[call].executions):
                     self.breach("refusal", f"call {call} is refused, but may have been executed")
             case DeliverFailure(call):
-                self._give(call, "failed")
+                self._deliver(call, "failed")
             case ReleaseCall(call):
-                if any(key[0] == call for key in self.wires):
+                if any(key[0] == call for key in self.exchanges):
                     self.breach("rest", f"call {call} is released with an attempt still in flight")
-                if self.clients[call].owed:
+                if self.clients[call].awaits_answer:
                     self.breach("answer", f"call {call} is released without an answer")
             case _:
                 pass  # effects on discovery and logs are not simulated
@@ -258,49 +261,49 @@
     def breach(self, name: str, text: str) -> None:
         self.breaches.append(f"{name}: {text}")
 
-    def _start(self, start: StartAttempt) -> None:
+    def _start_attempt(self, start: StartAttempt) -> None:
         key, client = (start.call, start.attempt), self.clients[start.call]
-        client.starts += 1
-        if client.starts > 1 and not self.hedging:
+        client.attempts_started += 1
+        if client.attempts_started > 1 and not self.hedging:
             self.retries += 1  # a hedged copy is not a retry and costs no tokens
-        self.wires[key] = Wire(start.endpoint, self.now_ms)
+        self.exchanges[key] = Exchange(start.endpoint, self.now_ms)
         if self.halted:
             self.breach("halt", f"call {key[0]} is sent to {start.endpoint} after the process has halted")
-        if client.owed is False:
+        if client.awaits_answer is False:
             self.breach("answer", f"call {key[0]} is sent to {start.endpoint} after its final answer")
         if self.servers[start.endpoint].banned:
             self.breach("drain", f"call {key[0]} starts to {start.endpoint}, which may get no new requests")
-        if client.starts > self.scope.settings.limits.max_attempts:
-            self.breach("attempts", f"call {key[0]} is sent {client.starts} times")
-        if client.body_kept_by is not None:
+        if client.attempts_started > self.scope.settings.limits.max_attempts:
+            self.breach("attempts", f"call {key[0]} is sent {client.attempts_started} times")
+        if client.body_consumed_by is not None:
             self.breach("body", f"call {key[0]} is sent again without a part of its body")
         if start.timeout_ms is not None:
-            self._add(self.now_ms + start.timeout_ms, None, key)
+            self._add_timer(self.now_ms + start.timeout_ms, None, key)
         if start.send_within_ms < float("inf"):
-            self._add(self.now_ms + start.send_within_ms, None, key, to_go_out=True)
-
-    def _abandoned(self, key: Key) -> None:
-        wire, client = self.wires.pop(key), self.clients[key[0]]
-        self._drop_due(key)
-        self.over.append(key)
-        given = wire.phase in (Phase.HELD, Phase.STREAMING)
-        if given and client.owed and client.streaming in (None, key[1]):
+            self._add_timer(self.now_ms + start.send_within_ms, None, key, is_send_window=True)
+
+    def _abort_attempt(self, key: AttemptKey) -> None:
+        exchange, client = self.exchanges.pop(key), self.clients[key[0]]
+        self._cancel_timers(key)
+        self.ended_attempts.append(key)
+        sending = exchange.phase in (Phase.HELD, Phase.STREAMING)
+        if sending and client.awaits_answer and client.streaming in (None, key[1]):
             self.breach(
-                "cut", f"the answer to call {key[0]} is cut off while {wire.endpoint} still sends it"
+                "cut", f"the answer to call {key[0]} is cut off while {exchange.endpoint} still sends it"
             )
 
-    def _give(self, call: int, what: str) -> None:
+    def _deliver(self, call: int, what: str) -> None:
         client = self.clients[call]
-        if client.given:
-            self.breach("answer", f"call {call} is {what} after it was {client.given[-1]}")
-        elif client.left:
+        if client.answers:
+            self.breach("answer", f"call {call} is {what} after it was {client.answers[-1]}")
+        elif client.disconnected:
             self.breach("answer", f"call {call} is {what} after its client has disconnected")
         elif client.streaming is not None:
             self.breach("answer", f"call {call} is {what} in the middle of an answer")
         if client.deadline_ms is not None and self.now_ms > client.deadline_ms + 1e-6:
             late_ms = self.now_ms - client.deadline_ms
             self.breach("late", f"call {call} is {what} {late_ms:.0f} ms after its deadline")
-        client.given.append(what)
+        client.answers.append(what)
         self._drop_body(client)
 
     @staticmethod
@@ -311,29 +314,35 @@
 
     # Timers
 
-    def _add(self, due_ms: float, token: int | None, key: Key = (0, 0), to_go_out: bool = False) -> None:
+    def _add_timer(
+        self, due_ms: float, token: int | None, key: AttemptKey = (0, 0), is_send_window: bool = False
+    ) -> None:
         self.order += 1
-        self.timers.append(Timer(due_ms, self.order, token, key, to_go_out))
+        self.timers.append(Timer(due_ms, self.order, token, key, is_send_window))
 
-    def _drop_due(self, key: Key) -> None:
-        self.timers = [t for t in self.timers if t.token is not None or t.key != key or t.to_go_out]
+    def _cancel_timers(self, key: AttemptKey) -> None:
+        self.timers = [t for t in self.timers if t.token is not None or t.key != key or t.is_send_window]
 
-    def live(self) -> list[Timer]:
+    def pending_timers(self) -> list[Timer]:
         """Returns the timers that still have an effect, earliest first.
 
         The balancer can't cancel its timers; one whose token it no longer knows has no effect.
         """
-        known = self.balancer.timers
+        known_tokens = self.balancer.timers
         self.timers = sorted(
             t
             for t in self.timers
-            if (t.token in known if t.token is not None else not t.to_go_out or self._unsent(t.key))
+            if (
+                t.token in known_tokens
+                if t.token is not None
+                else not t.is_send_window or self._is_unsent(t.key)
+            )
         )
         return self.timers
 
-    def _unsent(self, key: Key) -> bool:
-        wire = self.wires.get(key)
-        return wire is not None and wire.phase in (Phase.CONNECTING, Phase.WRITING)
+    def _is_unsent(self, key: AttemptKey) -> bool:
+        exchange = self.exchanges.get(key)
+        return exchange is not None and exchange.phase in (Phase.CONNECTING, Phase.WRITING)
 
     # Events
 
@@ -344,15 +353,19 @@
         if len(self.clients) < len(arrivals):
             names.append(f"arrive {len(self.clients)}")
         for call, client in self.clients.items():
-            if client.body_left and client.owed:
+            if client.body_incomplete and client.awaits_answer:
                 names.append(f"body-end {call}")
-            if client.owed:
+            if client.awaits_answer:
                 names.append(f"leave {call}")
-                if self._out(call) == 1 and client.class_name == "join" and client.streaming is None:
+                if (
+                    self._count_exchanges(call) == 1
+                    and client.class_name == "join"
+                    and client.streaming is None
+                ):
                     names.append(f"hedge {call}")
-        for key, wire in self.wires.items():
-            names += [f"{what} {key[0]}/{key[1]}" for what in self._can(key, wire)]
-        for key in self.over[-1:]:
+        for key, exchange in self.exchanges.items():
+            names += [f"{what} {key[0]}/{key[1]}" for what in self._enabled_on_exchange(key, exchange)]
+        for key in self.ended_attempts[-1:]:
             names += [f"late {key[0]}/{key[1]}", f"stale {key[0]}/{key[1]}"]
         for name, server in self.servers.items():
             if server.state is EndpointState.READY:
@@ -364,28 +377,32 @@
         if not self.halted:
             names.append("halt")
         names.append("part" if self.balancer.share == 1.0 else "whole")
-        timers = self.live()
+        timers = self.pending_timers()
         due = [t for t in timers if t.due_ms == timers[0].due_ms] if timers else []
         names += [f"tick {i}" for i in range(len(due))]
         if not timers or timers[0].due_ms > self.now_ms + self.scope.wait_ms:
             names.append("wait")
-        most = self.scope.most
-        return [n for n in names if self.used.get(kind_of(n), 0) < most.get(kind_of(n), 1_000_000)]
+        event_limits = self.scope.event_limits
+        return [
+            n
+            for n in names
+            if self.event_counts.get(event_kind(n), 0) < event_limits.get(event_kind(n), 1_000_000)
+        ]
 
-    def _out(self, call: int) -> int:
-        return sum(key[0] == call for key in self.wires)
+    def _count_exchanges(self, call: int) -> int:
+        return sum(key[0] == call for key in self.exchanges)
 
-    def _can(self, key: Key, wire: Wire) -> list[str]:
+    def _enabled_on_exchange(self, key: AttemptKey, exchange: Exchange) -> list[str]:
         client = self.clients[key[0]]
-        match wire.phase:
+        match exchange.phase:
             case Phase.CONNECTING | Phase.WRITING:
                 names = ["refused"]
-                late = self.now_ms - wire.started_ms > self.scope.connect_ms
-                if wire.phase is Phase.CONNECTING and late:
+                late = self.now_ms - exchange.started_ms > self.scope.connect_ms
+                if exchange.phase is Phase.CONNECTING and late:
                     return names
-                if not client.body_left:
+                if not client.body_incomplete:
                     names.append("written")
-                elif client.body_kept_by is None:
+                elif client.body_consumed_by is None:
                     names.append("piece")
                 return names
             case Phase.SENT:
@@ -402,25 +419,25 @@
         test.
         """
         kind, _, what = name.partition(" ")
-        self.used[kind] = self.used.get(kind, 0) + 1
-        self.choices.play(script)
+        self.event_counts[kind] = self.event_counts.get(kind, 0) + 1
+        self.choices.load_script(script)
         if "/" in what:
             call, _, attempt = what.partition("/")
-            self._at_wire(kind, (int(call), int(attempt)))
+            self._apply_network_event(kind, (int(call), int(attempt)))
         elif kind in ("arrive", "body-end", "leave", "hedge"):
-            self._by_client(kind, int(what))
+            self._apply_client_event(kind, int(what))
         elif kind in ("drain", "gone", "back", "cordon", "uncordon"):
-            self._by_operator(kind, what)
+            self._apply_server_event(kind, what)
         elif kind == "halt":
             self.halted = True
             self.engine.take(ProcessHalted())
         elif kind in ("part", "whole"):
             self.engine.take(ShareAssigned(0.5 if kind == "part" else 1.0))
         elif kind == "tick":
-            self._tick(int(what))
+            self._fire_timer(int(what))
         elif kind == "wait":
             self.now_ms += self.scope.wait_ms
-            self._check_time()
+            self._check_deadlines()
         else:
             raise ValueError(f"no such event: {name}")
         if self.halted:
@@ -429,10 +446,10 @@
 
     def _check_halted(self) -> None:
         for call, client in self.clients.items():
-            if client.owed and client.streaming is None:
+            if client.awaits_answer and client.streaming is None:
                 self.breach("halt", f"call {call} has no answer after the process has halted")
 
-    def _at_wire(self, kind: str, key: Key) -> None:
+    def _apply_network_event(self, kind: str, key: AttemptKey) -> None:
         if kind == "late":  # network events of an attempt that has already ended
             self.engine.take(RequestWritten(*key))
             self.engine.take(ResponseStarted(*key))
@@ -441,116 +458,116 @@
         if kind == "stale":  # a timer that was cancelled just before it fired
             self.engine.take(AttemptTimedOut(*key))
             return
-        wire, client = self.wires.get(key), self.clients.get(key[0])
-        if wire is None or client is None:
+        exchange, client = self.exchanges.get(key), self.clients.get(key[0])
+        if exchange is None or client is None:
             raise ValueError(f"{kind}: attempt {key[0]}/{key[1]} is not in flight")
         match kind:
             case "written":
-                self._written(key, wire, client)
+                self._complete_request(key, exchange, client)
             case "piece":
-                wire.phase, client.body_kept_by = Phase.WRITING, key[1]
+                exchange.phase, client.body_consumed_by = Phase.WRITING, key[1]
                 assert client.upload is not None
                 client.upload.take()
             case "refused":
-                self._end(key, Outcome.CONNECT_FAILED)
+                self._end_attempt(key, Outcome.CONNECT_FAILED)
             case "held":
-                wire.phase = Phase.HELD
+                exchange.phase = Phase.HELD
                 self.engine.take(ResponseHeld(*key))
             case "begun":
-                self._begin(key)
+                self._begin_response(key)
             case _:
                 if kind == "rejected":
-                    for run in client.runs:
-                        run.never_ran = run.never_ran or run.attempt == key[1]
-                self._end(key, OUTCOMES[kind])
+                    for execution in client.executions:
+                        execution.not_executed = execution.not_executed or execution.attempt == key[1]
+                self._end_attempt(key, OUTCOMES[kind])
 
-    def _written(self, key: Key, wire: Wire, client: Client) -> None:
-        wire.phase = Phase.SENT
+    def _complete_request(self, key: AttemptKey, exchange: Exchange, client: Client) -> None:
+        exchange.phase = Phase.SENT
         while client.upload is not None and client.upload.take() is not None:
-            client.body_kept_by = key[1]
-        server, settings = self.servers[wire.endpoint], self.scope.settings
-        if server.banned and self.now_ms > server.told_ms + GRACE_MS:
-            self.breach("drain", f"call {key[0]} is sent to {wire.endpoint} after its grace period")
-        if client.body_kept_by not in (None, key[1]):
-            self.breach("body", f"call {key[0]} is sent to {wire.endpoint} without a part of its body")
-        if not client.owed:
-            self.breach("answer", f"call {key[0]} is sent to {wire.endpoint} after its final answer")
-        before = [run for run in client.runs if not run.never_ran]
-        cls = class_of(settings, client.class_name)
+            client.body_consumed_by = key[1]
+        server, settings = self.servers[exchange.endpoint], self.scope.settings
+        if server.banned and self.now_ms > server.banned_since_ms + DRAIN_GRACE_MS:
+            self.breach("drain", f"call {key[0]} is sent to {exchange.endpoint} after its grace period")
+        if client.body_consumed_by not in (None, key[1]):
+            self.breach("body", f"call {key[0]} is sent to {exchange.endpoint} without a part of its body")
+        if not client.awaits_answer:
+            self.breach("answer", f"call {key[0]} is sent to {exchange.endpoint} after its final answer")
+        before = [execution for execution in client.executions if not execution.not_executed]
+        cls = request_class(settings, client.class_name)
         if before and client.class_name == "dial-out":
             self.breach("repeat", f"dial-out {key[0]} may be executed a second time")
         elif before:
             first = before[0]
             if self.servers[first.endpoint].cell != server.cell:
                 self.breach("repeat", f"call {key[0]} is repeated outside of its cell")
-            if self.now_ms > first.at_ms + cls.dedup_window_ms + SLACK_MS:
+            if self.now_ms > first.at_ms + cls.dedup_window_ms + DEDUP_SLACK_MS:
                 self.breach("repeat", f"call {key[0]} is repeated after its deduplication window")
-        client.runs.append(Run(key[1], wire.endpoint, wire.started_ms))
+        client.executions.append(Execution(key[1], exchange.endpoint, exchange.started_ms))
         self.engine.take(RequestWritten(*key))
 
-    def _begin(self, key: Key) -> None:
-        wire, client = self.wires[key], self.clients[key[0]]
-        wire.phase = Phase.STREAMING
+    def _begin_response(self, key: AttemptKey) -> None:
+        exchange, client = self.exchanges[key], self.clients[key[0]]
+        exchange.phase = Phase.STREAMING
         self.engine.take(ResponseStarted(*key))
-        if client.streaming != key[1] and key in self.wires:
-            self._end(key, Outcome.SPOILT)  # the answer is unwanted, so the connection is closed
+        if client.streaming != key[1] and key in self.exchanges:
+            self._end_attempt(key, Outcome.SPOILT)  # the answer is unwanted, so the connection is closed
 
-    def _end(self, key: Key, outcome: Outcome) -> None:
-        wire, client = self.wires.pop(key), self.clients[key[0]]
-        self._drop_due(key)
-        self.over.append(key)
+    def _end_attempt(self, key: AttemptKey, outcome: Outcome) -> None:
+        exchange, client = self.exchanges.pop(key), self.clients[key[0]]
+        self._cancel_timers(key)
+        self.ended_attempts.append(key)
         if outcome is Outcome.OK:
-            self.oks += 1
-        if client.streaming == key[1] and client.owed:
-            client.given.append("streamed" if outcome is Outcome.OK else "cut")
+            self.successes += 1
+        if client.streaming == key[1] and client.awaits_answer:
+            client.answers.append("streamed" if outcome is Outcome.OK else "cut")
             self._drop_body(client)
-        early = outcome in (Outcome.RESET, Outcome.SPOILT) and wire.phase in (
+        early = outcome in (Outcome.RESET, Outcome.SPOILT) and exchange.phase in (
             Phase.CONNECTING,
             Phase.WRITING,
         )
-        answer = f"answer {key[0]}" if wire.phase is not Phase.STREAMING else None
+        answer = f"answer {key[0]}" if exchange.phase is not Phase.STREAMING else None
         self.engine.take(AttemptFinished(*key, Outcome.CONNECT_FAILED if early else outcome, answer))
 
-    def _by_client(self, kind: str, call: int) -> None:
+    def _apply_client_event(self, kind: str, call: int) -> None:
         if kind == "arrive":
             arrival = self.scope.arrivals[call]
-            cls = class_of(self.scope.settings, arrival.class_name)
+            cls = request_class(self.scope.settings, arrival.class_name)
             deadline_ms = None if arrival.uploading else self.now_ms + cls.deadline_ms
             client = self.clients[call] = Client(arrival.class_name, deadline_ms, arrival.uploading)
             if arrival.uploading:
-                client.upload = Upload(self.budget, None, self._read_on)
-                client.upload.on_spent = partial(self._body_taken, call)
-                client.upload.feed(PIECE)
+                client.upload = Upload(self.budget, None, self._resume_reading)
+                client.upload.on_spent = partial(self._report_body_consumed, call)
+                client.upload.feed(BODY_PIECE)
             self.engine.take(
                 RequestArrived(call, arrival.class_name, deadline_ms, uploading=arrival.uploading)
             )
             return
         client = self.clients[call]
         if kind == "leave":
-            client.left = True
+            client.disconnected = True
             self.engine.take(ClientDisconnected(call))
             self._drop_body(client)
         elif kind == "hedge":
             self.hedging = True
-            self.engine.take(TimerFired(HEDGE - call))
+            self.engine.take(TimerFired(HEDGE_TOKEN_BASE - call))
             self.hedging = False
         else:
-            cls = class_of(self.scope.settings, client.class_name)
-            client.body_left, client.deadline_ms = False, self.now_ms + cls.deadline_ms
+            cls = request_class(self.scope.settings, client.class_name)
+            client.body_incomplete, client.deadline_ms = False, self.now_ms + cls.deadline_ms
             if client.upload is not None:
-                client.upload.feed(PIECE)
+                client.upload.feed(BODY_PIECE)
                 client.upload.ended = True
             self.engine.take(RequestCompleted(call, client.deadline_ms))
 
-    def _body_taken(self, call: int) -> None:
+    def _report_body_consumed(self, call: int) -> None:
         self.engine.take(BodyConsumed(call))
 
-    def _read_on(self) -> None:
+    def _resume_reading(self) -> None:
         """Does nothing: the simulated client connection is never paused."""
 
-    def _by_operator(self, kind: str, name: str) -> None:
+    def _apply_server_event(self, kind: str, name: str) -> None:
         server = self.servers[name]
-        was = server.banned
+        was_banned = server.banned
         match kind:
             case "cordon" | "uncordon":
                 server.cordoned = kind == "cordon"
@@ -560,14 +577,14 @@
                 server.state = EndpointState.GONE
             case _:
                 server.state = EndpointState.READY
-        if server.banned and not was:
-            server.told_ms = self.now_ms
+        if server.banned and not was_banned:
+            server.banned_since_ms = self.now_ms
         if kind in ("cordon", "uncordon"):
             self.engine.take(Cordon(name, kind == "cordon"))
         else:
-            self._list(ListKind.DELTA, [name])
+            self._send_server_list(ListKind.DELTA, [name])
 
-    def _list(self, kind: ListKind, names: list[str]) -> None:
+    def _send_server_list(self, kind: ListKind, names: list[str]) -> None:
         entries = tuple(
             ListedEndpoint(name, "a", self.servers[name].cell, state=self.servers[name].state)
             for name in names
@@ -577,30 +594,30 @@
             TargetsListed(EndpointsListed(kind, entries), {name: name for name in sorted(ready)})
         )
 
-    def _tick(self, which: int) -> None:
-        timers = self.live()
+    def _fire_timer(self, which: int) -> None:
+        timers = self.pending_timers()
         if which >= len(timers):
             raise ValueError("tick: no such timer")
         timer = timers.pop(which)
         self.now_ms = max(self.now_ms, timer.due_ms)
         if timer.token is not None:
             self.engine.take(TimerFired(timer.token))
-        elif timer.to_go_out:
+        elif timer.is_send_window:
             self.engine.take(SendWindowExpired(*timer.key))
         else:
             self.engine.take(AttemptTimedOut(*timer.key))
-        self._check_time()
+        self._check_deadlines()
 
-    def _check_time(self) -> None:
+    def _check_deadlines(self) -> None:
         for call, client in self.clients.items():
             past = client.deadline_ms is not None and self.now_ms > client.deadline_ms + 1e-6
-            if past and client.owed and client.streaming is None:
+            if past and client.awaits_answer and client.streaming is None:
                 self.breach("late", f"call {call} has no answer at its deadline")
 
 
-def kind_of(name: str) -> str:
+def event_kind(name: str) -> str:
     return name.partition(" ")[0]
 
 
-def class_of(settings: Settings, name: str) -> RequestClass:
+def request_class(settings: Settings, name: str) -> RequestClass:
     return next(cls for cls in settings.classes if cls.name == name)
--- a/tests/test_explore.py
+++ b/tests/test_explore.py
@@ -23,7 +23,7 @@
 LONG_S = 600.0  # never reached by a search with bounds on depth and walks
 
 
-def explored(scope: str, fault: str | None = None, depth: int | None = None, walks: int = 0) -> Report:
+def run_search(scope: str, fault: str | None = None, depth: int | None = None, walks: int = 0) -> Report:
     return Search(SCOPES[scope], fault, 1, LONG_S, depth, walks).run()
 
 
@@ -33,7 +33,7 @@
      ("window", 5, 500), ("end", 4, 500), ("bays", 5, 500), ("uploads", 5, 500)],
 )  # fmt: skip
 def test_unchanged_code_is_clean(scope: str, depth: int | None, walks: int) -> None:
-    report = explored(scope, depth=depth, walks=walks)
+    report = run_search(scope, depth=depth, walks=walks)
     assert report.found is None, report.found
     assert report.exhausted and report.walks == walks
     assert report.depth == (SCOPES[scope].depth if depth is None else depth)
@@ -43,7 +43,7 @@
 @pytest.mark.parametrize("fault", FAULTS)
 def test_each_seeded_fault_is_found(fault: str) -> None:
     seeded = FAULTS[fault]
-    report = explored(seeded.scope, fault, walks=200)
+    report = run_search(seeded.scope, fault, walks=200)
     assert report.found is not None
     assert trace.name_of(report.found.breach) in seeded.shows
     # In the shipped code, the same history has no breach or is impossible.
@@ -58,16 +58,16 @@
 
 
 def test_two_searches_say_the_same() -> None:
-    one, other = (explored("join", depth=4, walks=50) for _ in range(2))
+    one, other = (run_search("join", depth=4, walks=50) for _ in range(2))
     for report in (one, other):
         report.seconds = report.searched_s = 0.0
     assert one == other
 
 
 def test_a_breach_beyond_the_bound_is_found_by_a_walk_and_cut_down() -> None:
-    report = explored("join", "leaves-its-bay", depth=1, walks=50)
+    report = run_search("join", "leaves-its-bay", depth=1, walks=50)
     assert report.found is None  # this scope has only one cell
-    report = explored("bays", "leaves-its-bay", depth=1, walks=5000)
+    report = run_search("bays", "leaves-its-bay", depth=1, walks=5000)
     assert report.found is not None
     steps = report.found.steps
     assert len(steps) <= 8
@@ -109,15 +109,15 @@
 
 def test_an_exception_is_a_breach() -> None:
     world = World(SCOPES["join"])
-    _, wrong = trace.step(world, "written 0/0", ())
-    assert trace.name_of(wrong[0]) == "crash"
+    _, found_breaches = trace.step(world, "written 0/0", ())
+    assert trace.name_of(found_breaches[0]) == "crash"
 
 
 def test_every_ordering_on_one_connection() -> None:
     states, found = connections.explore()
     assert found is None and states > 100
     # Without the connection pool's rule, a second copy of one answer is read as the next answer.
-    _, found = connections.explore(settles=False)
+    _, found = connections.explore(require_empty_network=False)
     assert found is not None and found.breach.startswith("mixed: exchange 1")
     assert connections.unreachable() == []
     with pytest.raises(ValueError, match="idle can't have: whole"):
@@ -126,30 +126,30 @@
         machine.on(Event.COMPLETE)
 
 
-def run(*args: str) -> tuple[int, str]:
+def run_command(*args: str) -> tuple[int, str]:
     return command_line.run("explore", *args)
 
 
 def test_command_line(tmp_path: Path) -> None:
     saved = tmp_path / "found.json"
-    code, text = run("--fault", "cuts-held", "--save", str(saved))
+    code, text = run_command("--fault", "cuts-held", "--save", str(saved))
     assert code == 1 and "BROKEN  cut:" in text and "StreamHeldResponse" not in text
-    code, again = run("--replay", str(saved))
+    code, again = run_command("--replay", str(saved))
     assert code == 1 and "BROKEN  cut:" in again
     found = json.loads(saved.read_text())
     saved.write_text(json.dumps({**found, "fault": None}))
-    code, text = run("--replay", str(saved))
+    code, text = run_command("--replay", str(saved))
     assert code == 0 and "nothing is broken" in text
-    code, text = run("--scope", "dial-out", "--depth", "2", "--walks", "5", "--json")
+    code, text = run_command("--scope", "dial-out", "--depth", "2", "--walks", "5", "--json")
     assert code == 0 and json.loads(text)["exhausted"] is True
-    code, text = run("--scope", "connection")
+    code, text = run_command("--scope", "connection")
     assert code == 0 and "every property held" in text
-    code, text = run("--list-faults")
+    code, text = run_command("--list-faults")
     assert code == 0 and all(name in text for name in FAULTS)
 
 
 @pytest.mark.parametrize(
-    ("change", "said"),
+    ("change", "message_part"),
     [
         ({"scope": "huge"}, "scope: found 'huge', allowed are small"),
         ({"fault": "none"}, "fault: found 'none'"),
@@ -158,14 +158,14 @@
         ({"more": 1}, "more"),
     ],
 )
-def test_bad_files_are_told(tmp_path: Path, change: dict[str, object], said: str) -> None:
+def test_bad_files_are_told(tmp_path: Path, change: dict[str, object], message_part: str) -> None:
     path = tmp_path / "found.json"
     found = trace.Counterexample(1, "join", None, "cut: x", (Step("arrive 0"),))
     trace.write(found, path)
     assert trace.read(path) == found
     path.write_text(json.dumps({**json.loads(path.read_text()), **change}))
-    with pytest.raises(TraceError, match=said):
+    with pytest.raises(TraceError, match=message_part):
         trace.read(path)
-    code, text = run("--replay", str(path))
+    code, text = run_command("--replay", str(path))
     assert code == 2 and "found.json" in text
-    assert run("--replay", str(tmp_path / "missing"))[0] == 2
+    assert run_command("--replay", str(tmp_path / "missing"))[0] == 2
