--- a/cloverrouter/explore/canon.py
+++ b/cloverrouter/explore/canon.py
@@ -33,7 +33,7 @@
     return getattr(timer, "__name__", "")
 
 
-def _server(world: World, name: str) -> tuple[Any, ...]:
+def _server_state(world: World, name: str) -> tuple[Any, ...]:
     server, balancer_endpoint = world.servers[name], world.balancer.membership.endpoints.get(name)
     exchanges = tuple(
         (key, exchange.phase.value, _relative_ms(world, exchange.started_ms))
@@ -78,7 +78,7 @@
 def digest(world: World) -> int:
     """Returns a 128-bit digest of the state of `world`."""
     balancer, lifecycle = world.balancer, world.lifecycle
-    servers = tuple(sorted((_server(world, name) for name in world.servers), key=repr))
+    servers = tuple(sorted((_server_state(world, name) for name in world.servers), key=repr))
     clients = tuple(
         (
             client.class_name, client.deadline_ms and _relative_ms(world, client.deadline_ms),
--- a/cloverrouter/explore/choices.py
+++ b/cloverrouter/explore/choices.py
@@ -37,7 +37,7 @@
 
 def next_script(drawn: list[int]) -> tuple[int, ...] | None:
     """Returns the script that follows the draws `drawn` in binary order, or None after the last one."""
-    left = list(drawn)
-    while left and left[-1] == 1:
-        left.pop()
-    return (*left[:-1], 1) if left else None
+    prefix = list(drawn)
+    while prefix and prefix[-1] == 1:
+        prefix.pop()
+    return (*prefix[:-1], 1) if prefix else None
--- a/cloverrouter/explore/connections.py
+++ b/cloverrouter/explore/connections.py
@@ -65,9 +65,9 @@
 
 def _transitions(require_empty_network: bool) -> Iterator[tuple[ModelState, str, ModelState, str]]:
     """Yields each transition breadth first: state, event, next state, and the breach or an empty string."""
-    left, seen = deque([ModelState()]), {ModelState()}
-    while left:
-        model = left.popleft()
+    frontier, seen = deque([ModelState()]), {ModelState()}
+    while frontier:
+        model = frontier.popleft()
         for name in _enabled(model, require_empty_network):
             try:
                 after, breach = _apply(model, name)
@@ -76,7 +76,7 @@
             yield model, name, after, breach
             if after not in seen:
                 seen.add(after)
-                left.append(after)
+                frontier.append(after)
 
 
 def _event_path(seen: dict[ModelState, tuple[ModelState, str] | None], model: ModelState) -> list[str]:
--- a/cloverrouter/explore/faults.py
+++ b/cloverrouter/explore/faults.py
@@ -154,8 +154,8 @@
     def _ended(self, now_ms: float, event: AttemptFinished) -> list[Effect]:
         call = self.calls.get(event.call)
         effects = super()._ended(now_ms, event)
-        late = call is not None and call.state is CallState.LEFT and event.outcome is Outcome.OK
-        return [DeliverResponse(event.call, event.answer), *effects] if late else effects
+        deliver_late = call is not None and call.state is CallState.LEFT and event.outcome is Outcome.OK
+        return [DeliverResponse(event.call, event.answer), *effects] if deliver_late else effects
 
     def _client_disconnected(self, now_ms: float, call_id: int) -> list[Effect]:
         call = self.calls.get(call_id)
@@ -175,8 +175,8 @@
         call = self.calls.get(event.call)
         was_final = call is not None and call.state is CallState.ANSWERED and event.attempt in call.out
         effects = super()._ended(now_ms, event)
-        again = was_final and event.outcome is Outcome.OK and event.answer is not None
-        return [DeliverResponse(event.call, event.answer), *effects] if again else effects
+        deliver_again = was_final and event.outcome is Outcome.OK and event.answer is not None
+        return [DeliverResponse(event.call, event.answer), *effects] if deliver_again else effects
 
 
 class StaleTimers(Lifecycle):
--- a/cloverrouter/explore/world.py
+++ b/cloverrouter/explore/world.py
@@ -123,6 +123,7 @@
 
     @property
     def awaits_answer(self) -> bool:
+        """Whether the client is still connected and has no final answer yet."""
         return not self.answers and not self.disconnected
 
 
@@ -137,13 +138,16 @@
 
     @property
     def banned(self) -> bool:
+        """Whether the server must get no new requests: it drains, is gone or is cordoned."""
         return self.cordoned or self.state is not EndpointState.READY
 
 
 @dataclass(slots=True, order=True)
 class Timer:
+    """A timer of the balancer or of an attempt. Timers with the same due time fire in any order."""
+
     due_ms: float
-    order: int
+    order: int  # creation number
     token: int | None = field(compare=False)  # token of a balancer timer; None for a timer of an attempt
     key: AttemptKey = field(compare=False, default=(0, 0))
     # Whether it ends the time within which the attempt must be sent, instead of the attempt's timeout.
@@ -259,6 +263,7 @@
                 pass  # effects on discovery and logs are not simulated
 
     def breach(self, name: str, text: str) -> None:
+        """Records a breach of the property `name`."""
         self.breaches.append(f"{name}: {text}")
 
     def _start_attempt(self, start: StartAttempt) -> None:
@@ -616,8 +621,10 @@
 
 
 def event_kind(name: str) -> str:
+    """Returns the first word of an event name, by which scopes limit events."""
     return name.partition(" ")[0]
 
 
 def request_class(settings: Settings, name: str) -> RequestClass:
+    """Returns the request class called `name`, which must exist."""
     return next(cls for cls in settings.classes if cls.name == name)
--- a/tests/test_explore.py
+++ b/tests/test_explore.py
@@ -51,13 +51,13 @@
     assert clean is None or not clean.breaches
 
 
-def test_faults_and_properties_are_told() -> None:
+def test_faults_and_properties_have_descriptions() -> None:
     assert len(FAULTS) >= 12
     assert all(fault.text and set(fault.shows) <= set(PROPERTIES) for fault in FAULTS.values())
     assert all(fault.scope in SCOPES for fault in FAULTS.values())
 
 
-def test_two_searches_say_the_same() -> None:
+def test_two_searches_give_the_same_report() -> None:
     one, other = (run_search("join", depth=4, walks=50) for _ in range(2))
     for report in (one, other):
         report.seconds = report.searched_s = 0.0
@@ -158,7 +158,7 @@
         ({"more": 1}, "more"),
     ],
 )
-def test_bad_files_are_told(tmp_path: Path, change: dict[str, object], message_part: str) -> None:
+def test_bad_files_are_reported(tmp_path: Path, change: dict[str, object], message_part: str) -> None:
     path = tmp_path / "found.json"
     found = trace.Counterexample(1, "join", None, "cut: x", (Step("arrive 0"),))
     trace.write(found, path)
