--- a/cloverrouter/cli/explore.py
+++ b/cloverrouter/cli/explore.py
@@ -45,13 +45,13 @@
 
 
 def _replay(path: Path) -> None:
-    if model_trace.is_one(path):
+    if model_trace.is_model_trace(path):
         explore_models.replay(path)
     try:
         found = trace.read(path)
     except trace.TraceError as error:
         raise usage.UsageError(str(error)) from error
-    played = trace.play(SCOPES[found.scope], found.fault, found.steps, tell=True)
+    played = trace.play(SCOPES[found.scope], found.fault, found.steps, verbose=True)
     if played is None:
         usage.error_line("this history can't happen any more: the code has changed since it was saved")
         sys.exit(0)
@@ -77,7 +77,7 @@
     usage.say(f"scope {found.scope}" + (f", with the fault {found.fault}" if found.fault else ""))
     for line in timeline:
         usage.say(line)
-    text = PROPERTIES.get(trace.name_of(found.breach))
+    text = PROPERTIES.get(trace.property_of(found.breach))
     if text:
         usage.say(f"the property: {text}")
 
@@ -169,5 +169,5 @@
         usage.say("every property held")
         return
     scope = SCOPES[report.found.scope]
-    played = trace.play(scope, report.found.fault, report.found.steps, tell=True)
+    played = trace.play(scope, report.found.fault, report.found.steps, verbose=True)
     _timeline(report.found, played.timeline if played is not None else [])
--- a/cloverrouter/explore/choices.py
+++ b/cloverrouter/explore/choices.py
@@ -1,15 +1,18 @@
-"""Randomness as an input: each draw is a choice that the search makes, of two outcomes."""
+"""A random source whose draws the search chooses: each draw is either low or high."""
 
 from __future__ import annotations
 
 from random import Random
 
-LOW, HIGH = 0.02, 0.98
+LOW_DRAW, HIGH_DRAW = 0.02, 0.98
 
 
 class Choices(Random):
-    """Stands in for the balancer's random source. `script` says how each draw falls, low (0) or high (1);
-    past its end all fall low. `drawn` is how they fell since `play`."""
+    """Replaces the balancer's random source.
+
+    `script` sets the result of each draw, low (0) or high (1); draws past its end are low. `drawn` records
+    the results since the last call of `load_script`.
+    """
 
     def __init__(self) -> None:
         super().__init__(0)
@@ -17,15 +20,15 @@
         self.drawn: list[int] = []
 
     def __reduce__(self) -> tuple[type[Choices], tuple[()]]:
-        return Choices, ()  # between two steps there is nothing to be kept
+        return Choices, ()  # the script and the draws are only used within one step
 
-    def play(self, script: tuple[int, ...]) -> None:
+    def load_script(self, script: tuple[int, ...]) -> None:
         self.script, self.drawn = script, []
 
     def random(self) -> float:
         at = len(self.drawn)
         self.drawn.append(self.script[at] if at < len(self.script) else 0)
-        return HIGH if self.drawn[-1] else LOW
+        return HIGH_DRAW if self.drawn[-1] else LOW_DRAW
 
     def randrange(self, start: int, stop: int | None = None, step: int = 1) -> int:
         low, high = (0, start) if stop is None else (start, stop)
@@ -33,7 +36,7 @@
 
 
 def next_script(drawn: list[int]) -> tuple[int, ...] | None:
-    """The next way for draws to fall, after those in `drawn`; None when all have been played."""
+    """Returns the script that follows the draws `drawn` in binary order, or None after the last one."""
     left = list(drawn)
     while left and left[-1] == 1:
         left.pop()
--- a/cloverrouter/explore/connections.py
+++ b/cloverrouter/explore/connections.py
@@ -1,11 +1,11 @@
-"""Every ordering of what can happen on one connection, against the real table of `core.connection`.
+"""Explores every event order on one connection, with the real transition table of `core.connection`.
 
-The peer answers what it is asked, in one piece or in several, and may send more than belongs to it: a second
-copy of an answer, or noise. What it sends waits in the network, each piece with a mark that says which
-exchange it was made for; the marks are what the checks go by, and the reader under test never sees them.
+The peer answers each request in one or several pieces, and may send unsolicited data: a second copy of an
+answer, or noise. Each piece in transit carries the number of the exchange that it was sent for. Only the
+checks use this number; the reader under test never sees it.
 
-One thing is assumed, since nothing on such a connection could tell otherwise: what a peer sends behind an
-answer has left it before the next request goes out. The upstream waits `SETTLE_S` for that.
+One assumption is made, because such a connection has no way to detect its violation: whatever a peer sends
+after an answer has left the peer before the next request goes out. The upstream waits `SETTLE_S` for that.
 """
 
 from __future__ import annotations
@@ -16,176 +16,205 @@
 
 from cloverrouter.core.connection import TABLE, ConnectionAction, ConnectionMachine, Event, State
 
-EXCHANGES = 3
+MAX_EXCHANGES = 3
 NOISE = -1
 
 PROPERTIES = {
-    "mixed": "An exchange is given only what was sent for it.",
-    "once": "An exchange ends once.",
-    "closed": "A closed connection gives nothing and takes nothing.",
-    "table": "No event comes in a state for which the table has no entry.",
+    "mixed": "An exchange receives only data that was sent for it.",
+    "once": "An exchange ends exactly once.",
+    "closed": "A closed connection delivers nothing and accepts nothing.",
+    "table": "No event occurs in a state for which the table has no entry.",
 }
 
 
 @dataclass(frozen=True, slots=True)
-class Wire:
-    """One state of connection, network and peer."""
+class ModelState:
+    """One state of the connection, the network and the peer."""
 
     state: State = State.CONNECTING
-    asked: int = 0  # exchanges that have been put on it
-    ended: tuple[int, ...] = ()
-    owes: int | None = None  # what the peer is to answer
-    begun: bool = False  # and has begun to
-    network: tuple[tuple[str, int], ...] = ()  # (piece, the exchange it was made for), the oldest first
-    extra: int = 1  # how often the peer may still send what is not asked for
-    whole_so_far: bool = True  # every piece read for this exchange was its own
+    exchange_count: int = 0  # number of exchanges assigned to the connection
+    ended_exchanges: tuple[int, ...] = ()  # exchanges that have ended, in order
+    pending_answer: int | None = None  # the exchange that the peer has not fully answered yet
+    answer_begun: bool = False  # the peer has sent the first piece of that answer
+    in_transit: tuple[tuple[str, int], ...] = ()  # (piece, exchange it was sent for), oldest first
+    unsolicited_left: int = 1  # unsolicited pieces that the peer may still send
+    only_own_pieces: bool = True  # every piece read for this exchange was sent for it
 
 
 @dataclass(frozen=True, slots=True)
-class Found:
-    """A breach, and the events that lead to it."""
+class Violation:
+    """A breach of a property, and the events that lead to it."""
 
     breach: str
     events: tuple[str, ...]
 
 
-def explore(settles: bool = True) -> tuple[int, Found | None]:
-    """All states, and the first breach. `settles` False: requests go out on a connection on which bytes
-    still wait, which is the fault that this is to find."""
-    seen: dict[Wire, tuple[Wire, str] | None] = {Wire(): None}
-    for wire, name, after, breach in _transitions(settles):
+def explore(require_empty_network: bool = True) -> tuple[int, Violation | None]:
+    """Returns the number of states and the first breach.
+
+    With `require_empty_network` False, requests also go out on a connection with unread data: a seeded
+    fault that the exploration must find.
+    """
+    seen: dict[ModelState, tuple[ModelState, str] | None] = {ModelState(): None}
+    for model, name, after, breach in _transitions(require_empty_network):
         if breach:
-            return len(seen), Found(breach, (*_path(seen, wire), name))
-        seen.setdefault(after, (wire, name))
+            return len(seen), Violation(breach, (*_event_path(seen, model), name))
+        seen.setdefault(after, (model, name))
     return len(seen), None
 
 
-def _transitions(settles: bool) -> Iterator[tuple[Wire, str, Wire, str]]:
-    """Breadth first: each state, each event in it, the state after it, and what it breaks, if anything."""
-    left, seen = deque([Wire()]), {Wire()}
+def _transitions(require_empty_network: bool) -> Iterator[tuple[ModelState, str, ModelState, str]]:
+    """Yields each transition breadth first: state, event, next state, and the breach or an empty string."""
+    left, seen = deque([ModelState()]), {ModelState()}
     while left:
-        wire = left.popleft()
-        for name in _enabled(wire, settles):
+        model = left.popleft()
+        for name in _enabled(model, require_empty_network):
             try:
-                after, breach = _apply(wire, name)
+                after, breach = _apply(model, name)
             except ValueError as error:
-                after, breach = wire, f"table: {error}"
-            yield wire, name, after, breach
+                after, breach = model, f"table: {error}"
+            yield model, name, after, breach
             if after not in seen:
                 seen.add(after)
                 left.append(after)
 
 
-def _path(seen: dict[Wire, tuple[Wire, str] | None], wire: Wire) -> list[str]:
+def _event_path(seen: dict[ModelState, tuple[ModelState, str] | None], model: ModelState) -> list[str]:
     names: list[str] = []
-    while (before := seen[wire]) is not None:
-        wire, name = before
+    while (before := seen[model]) is not None:
+        model, name = before
         names.append(name)
     return names[::-1]
 
 
-def _enabled(wire: Wire, settles: bool) -> Iterator[str]:
-    if wire.state is State.CONNECTING:
+def _enabled(model: ModelState, require_empty_network: bool) -> Iterator[str]:
+    if model.state is State.CONNECTING:
         yield "open"
-    # The pool's rule: nothing goes out on a connection on which something waits to be read.
-    if wire.state is State.IDLE and wire.asked < EXCHANGES and (not settles or not wire.network):
+    # The connection pool's rule: no request goes out on a connection that has unread data.
+    if (
+        model.state is State.IDLE
+        and model.exchange_count < MAX_EXCHANGES
+        and (not require_empty_network or not model.in_transit)
+    ):
         yield "ask"
-    if wire.owes is not None:
-        if not wire.begun:
+    if model.pending_answer is not None:
+        if not model.answer_begun:
             yield from ("answer", "begin open-ended", "begin long")
         else:
             yield "end"
-    if wire.extra and wire.state is not State.CONNECTING and wire.asked:
+    if model.unsolicited_left and model.state is not State.CONNECTING and model.exchange_count:
         yield "send noise"
-        if wire.owes is None:
+        if model.pending_answer is None:
             yield "send a copy"
-    if wire.network:
+    if model.in_transit:
         yield "read"
-    if wire.state is State.HOLDING:
+    if model.state is State.HOLDING:
         yield "held enough"
     yield from ("peer closes", "give up")
 
 
-def _apply(wire: Wire, name: str) -> tuple[Wire, str]:
-    current = wire.asked - 1
+def _apply(model: ModelState, name: str) -> tuple[ModelState, str]:
+    current = model.exchange_count - 1
     match name:
         case "open":
-            return _on(wire, Event.OPENED)
+            return _apply_machine_event(model, Event.OPENED)
         case "ask":
-            after, breach = _on(wire, Event.ASSIGNED)
+            after, breach = _apply_machine_event(model, Event.ASSIGNED)
             return replace(
-                after, asked=wire.asked + 1, owes=wire.asked, begun=False, whole_so_far=True
+                after,
+                exchange_count=model.exchange_count + 1,
+                pending_answer=model.exchange_count,
+                answer_begun=False,
+                only_own_pieces=True,
             ), breach
         case "answer":
-            return replace(wire, owes=None, network=(*wire.network, ("whole", current))), ""
+            return replace(model, pending_answer=None, in_transit=(*model.in_transit, ("whole", current))), ""
         case "begin open-ended" | "begin long":
             piece = name.removeprefix("begin ")
-            return replace(wire, begun=True, network=(*wire.network, (piece, current))), ""
+            return replace(model, answer_begun=True, in_transit=(*model.in_transit, (piece, current))), ""
         case "end":
-            return replace(wire, owes=None, begun=False, network=(*wire.network, ("whole", current))), ""
+            return replace(
+                model,
+                pending_answer=None,
+                answer_begun=False,
+                in_transit=(*model.in_transit, ("whole", current)),
+            ), ""
         case "send noise":
-            return replace(wire, extra=wire.extra - 1, network=(*wire.network, ("noise", NOISE))), ""
+            return replace(
+                model,
+                unsolicited_left=model.unsolicited_left - 1,
+                in_transit=(*model.in_transit, ("noise", NOISE)),
+            ), ""
         case "send a copy":
-            return replace(wire, extra=wire.extra - 1, network=(*wire.network, ("whole", current))), ""
+            return replace(
+                model,
+                unsolicited_left=model.unsolicited_left - 1,
+                in_transit=(*model.in_transit, ("whole", current)),
+            ), ""
         case "read":
-            return _read(wire, current)
+            return _read(model, current)
         case "held enough":
-            return _on(wire, Event.HOLD_EXPIRED)
+            return _apply_machine_event(model, Event.HOLD_EXPIRED)
         case "peer closes":
-            return _on(wire, Event.CONNECTION_LOST)
+            return _apply_machine_event(model, Event.CONNECTION_LOST)
         case _:
-            return _on(wire, Event.GIVEN_UP)
+            return _apply_machine_event(model, Event.GIVEN_UP)
 
 
-def _read(wire: Wire, current: int) -> tuple[Wire, str]:
-    """What the reader makes of the next piece: it goes by the piece and its own state alone."""
-    (piece, made_for), rest = wire.network[0], wire.network[1:]
-    wire = replace(wire, network=rest)
-    if wire.state is State.CLOSED:
-        return wire, ""
-    if not wire.state.busy:
-        return _on(wire, Event.STRAY)
+def _read(model: ModelState, current: int) -> tuple[ModelState, str]:
+    """Reads the next piece. The reader decides by the piece and the connection state alone."""
+    (piece, sent_for), rest = model.in_transit[0], model.in_transit[1:]
+    model = replace(model, in_transit=rest)
+    if model.state is State.CLOSED:
+        return model, ""
+    if not model.state.busy:
+        return _apply_machine_event(model, Event.STRAY)
     event = {
         "whole": Event.COMPLETE,
         "open-ended": Event.OPEN_ENDED,
         "long": Event.LONG,
         "noise": Event.SPOILT,
     }[piece]
-    if piece == "open-ended" and wire.state is not State.AWAITING:
-        event = Event.SPOILT  # a second head in the middle of an answer can't be read
-    wire = replace(wire, whole_so_far=wire.whole_so_far and made_for == current)
-    return _on(wire, event)
+    if piece == "open-ended" and model.state is not State.AWAITING:
+        event = Event.SPOILT  # a second response head within an answer is unreadable
+    model = replace(model, only_own_pieces=model.only_own_pieces and sent_for == current)
+    return _apply_machine_event(model, event)
 
 
-def _on(wire: Wire, event: Event) -> tuple[Wire, str]:
+def _apply_machine_event(model: ModelState, event: Event) -> tuple[ModelState, str]:
     machine = ConnectionMachine()
-    machine.state = wire.state
-    do = machine.on(event)
-    current, breach = wire.asked - 1, ""
-    after = replace(wire, state=machine.state)
-    if wire.state is State.CLOSED and do is not ConnectionAction.NOTHING:
-        breach = f"closed: {do.value} on {event.value}"
-    ends = do in (
+    machine.state = model.state
+    action = machine.on(event)
+    current, breach = model.exchange_count - 1, ""
+    after = replace(model, state=machine.state)
+    if model.state is State.CLOSED and action is not ConnectionAction.NOTHING:
+        breach = f"closed: {action.value} on {event.value}"
+    ends = action in (
         ConnectionAction.KEEP_OPEN,
         ConnectionAction.DELIVER_AND_CLOSE,
         ConnectionAction.FAIL_AND_CLOSE,
-    ) or (do is ConnectionAction.CLOSE and wire.state.busy)
+    ) or (action is ConnectionAction.CLOSE and model.state.busy)
     if ends:
-        if current in wire.ended:
+        if current in model.ended_exchanges:
             breach = f"once: exchange {current} ends a second time"
-        after = replace(after, ended=(*wire.ended, current))
-    if do in (ConnectionAction.KEEP_OPEN, ConnectionAction.DELIVER_AND_CLOSE) and not wire.whole_so_far:
-        breach = f"mixed: exchange {current} is given what was not sent for it"
+        after = replace(after, ended_exchanges=(*model.ended_exchanges, current))
+    if (
+        action in (ConnectionAction.KEEP_OPEN, ConnectionAction.DELIVER_AND_CLOSE)
+        and not model.only_own_pieces
+    ):
+        breach = f"mixed: exchange {current} receives data that was not sent for it"
     return after, breach
 
 
 def unreachable() -> list[str]:
-    """Entries of the table that no history reaches, as `state: event`."""
+    """Returns the table entries that no event order reaches, each as `state: event`."""
     reached: set[tuple[State, Event]] = set()
-    for wire, _, after, _ in _transitions(settles=True):
-        if after.state is not wire.state:
-            ways = TABLE[wire.state].items()
-            reached |= {(wire.state, event) for event, (state, _) in ways if state is after.state}
+    for model, _, after, _ in _transitions(require_empty_network=True):
+        if after.state is not model.state:
+            entries_of_state = TABLE[model.state].items()
+            reached |= {
+                (model.state, event) for event, (state, _) in entries_of_state if state is after.state
+            }
     return [
         f"{state.value}: {event.value}"
         for state, entries in TABLE.items()
