--- a/cloverrouter/explore/coordination/__init__.py
+++ b/cloverrouter/explore/coordination/__init__.py
@@ -1,1 +1,1 @@
-"""The explorer's part for the cores of control: their models, and the search over any of them."""
+"""Model checking of the control plane: models built from the shipped cores, and the search over them."""
--- a/cloverrouter/explore/coordination/canon.py
+++ b/cloverrouter/explore/coordination/canon.py
@@ -1,12 +1,12 @@
-"""When two worlds are the same: a form in which times, epochs, rounds and attempts count from now.
+"""Canonical form of replica states: times, epochs, rounds and attempts are relative.
 
-Each value (a core, a message, a disk) is walked once. What is kept of it is its shape and its *marks*: the
-figures that only mean something against others. Adding one to all epochs' counts, all rounds of an epoch or
-all attempts of a replica, or some seconds to all times, changes nothing that follows; so epochs count from
-the highest in the world, rounds from the newest of their epoch, times from now.
+Each value (a core, a message, a disk) is walked once and reduced to a template: its shape and its *marks*,
+the numbers that are only meaningful relative to others. Adding a constant to the counters of all epochs, to
+all rounds of an epoch, to all attempts of a replica or to all times does not change the behaviour. So epochs
+count from the highest one in the world, rounds from the newest of their epoch, and times from now.
 
-Left out: what only serves the record, and times longer ago than any figure of the cores that decides
-something within a history (`LONG_AGO_S`).
+The form leaves out fields that only serve bookkeeping, and limits times to `LONG_AGO_S` in the past, which is
+longer than any timeout of the cores that matters within a history.
 """
 
 from __future__ import annotations
@@ -24,14 +24,14 @@
 from cloverrouter.coordination.replica import Replica
 from cloverrouter.coordination.rounds import HeartbeatRounds
 from cloverrouter.coordination.views import GENESIS_EPOCH, PROPOSER_BITS, decode_view
-from cloverrouter.explore.coordination.cores import FROZEN, TIMES_FROM_S, Cores
+from cloverrouter.explore.coordination.cores import IMMUTABLE_TYPES, MIN_TIME_S, CoreStates
 from cloverrouter.explore.coordination.figures import LONG_AGO_S
 from cloverrouter.store import Meta
 from cloverrouter.store.records import Ballot
 
-NOW = 2 * TIMES_FROM_S  # any time will do
+NOW = 2 * MIN_TIME_S  # an arbitrary time above `MIN_TIME_S`
 
-EPOCHS = {
+EPOCH_FIELDS = {
     "epoch",
     "promised",
     "synced",
@@ -42,10 +42,14 @@
     "from_synced",
     "_link_epoch",
 }
-EPOCH_FIRST = {"_promise_due", "_report_due", "_inactive_since"}  # pairs and triples that begin with one
-NEVER_IS_LONG_AGO = {"view_sent_at", "repaired_at"}  # 0 where it never was
-NOT_BEFORE = {"_no_election_before", "_retry_at"}  # once passed they mean nothing
-SKIPPED = {
+EPOCH_FIRST_FIELDS = {
+    "_promise_due",
+    "_report_due",
+    "_inactive_since",
+}  # tuples that start with an epoch
+ZERO_IS_LONG_AGO_FIELDS = {"view_sent_at", "repaired_at"}  # 0 means never
+NOT_BEFORE_FIELDS = {"_no_election_before", "_retry_at"}  # earliest times, no effect once passed
+SKIPPED_FIELDS = {
     "_handlers",
     "_config",
     "config",
@@ -59,13 +63,13 @@
     "_roster",
     "_pending",
 }
-PARTS = {"_context", "_roster", "_pending"}  # of a replica; its parts only refer to them
+REPLICA_PARTS = {"_context", "_roster", "_pending"}  # kept for the replica; its components only refer to them
 
 Mark = tuple[str, Any, Any]
 
 
 class Template:
-    """A value without its marks, and these."""
+    """The shape of a value, as a hash, and its marks."""
 
     __slots__ = ("attempts", "epoch", "marks", "rounds", "shape")
 
@@ -78,10 +82,10 @@
 
 
 class _Walk:
-    """One walk over a value."""
+    """Collects shape and marks in one walk over a value."""
 
-    def __init__(self, canon: Canon, root: object) -> None:
-        self._canon = canon
+    def __init__(self, cache: TemplateCache, root: object) -> None:
+        self._template_cache = cache
         self.root = root
         self.shape: list[Any] = []
         self.marks: list[Mark] = []
@@ -104,30 +108,30 @@
         elif isinstance(value, dict):
             self._dict(name, value)
         elif isinstance(value, list | tuple | set | frozenset) or type(value).__name__ == "deque":
-            self._row(name, value)
-        elif type(value) in FROZEN and not self.is_root(value):
-            self._known(self._canon.frozen(value))
+            self._sequence(name, value)
+        elif type(value) in IMMUTABLE_TYPES and not self.is_root(value):
+            self._add_template(self._template_cache.interned(value))
         else:
             self._object(value)
 
     def is_root(self, value: Any) -> bool:
-        """Whether the walk is over this very value."""
+        """Returns whether the walk started at this value."""
         return value is self.root
 
-    def _known(self, one: Template) -> None:
-        self.shape.append(one.shape)
-        self.marks += one.marks
+    def _add_template(self, template: Template) -> None:
+        self.shape.append(template.shape)
+        self.marks += template.marks
 
     def _float(self, name: str, value: float) -> None:
-        if name in NEVER_IS_LONG_AGO and not value:
+        if name in ZERO_IS_LONG_AGO_FIELDS and not value:
             self.shape.append(-LONG_AGO_S)
-        elif name in NOT_BEFORE:
+        elif name in NOT_BEFORE_FIELDS:
             self.shape.append(max(value - NOW, 0.0))
         else:
-            self.shape.append(max(value - NOW, -LONG_AGO_S) if value > TIMES_FROM_S else value)
+            self.shape.append(max(value - NOW, -LONG_AGO_S) if value > MIN_TIME_S else value)
 
     def _int(self, name: str, value: int) -> None:
-        if name in EPOCHS:
+        if name in EPOCH_FIELDS:
             self.mark("epoch", value)
         elif name == "ticket":
             self.mark("ticket", value)
@@ -140,11 +144,11 @@
             self.value("epoch" if name == "_prefix_seqs" else name, key)
             self.value(name, value[key])
 
-    def _row(self, name: str, value: Any) -> None:
+    def _sequence(self, name: str, value: Any) -> None:
         row = sorted(value) if isinstance(value, set | frozenset) else list(value)
         self.shape.append(len(row))
-        for place, entry in enumerate(row):
-            self.value("epoch" if name in EPOCH_FIRST and place == 0 else name, entry)
+        for position, entry in enumerate(row):
+            self.value("epoch" if name in EPOCH_FIRST_FIELDS and position == 0 else name, entry)
 
     def _object(self, value: Any) -> None:
         self.shape.append(type(value).__name__)
@@ -155,7 +159,7 @@
             self._rounds(value)
             return
         for name, field in _fields(value):
-            if name not in SKIPPED or (name in PARTS and isinstance(value, Replica)):
+            if name not in SKIPPED_FIELDS or (name in REPLICA_PARTS and isinstance(value, Replica)):
                 self._field(value, name, field)
 
     def _field(self, owner: Any, name: str, value: Any) -> None:
@@ -168,7 +172,7 @@
         elif name == "round" and value is not None:
             self.mark("round", value, self._epoch_of_round(owner))
         elif name in ("attempt", "_attempt", "_attempts"):
-            self.mark("attempt", value, self._asker(owner))
+            self.mark("attempt", value, self._sender_of(owner))
         else:
             self.value(name, value)
 
@@ -178,7 +182,7 @@
         epoch: int = getattr(owner, "round_epoch", 0) or getattr(owner, "epoch", 0)
         return epoch
 
-    def _asker(self, owner: Any) -> str:
+    def _sender_of(self, owner: Any) -> str:
         if isinstance(owner, Canvass):
             return owner.sender
         return owner.receiver if isinstance(owner, Support) else self.me
@@ -191,7 +195,7 @@
             self.shape.append(identity)
             self.mark("round", number, epoch)
         for number, begun in sorted(rounds._started_at.items()):
-            if number > rounds.confirmed:  # the others are never looked at again
+            if number > rounds.confirmed:  # earlier rounds are never read again
                 self.mark("round", number, epoch)
                 self.value("at", begun)
         for at in (rounds.confirmed_started_at, rounds._quorum_seen_at, rounds._lease_from):
@@ -204,27 +208,27 @@
     return sorted(vars(value).items())
 
 
-class Canon:
-    """The templates of all cores and of all values that never change."""
+class TemplateCache:
+    """Caches the templates of all core states and all immutable values."""
 
-    def __init__(self, cores: Cores) -> None:
+    def __init__(self, cores: CoreStates) -> None:
         self._cores = cores
-        self._of_cores: dict[int, Template] = {}
-        self._of_frozen: dict[int, Template] = {}
+        self._core_templates: dict[int, Template] = {}
+        self._interned_templates: dict[int, Template] = {}
 
     def core(self, number: int) -> Template:
-        """That of a core's state."""
-        found = self._of_cores.get(number)
+        """Returns the template of a core state."""
+        found = self._core_templates.get(number)
         if found is None:
-            found = self._of_cores[number] = self._walk(self._cores.load(number, NOW))
+            found = self._core_templates[number] = self._walk(self._cores.load(number, NOW))
         return found
 
-    def frozen(self, value: object) -> Template:
-        """That of a message, a disk, ..."""
-        number = self._cores.frozen.number(value)
-        found = self._of_frozen.get(number)
+    def interned(self, value: object) -> Template:
+        """Returns the template of an immutable value such as a message or a disk."""
+        number = self._cores.interned.number(value)
+        found = self._interned_templates.get(number)
         if found is None:
-            found = self._of_frozen[number] = self._walk(value)
+            found = self._interned_templates[number] = self._walk(value)
         return found
 
     def _walk(self, value: object) -> Template:
@@ -233,24 +237,27 @@
         return Template(tuple(walk.shape), tuple(walk.marks))
 
 
-class Base:
-    """From what the figures of one world count."""
+class Baseline:
+    """The reference values of one world: the highest epoch counter, rounds and attempts."""
 
     def __init__(self, templates: Iterable[Template], ticket: Callable[[int], Any]) -> None:
         self._ticket = ticket
         self._count = 0
         self._rounds: dict[int, int] = {}
         self._attempts: dict[str, int] = {}
-        for one in templates:
-            self._count = max(self._count, one.epoch >> PROPOSER_BITS)
-            for epoch, number in one.rounds:
+        for template in templates:
+            self._count = max(self._count, template.epoch >> PROPOSER_BITS)
+            for epoch, number in template.rounds:
                 self._rounds[epoch] = max(number, self._rounds.get(epoch, 0))
-            for asker, number in one.attempts:
-                self._attempts[asker] = max(number, self._attempts.get(asker, 0))
+            for sender, number in template.attempts:
+                self._attempts[sender] = max(number, self._attempts.get(sender, 0))
 
-    def resolve(self, one: Template) -> tuple[Any, ...]:
-        """A value as this world sees it, without negative figures, as Python has one hash for -1 and -2."""
-        return one.shape, *[self._relative(kind, value, of) for kind, value, of in one.marks]
+    def resolve(self, template: Template) -> tuple[Any, ...]:
+        """Returns a value with its marks relative to this world.
+
+        No relative number is negative, as -1 and -2 have the same hash in Python.
+        """
+        return template.shape, *[self._relative(kind, value, of) for kind, value, of in template.marks]
 
     def _relative(self, kind: str, value: Any, of: Any) -> Any:
         if kind == "epoch":
--- a/cloverrouter/explore/coordination/copies.py
+++ b/cloverrouter/explore/coordination/copies.py
@@ -1,7 +1,7 @@
-"""Copies and canonical forms of worlds that are made of real cores.
+"""Deep copies and canonical forms of worlds that contain shipped cores.
 
-A copy shares what is never changed (messages, other frozen values, bytes) and copies the rest. A canonical
-form is a text in which two worlds are alike if they can't behave differently: times count from now.
+A copy shares immutable values (messages, other frozen objects, bytes) and copies the rest. The canonical
+forms of two worlds are equal only if the worlds behave the same; times in it are relative to now.
 """
 
 from __future__ import annotations
@@ -19,10 +19,10 @@
 import xxhash
 
 T = TypeVar("T")
-Known = dict[int, Any]
+Memo = dict[int, Any]
 
-CLOCK_DIGITS = 4
-LONG_BYTES = 16
+TIME_DIGITS = 4
+MAX_INLINE_BYTES = 16
 ABSENT = object()
 
 _SHARED: tuple[type, ...] = (
@@ -32,89 +32,89 @@
 
 
 class Immutable:
-    """What derives from this is shared between copies."""
+    """Base class of objects that are shared between copies."""
 
     __slots__ = ()
 
 
-def copied(value: T) -> T:
-    """A copy that changes on its own. Parts that refer to each other do so in the copy, too."""
-    found: T = _copied(value, {})
+def deep_copy(value: T) -> T:
+    """Returns an independent copy; references between its parts are preserved."""
+    found: T = _deep_copy(value, {})
     return found
 
 
-def _copied(value: Any, known: Known) -> Any:
+def _deep_copy(value: Any, memo: Memo) -> Any:
     kind = value.__class__
     if _is_shared(kind):
         return value
-    made = known.get(id(value))
-    return _copier(kind)(value, known) if made is None else made
+    copy = memo.get(id(value))
+    return _copier(kind)(value, memo) if copy is None else copy
 
 
 @cache
-def _copier(kind: type) -> Callable[[Any, Known], Any]:
-    """How values of a type are copied."""
+def _copier(kind: type) -> Callable[[Any, Memo], Any]:
+    """Returns the function that copies values of a type."""
     if kind in _CONTAINERS:
         return _CONTAINERS[kind]
     names = _slots(kind)
 
-    def copy_object(value: Any, known: Known) -> Any:
-        made: Any = object.__new__(kind)
-        known[id(value)] = made
+    def copy_object(value: Any, memo: Memo) -> Any:
+        copy: Any = object.__new__(kind)
+        memo[id(value)] = copy
         for name in names:
-            held = getattr(value, name, ABSENT)
-            if held is not ABSENT:
-                object.__setattr__(made, name, _copied(held, known))
+            item = getattr(value, name, ABSENT)
+            if item is not ABSENT:
+                object.__setattr__(copy, name, _deep_copy(item, memo))
         fields = getattr(value, "__dict__", None)
         if fields is not None:
-            made.__dict__.update({name: _copied(held, known) for name, held in fields.items()})
-        return made
+            copy.__dict__.update({name: _deep_copy(item, memo) for name, item in fields.items()})
+        return copy
 
     return copy_object
 
 
-def _copy_tuple(value: Any, known: Known) -> Any:
-    return tuple([_copied(each, known) for each in value])
+def _copy_tuple(value: Any, memo: Memo) -> Any:
+    return tuple([_deep_copy(each, memo) for each in value])
 
 
-def _copy_list(value: Any, known: Known) -> Any:
-    made: list[Any] = []
-    known[id(value)] = made
-    made += [_copied(each, known) for each in value]
-    return made
+def _copy_list(value: Any, memo: Memo) -> Any:
+    copy: list[Any] = []
+    memo[id(value)] = copy
+    copy += [_deep_copy(each, memo) for each in value]
+    return copy
 
 
-def _copy_deque(value: Any, known: Known) -> Any:
-    made: deque[Any] = deque([_copied(each, known) for each in value], value.maxlen)
-    known[id(value)] = made
-    return made
+def _copy_deque(value: Any, memo: Memo) -> Any:
+    copy: deque[Any] = deque([_deep_copy(each, memo) for each in value], value.maxlen)
+    memo[id(value)] = copy
+    return copy
 
 
-def _copy_set(value: Any, known: Known) -> Any:
-    made: set[Any] = set(value)
-    known[id(value)] = made
-    return made
+def _copy_set(value: Any, memo: Memo) -> Any:
+    copy: set[Any] = set(value)
+    memo[id(value)] = copy
+    return copy
 
 
-def _copy_dict(value: Any, known: Known) -> Any:
-    made = known[id(value)] = value.__class__()
+def _copy_dict(value: Any, memo: Memo) -> Any:
+    copy = memo[id(value)] = value.__class__()
     if isinstance(value, defaultdict):
-        made.default_factory = value.default_factory
-    for key, held in value.items():
-        made[key] = _copied(held, known)
-    return made
+        copy.default_factory = value.default_factory
+    for key, item in value.items():
+        copy[key] = _deep_copy(item, memo)
+    return copy
 
 
-def _copy_method(value: Any, known: Known) -> Any:
-    return types.MethodType(value.__func__, _copied(value.__self__, known))
+def _copy_method(value: Any, memo: Memo) -> Any:
+    return types.MethodType(value.__func__, _deep_copy(value.__self__, memo))
 
 
-def _copy_count(value: Any, known: Known) -> Any:
-    made = known[id(value)] = itertools.count(_count_at(value))
-    return made
+def _copy_count(value: Any, memo: Memo) -> Any:
+    copy = memo[id(value)] = itertools.count(_count_at(value))
+    return copy
 
 
-_CONTAINERS: dict[type, Callable[[Any, Known], Any]] = {
+_CONTAINERS: dict[type, Callable[[Any, Memo], Any]] = {
     tuple: _copy_tuple,
     list: _copy_list,
     deque: _copy_deque,
@@ -128,13 +128,13 @@
 
 
 def _count_at(count: Any) -> int:
-    """Where an `itertools.count` stands, which only its text tells without moving it."""
+    """Returns the next value of an `itertools.count`; only its text shows it without advancing it."""
     return int(repr(count)[len("count(") : -1])
 
 
 @attrs.frozen
 class _Frozen:
-    """Shows how frozen classes are known."""
+    """A sample whose `__setattr__` identifies frozen attrs classes."""
 
 
 @cache
@@ -154,37 +154,39 @@
 
 
 @attrs.frozen(eq=False)
-class Form:
-    """How the cores of a model are told: which fields make no difference, which figures are no times, and
-    what stands for values of some types."""
-
-    skipped: frozenset[str] = frozenset()
-    plain: frozenset[str] = frozenset()
-    """Fields whose floats are no moments of the clock."""
-    stands_for: dict[type, Callable[[Any], Any]] = attrs.field(factory=dict)
-    oldest_s: float = 60.0
-    """What lies further back makes no difference."""
-
-    def told(self, value: Any, now: float) -> Any:
-        """The value as nested tuples."""
-        return self._told(value, now, False)
-
-    def _told(self, value: Any, now: float, is_plain: bool) -> Any:
+class Canonicalizer:
+    """Converts the cores of a model to canonical forms.
+
+    `skipped_fields` have no influence on behaviour; `replacements` gives the form of values of some types.
+    """
+
+    skipped_fields: frozenset[str] = frozenset()
+    non_time_fields: frozenset[str] = frozenset()
+    """Fields whose floats are not points in time."""
+    replacements: dict[type, Callable[[Any], Any]] = attrs.field(factory=dict)
+    max_age_s: float = 60.0
+    """Times further in the past count as equal, in seconds."""
+
+    def canonical(self, value: Any, now: float) -> Any:
+        """Returns a value as nested lists and plain values."""
+        return self._canonical(value, now, False)
+
+    def _canonical(self, value: Any, now: float, is_not_time: bool) -> Any:
         kind = value.__class__
         if kind is float:
-            return value if is_plain or math.isinf(value) else self._from_now(value, now)
-        if kind is bytes and len(value) > LONG_BYTES:
+            return value if is_not_time or math.isinf(value) else self._relative_time(value, now)
+        if kind is bytes and len(value) > MAX_INLINE_BYTES:
             return xxhash.xxh3_64_intdigest(value)
-        if kind in self.stands_for:
-            return self.stands_for[kind](value)
+        if kind in self.replacements:
+            return self.replacements[kind](value)
         if kind is tuple or kind is list or kind is deque:
-            return [self._told(each, now, is_plain) for each in value]
+            return [self._canonical(each, now, is_not_time) for each in value]
         if kind is set or kind is frozenset:
             return sorted(value)
         if isinstance(value, dict):
             return [
-                (self._told(key, now, is_plain), self._told(held, now, is_plain))
-                for key, held in value.items()
+                (self._canonical(key, now, is_not_time), self._canonical(item, now, is_not_time))
+                for key, item in value.items()
             ]
         if _is_shared(kind):
             return value
@@ -192,21 +194,21 @@
             return _count_at(value)
         return self._fields(value, kind, now)
 
-    def _from_now(self, at: float, now: float) -> float:
-        return round(max(at - now, -self.oldest_s), CLOCK_DIGITS)
+    def _relative_time(self, at: float, now: float) -> float:
+        return round(max(at - now, -self.max_age_s), TIME_DIGITS)
 
     def _fields(self, value: Any, kind: type, now: float) -> list[Any]:
-        skipped, plain = self.skipped, self.plain
+        skipped_fields, non_time_fields = self.skipped_fields, self.non_time_fields
         found: list[Any] = [kind.__name__]
         for name in _slots(kind):
-            if name not in skipped:
-                found.append(self._told(getattr(value, name, None), now, name in plain))
-        for name, held in getattr(value, "__dict__", {}).items():
-            if name not in skipped:
-                found.append(self._told(held, now, name in plain))
+            if name not in skipped_fields:
+                found.append(self._canonical(getattr(value, name, None), now, name in non_time_fields))
+        for name, item in getattr(value, "__dict__", {}).items():
+            if name not in skipped_fields:
+                found.append(self._canonical(item, now, name in non_time_fields))
         return found
 
 
 def digest(parts: Any) -> int:
-    """128 bits that stand for these parts, by their text."""
+    """Returns a 128-bit hash of the `repr` of these parts."""
     return xxhash.xxh3_128_intdigest(repr(parts).encode())
--- a/cloverrouter/explore/coordination/cores.py
+++ b/cloverrouter/explore/coordination/cores.py
@@ -1,9 +1,9 @@
-"""The real cores as values: a core's state is kept pickled, and each event on it is played once.
+"""Interned states of the shipped cores: states are stored as pickles, and each event on a state runs once.
 
-Many orderings bring one core the same events, so what an event makes of a state, and what it asks for, is
-kept. In a pickle times count from the core's last event, so that the same state at another time is the same
-value; what never changes (messages, views, members) is kept once, beside. Two equal states of a core may
-still have two numbers (pickles tell more than matters); the canonical form of the whole world makes them one.
+Many orderings deliver the same events to a core, so the resulting state and effects are cached. Times in a
+pickle are relative to the core's last event, so that the same state at another time has the same pickle.
+Immutable values (messages, views, members) are interned outside of the pickles. Equal states may still have
+different numbers, as pickles contain irrelevant details; the canonical form of the whole world merges them.
 """
 
 from __future__ import annotations
@@ -20,101 +20,101 @@
 from cloverrouter.coordination.genesis import GenesisConfig, GenesisProposer
 from cloverrouter.coordination.replica import Replica
 from cloverrouter.coordination.views import Member, View
-from cloverrouter.explore.coordination.figures import GENESIS, LONG_AGO_S, REPLICA, NoDraws, seconds
-from cloverrouter.explore.coordination.register import Register, orders_of
+from cloverrouter.explore.coordination.figures import GENESIS, LONG_AGO_S, REPLICA, MinimumRandom, seconds
+from cloverrouter.explore.coordination.register import OrderLog, orders_of
 from cloverrouter.store import Meta, Record, Snapshot, StoredReplica, Update
 
-MOST_KEPT = 1_000_000  # played events; beyond that all are forgotten, and played again where needed
-TIMES_FROM_S = 50.0  # floats above are times, those below durations
-FROZEN: frozenset[type] = frozenset(
+MAX_CACHED_STEPS = 1_000_000  # when the cache is full it is cleared, and events run again
+MIN_TIME_S = 50.0  # larger floats are points in time, smaller ones durations
+IMMUTABLE_TYPES: frozenset[type] = frozenset(
     [kind for kind in vars(messages).values() if isinstance(kind, type)]
     + [Durable, GenesisConfig, Member, Meta, Record, ReplicaConfig, Snapshot, StoredReplica, Update]
-    + [NoDraws, View, ViewInfo]
-)  # types whose values never change
+    + [MinimumRandom, View, ViewInfo]
+)  # types with immutable values
 
 
 @dataclass(frozen=True, slots=True)
 class Facts:
-    """What is to be seen of a replica from outside, `lead_for_s` as from its last event."""
+    """The observable state of a replica. `lease_remaining_s` counts from its last event."""
 
-    lead_for_s: float | None
-    leads: int  # the epoch that it leads in force, as it thinks; 0: none
-    chain: tuple[str, ...]  # of that view
-    newest: tuple[str, ...]  # orders in its newest state, of a leader only
+    lease_remaining_s: float | None
+    head_epoch: int  # epoch of the view in force that it claims to lead; 0: none
+    chain: tuple[str, ...]  # identities of the chain of that view
+    newest_orders: tuple[str, ...]  # orders in the newest state of a head; empty otherwise
     adoptable: bool
 
 
 @dataclass(frozen=True, slots=True)
 class Step:
-    """What an event made of a core."""
+    """The result of an event: the number of the new core state, and the effects."""
 
     core: int
     effects: tuple[Effect, ...]
 
 
-Event = tuple[Hashable, ...]  # name of the method, and its arguments after the time
+Event = tuple[Hashable, ...]  # method name and its arguments, without the time
 
 
-class Frozen:
-    """Values that never change, by number: equal ones are one."""
+class InternedValues:
+    """Interned immutable values by number; equal values have the same number."""
 
     def __init__(self) -> None:
         self.values: list[object] = []
         self._by_value: dict[tuple[type, object], int] = {}
         self._by_address: dict[int, int] = {}
-        self._alive: list[object] = []
+        self._references: list[object] = []
 
     def number(self, value: object) -> int:
-        """The number of a value."""
+        """Returns the number of a value."""
         found = self._by_address.get(id(value))
         if found is None:
             found = self._by_value.setdefault((type(value), value), len(self.values))
             if found == len(self.values):
                 self.values.append(value)
             self._by_address[id(value)] = found
-            self._alive.append(value)  # so that no other gets its address
+            self._references.append(value)  # keeps the object alive, so that its address is not reused
         return found
 
 
 class _Pickler(pickle.Pickler):
-    def __init__(self, file: io.BytesIO, frozen: Frozen, now: float) -> None:
+    def __init__(self, file: io.BytesIO, interned: InternedValues, now: float) -> None:
         super().__init__(file, pickle.HIGHEST_PROTOCOL)
-        self._frozen = frozen
+        self._interned = interned
         self._now = now
 
     def persistent_id(self, value: Any) -> Any:
         kind = type(value)
         if kind is float:
-            return max(value - self._now, -LONG_AGO_S) if value > TIMES_FROM_S else None
-        return self._frozen.number(value) if kind in FROZEN else None
+            return max(value - self._now, -LONG_AGO_S) if value > MIN_TIME_S else None
+        return self._interned.number(value) if kind in IMMUTABLE_TYPES else None
 
 
 class _Unpickler(pickle.Unpickler):
-    def __init__(self, file: io.BytesIO, frozen: Frozen, now: float) -> None:
+    def __init__(self, file: io.BytesIO, interned: InternedValues, now: float) -> None:
         super().__init__(file)
-        self._frozen = frozen
+        self._interned = interned
         self._now = now
 
     def persistent_load(self, key: Any) -> Any:
-        return self._now + key if type(key) is float else self._frozen.values[key]
+        return self._now + key if type(key) is float else self._interned.values[key]
 
 
-class Cores:
-    """All states of cores that were met, by number."""
+class CoreStates:
+    """All core states that were reached, by number."""
 
     def __init__(self) -> None:
-        self.frozen = Frozen()
+        self.interned = InternedValues()
         self.pickles: list[bytes] = []
         self._numbers: dict[bytes, int] = {}
         self._steps: dict[tuple[int, int, Event], Step] = {}
         self._facts: dict[int, Facts] = {}
 
-    def keep(self, core: Replica | GenesisProposer, now: float) -> int:
-        """The number of a core's state after an event at `now`."""
+    def intern(self, core: Replica | GenesisProposer, now: float) -> int:
+        """Stores the state of a core after an event at `now`, and returns its number."""
         if isinstance(core, Replica):
-            core._handlers = {}  # methods, made again when it is loaded
+            core._handlers = {}  # bound methods; `load` creates them again
         file = io.BytesIO()
-        _Pickler(file, self.frozen, now).dump(core)
+        _Pickler(file, self.interned, now).dump(core)
         pickled = file.getvalue()
         number = self._numbers.get(pickled)
         if number is None:
@@ -125,26 +125,26 @@
         return number
 
     def load(self, number: int, now: float) -> Any:
-        """The core in that state, as if its last event had been at `now`."""
-        core = _Unpickler(io.BytesIO(self.pickles[number]), self.frozen, now).load()
+        """Returns a core in that state, as if its last event had been at `now`."""
+        core = _Unpickler(io.BytesIO(self.pickles[number]), self.interned, now).load()
         if isinstance(core, Replica):
             core._handlers = core._handler_table()
         return core
 
     def step(self, number: int, now: int, elapsed: int, event: Event) -> Step:
-        """Play an event, so many steps of time after the last."""
+        """Runs an event on a core state, `elapsed` time steps after its last event."""
         key = (number, elapsed, event)
         found = self._steps.get(key)
         if found is None:
-            if len(self._steps) >= MOST_KEPT:
+            if len(self._steps) >= MAX_CACHED_STEPS:
                 self._steps.clear()
             core = self.load(number, seconds(now - elapsed))
             effects = _effects_of(core, seconds(now), event)
-            found = self._steps[key] = Step(self.keep(core, seconds(now)), effects)
+            found = self._steps[key] = Step(self.intern(core, seconds(now)), effects)
         return found
 
     def facts(self, number: int) -> Facts:
-        """What is to be seen of a replica."""
+        """Returns the observable state of a replica by its state number."""
         return self._facts[number]
 
 
@@ -155,24 +155,24 @@
 
 
 def facts_of(replica: Replica, now: float) -> Facts:
-    """What is to be seen of a replica."""
+    """Returns the observable state of a replica."""
     info = replica.view_info
     is_head = replica._head is not None and replica._head.active
     until = replica.lease_until
     return Facts(
-        lead_for_s=until - now if until is not None else None,
-        leads=info.epoch if info is not None and is_head else 0,
+        lease_remaining_s=until - now if until is not None else None,
+        head_epoch=info.epoch if info is not None and is_head else 0,
         chain=tuple(member.identity for member in info.chain) if info is not None and is_head else (),
-        newest=tuple(orders_of(replica._context.history.snapshot().data)) if is_head else (),
+        newest_orders=tuple(orders_of(replica._context.history.snapshot().data)) if is_head else (),
         adoptable=replica.adoptable,
     )
 
 
 def new_replica(member: Member, stored: StoredReplica) -> Replica:
-    """A replica's process before its start."""
-    return Replica(member, stored, Register(), REPLICA, NoDraws())
+    """Returns a replica that has not started yet."""
+    return Replica(member, stored, OrderLog(), REPLICA, MinimumRandom())
 
 
 def new_proposer(ip: str, seeds: Iterable[str]) -> GenesisProposer:
-    """A seed's part in the first start, before its start."""
+    """Returns a genesis proposer that has not started yet."""
     return GenesisProposer(ip, seeds, GENESIS)
--- a/cloverrouter/explore/coordination/credit_scopes.py
+++ b/cloverrouter/explore/coordination/credit_scopes.py
@@ -1,4 +1,4 @@
-"""The scopes `credit` and `credit-large`, with the faults to be found."""
+"""The scopes `credit` and `credit-large`, with their seeded faults."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 from cloverrouter.explore.coordination.credit_model import INVARIANTS, CreditScope, CreditWorld
 from cloverrouter.explore.coordination.scope import ModelFault, ModelScope
 from cloverrouter.explore.coordination.search import Limits
-from cloverrouter.explore.coordination.worlds import WorldModel, told
+from cloverrouter.explore.coordination.worlds import WorldModel, notes_of
 from cloverrouter.placement.quota_messages import QuotaHandover
 
 SCOPE = "credit"
@@ -25,10 +25,10 @@
 
 
 class CreditModel(WorldModel[CreditWorld]):
-    """The model of one world."""
+    """The model of one scope, with the first head's note stored or still being written."""
 
     def __init__(self, scope: CreditScope) -> None:
-        under_way = attrs.evolve(scope, is_noted=False)
+        under_way = attrs.evolve(scope, is_note_stored=False)
         super().__init__(
             {
                 "a head with a full pool": lambda: CreditWorld(scope),
@@ -73,39 +73,39 @@
 
 FAULTS = {
     "lends-what-it-promised": ModelFault(
-        "an allocator lends what a note on its disk promises not to lend",
+        "an allocator lends tokens that a note on its disk reserves",
         ("more",), SCOPE, _seeded(Reserves, "of", _nothing_reserved),
     ),
     "promise-ends-before-the-disk": ModelFault(
-        "a promise ends as the note that takes it back is written, not once it is there",
+        "a reserve ends when the write of the note that ends it begins, not when it completes",
         ("more",), SCOPE, _seeded(Reserves, "of", _only_what_was_written),
     ),
     "promise-begins-with-the-disk": ModelFault(
-        "a promise is kept only once the process hears that it is on the disk",
+        "a reserve takes effect only once the process is notified that it is on the disk",
         ("more",), SCOPE, _seeded(Reserves, "of", _only_what_is_durable),
     ),
     "note-of-any-epoch": ModelFault(
-        "a note counts whoever was head since it was written",
+        "a note counts even if another machine was head since it was written",
         ("more",), SCOPE, _seeded(credit_model, "read_note", _read_of_any_epoch),
     ),
     "lends-at-once-in-the-same-life": ModelFault(
-        "an allocator lends at once though this process has lent before",
+        "an allocator lends immediately although the same process has lent before",
         ("early",), SCOPE, _seeded(QuotaDuty, "_begun_anew", _always_as_at_a_start),
     ),
     "hand-over-taken-twice": ModelFault(
-        "what another allocator has left is taken as often as it is told",
+        "a duplicated handover is taken over again",
         ("twice", "more"), SCOPE, _seeded(QuotaAllocator, "_take_over", _takes_over_again),
     ),
 }  # fmt: skip
 
 SCOPES = {
     SCOPE: ModelScope(
-        "two disks and one tenant's pool: losses of power, notes under way, changes of the head",
-        lambda: CreditModel(CreditScope()), Limits(deviations=2, seconds=120.0), FAULTS, told, INVARIANTS,
+        "two disks and one tenant's pool: power loss, pending note writes, changes of the head",
+        lambda: CreditModel(CreditScope()), Limits(deviations=2, seconds=120.0), FAULTS, notes_of, INVARIANTS,
     ),
     LARGE: ModelScope(
-        "the same with three disks, for longer",
+        "as `credit`, with three disks and for longer",
         lambda: CreditModel(CreditScope(("10.0.0.1", "10.0.0.2", "10.0.0.3"), 6, 3)),
-        Limits(deviations=3, seconds=600.0), {}, told, INVARIANTS,
+        Limits(deviations=3, seconds=600.0), {}, notes_of, INVARIANTS,
     ),
 }  # fmt: skip
--- a/cloverrouter/explore/coordination/describe.py
+++ b/cloverrouter/explore/coordination/describe.py
@@ -1,4 +1,8 @@
-"""Messages and writes in a history, in a line a person can read."""
+"""Readable one-line descriptions of messages and writes.
+
+The descriptions are part of the action labels in saved histories: a changed text makes old histories
+impossible to replay.
+"""
 
 from __future__ import annotations
 
@@ -21,27 +25,27 @@
     Support,
 )
 from cloverrouter.coordination.views import GENESIS_EPOCH, View
-from cloverrouter.explore.coordination.world import NAMES, Delivery, Item, name_of
+from cloverrouter.explore.coordination.world import NAMES, Delivery, Item, disk_name
 from cloverrouter.store import Record
 
 
 def epoch_name(epoch: int) -> str:
-    """An epoch: its count, and whose it is."""
+    """Returns an epoch as its counter followed by the name of its proposer."""
     if epoch <= GENESIS_EPOCH:
         return str(epoch)
-    return f"{epoch >> 16}{name_of(f'{epoch & 0xFFFF:016x}')}"
+    return f"{epoch >> 16}{disk_name(f'{epoch & 0xFFFF:016x}')}"
 
 
 def text_of(item: Item) -> str:
-    """What arrives, or what is written."""
+    """Describes a delivery or a disk write."""
     if isinstance(item, Delivery):
         what = f"{type(item.message).__name__} {message_text(item.message)}".rstrip()
         return f"{NAMES[item.source]} > {NAMES[item.target]}: {what}"
-    return f"{NAMES[item.place]} writes {record_text(item.record)}"
+    return f"{NAMES[item.position]} writes {record_text(item.record)}"
 
 
 def record_text(record: Record) -> str:
-    """What a record says."""
+    """Describes the content of a record."""
     parts = []
     meta = record.meta
     if meta is not None:
@@ -56,17 +60,17 @@
 
 
 def view_text(view: View | None) -> str:
-    """A view."""
+    """Describes a view."""
     if view is None:
         return "no view"
-    chain = "".join(map(name_of, view.chain)) or "none"
-    voters = "".join(name_of(member.identity) for member in view.voters)
-    old = "".join(name_of(member.identity) for member in view.old_voters)
+    chain = "".join(map(disk_name, view.chain)) or "none"
+    voters = "".join(disk_name(member.identity) for member in view.voters)
+    old = "".join(disk_name(member.identity) for member in view.old_voters)
     return f"view {epoch_name(view.epoch)} chain {chain} voters {voters}{f' old {old}' if old else ''}"
 
 
 def message_text(message: Any) -> str:
-    """What a message says."""
+    """Describes the content of a message, without its type."""
     if isinstance(message, Heartbeat):
         force = "in force" if message.active else "not in force"
         return f"{epoch_name(message.epoch)} round {message.round} {force} committed {message.committed}"
@@ -105,5 +109,5 @@
         if hasattr(message, name):
             shown.append(f"{name} {getattr(message, name)}")
     if hasattr(message, "voters"):
-        shown.append("voters " + "".join(name_of(member.identity) for member in message.voters))
+        shown.append("voters " + "".join(disk_name(member.identity) for member in message.voters))
     return " ".join(shown)
--- a/cloverrouter/explore/coordination/disk.py
+++ b/cloverrouter/explore/coordination/disk.py
@@ -1,4 +1,4 @@
-"""A disk of the model: what it holds after a record, and which orders these are."""
+"""Model of a disk: its content after a write, and the orders stored on it."""
 
 from __future__ import annotations
 
@@ -11,11 +11,14 @@
 
 
 class GapError(AssertionError):
-    """A record that does not fit what is there."""
+    """A record whose updates do not continue the sequence that is stored."""
 
 
-def write(stored: StoredReplica, record: Record) -> StoredReplica:
-    """What a disk holds after a record."""
+def apply_record(stored: StoredReplica, record: Record) -> StoredReplica:
+    """Returns the content of a disk after a record was written.
+
+    Raises `GapError` if sequence numbers are missing or repeated.
+    """
     changes: dict[str, Any] = {}
     if record.meta is not None:
         changes["meta"] = record.meta
@@ -34,7 +37,7 @@
 
 
 def orders_on(stored: StoredReplica) -> frozenset[tuple[int, str]]:
-    """The orders that a disk holds, by their numbers."""
+    """Returns the orders that a disk holds, each with its sequence number."""
     snapshot = stored.snapshot
     orders = orders_of(snapshot.data) if snapshot is not None else []
     numbered = list(enumerate(orders, 1))
--- a/cloverrouter/explore/coordination/distribution_model.py
+++ b/cloverrouter/explore/coordination/distribution_model.py
@@ -1,8 +1,8 @@
-"""Committed configurations on their way to a machine: the real publishers, subscriber and feed.
+"""Model of the distribution of committed configurations: the shipped publishers, subscriber and feed.
 
-Played: the chain, which tells each voter in its own time what is committed; voters and the machine that start
-again, a voter also with less than it had told before; messages that are late, lost, or overtake one another
-on newer connections; and time.
+The model covers the chain, which notifies each voter of commits at a different time; restarts of voters and
+of the machine, where a voter may know less than it had published before; messages that are delayed, lost or
+reordered by newer connections; and time.
 """
 
 from __future__ import annotations
@@ -35,7 +35,7 @@
 from cloverrouter.control.subscriber import Apply, Replace, Subscriber
 from cloverrouter.control.voter_choice import VoterAddress
 from cloverrouter.daemon.configuration_feed import ConfigurationFeed
-from cloverrouter.explore.coordination.copies import Form, Immutable, copied, digest
+from cloverrouter.explore.coordination.copies import Canonicalizer, Immutable, deep_copy, digest
 from cloverrouter.explore.coordination.network import Network
 from cloverrouter.explore.coordination.search import Action
 from cloverrouter.explore.coordination.worlds import World, move
@@ -43,42 +43,42 @@
 from cloverrouter.messages.sending import Send
 
 INVARIANTS = {
-    "back": "what is in force never goes backwards within a life of the process",
-    "uncommitted": "what is in force is a committed state, whole and unchanged",
-    "storm": "messages don't beget messages without end while no time passes",
-    "unsure": "a voter that started again hands out nothing before a head in force has confirmed it",
-    "behind": "once all is calm, the newest committed state is in force within CALM_S",
+    "back": "the configuration in force never goes back while the process lives",
+    "uncommitted": "the configuration in force is a complete and unchanged committed state",
+    "storm": "the exchange of messages ends without the passing of time",
+    "unsure": "a restarted voter publishes nothing before a head in force has confirmed it",
+    "behind": "after the last fault the newest committed state is in force within CALM_S",
 }
-PART_BYTES = 120  # so that a snapshot takes several
+PART_BYTES = 120  # small enough that a snapshot needs several parts
 WINDOW_COUNT = 2
 STEP_S = 0.5
-LONG_S = 2.0
+LONG_STEP_S = 2.0
 CALM_S = 8.0
 CALM_STEP_S = 0.25
-MOST_AT_ONCE = 400
+MAX_MESSAGES_AT_ONCE = 400
 MACHINE = "m"
 
 
 @attrs.frozen(slots=True)
 class DistributionScope:
-    """How large a world."""
+    """The size of a world."""
 
     changes: int = 2
     voters: tuple[str, ...] = ("v1", "v2")
     small_parts: bool = True
-    most_time: int = 2
-    """Half seconds."""
-    begins_with: int = 0
-    """So many changes are committed, and known to all voters, at the start."""
-    calm_every: int = 1
-    """Of so many states one is looked at for what follows when all is calm."""
-    confirms: bool = False
-    """A voter that starts again knows of less than it had told, until a head in force tells it the rest."""
+    max_steps: int = 2
+    """Number of time steps."""
+    initial_changes: int = 0
+    """Number of changes that are committed and known to all voters at the start."""
+    calm_check_interval: int = 1
+    """Convergence is checked in one of this many states."""
+    restarts_unconfirmed: bool = False
+    """Whether a restarted voter is unconfirmed, and may know less than it had published, until `confirm`."""
 
 
 @contextmanager
-def figures(scope: DistributionScope) -> Iterator[None]:
-    """Short parts and a short window, so that few and small changes play all that long ones do."""
+def patched_limits(scope: DistributionScope) -> Iterator[None]:
+    """Makes parts and window small, so that a few small changes cover the behaviour of large ones."""
     with ExitStack() as stack:
         if scope.small_parts:
             for module in (publisher_module, subscriber_module, transfer_module):
@@ -87,15 +87,15 @@
         yield
 
 
-class _Same(Random, Immutable):
-    """Draws the same each time: the first voter is the source."""
+class _ConstantRandom(Random, Immutable):
+    """Always draws the same number, so that the first voter is the source."""
 
     def random(self) -> float:
         return 0.5
 
 
 def _changes(count: int) -> list[Order]:
-    """A whole configuration, and patches on it, the second of which is longer than a part."""
+    """Returns a whole configuration and patches on it, the second of which is longer than a part."""
     service = {"name": "s"}
     document = {
         "version": 1,
@@ -113,7 +113,7 @@
 
 @lru_cache(maxsize=8)
 def _history(count: int) -> tuple[tuple[bytes, ...], tuple[bytes, ...], tuple[bytes, ...]]:
-    """Updates, and for each number of them the snapshot and the document."""
+    """Returns the updates, and the snapshot and document after each number of updates."""
     machine = ConfigurationMachine()
     updates: list[bytes] = []
     snapshots, documents = [machine.snapshot()], [machine.state.json()]
@@ -129,65 +129,65 @@
 
 @attrs.define(slots=True)
 class _Voter:
-    """One life of a voter."""
+    """A voter process."""
 
     publisher: Publisher
-    knows: int = 0
-    """So many changes are known to it as committed."""
-    is_asked: bool = False
-    """Its publisher wants a snapshot."""
+    known_changes: int = 0
+    """Number of changes that it knows to be committed."""
+    wants_snapshot: bool = False
+    """Whether its publisher has requested a snapshot."""
     is_confirmed: bool = True
-    """A head in force has told it all that is committed."""
+    """Whether a head in force has told it everything that is committed."""
 
 
 class _Machine:
-    """One life of a machine that subscribes."""
+    """The process of a machine that subscribes to configurations."""
 
     def __init__(self, now: float, voters: Iterable[str]) -> None:
-        self.subscriber = Subscriber(MACHINE, "", _Same())
+        self.subscriber = Subscriber(MACHINE, "", _ConstantRandom())
         self.feed = ConfigurationFeed(self.configured, self.failed)
         self.sequence = 0
         self.errors: list[str] = []
         self.voters = tuple(VoterAddress(ip, "") for ip in voters)
 
     def configured(self, state: ConfigurationState) -> None:
-        """The feed has put a state in force."""
+        """Ignores that the feed has put a state into force."""
 
     def failed(self, name: str, **facts: object) -> None:
-        """The feed could not put something in force."""
+        """Records that the feed could not put a state into force."""
         self.errors.append(f"{name} {facts}")
 
 
 class DistributionWorld(World):
-    """See the module."""
+    """The chain, voters, the machine and their network; see the module."""
 
     def __init__(self, scope: DistributionScope) -> None:
         super().__init__()
         self.scope = scope
         self.now = 0.0
         self.steps = 0
-        self.committed = scope.begins_with
+        self.committed = scope.initial_changes
         self.network = Network()
         self.voters: dict[str, _Voter] = {}
         for name in scope.voters:
-            self._begin_voter(name, scope.begins_with)
-        self._begin_machine()
+            self._start_voter(name, scope.initial_changes)
+        self._start_machine()
 
-    def _begin_voter(self, name: str, knows: int, is_confirmed: bool = True) -> None:
+    def _start_voter(self, name: str, known_changes: int, is_confirmed: bool = True) -> None:
         publisher = Publisher(is_confirmed)
-        self.voters[name] = _Voter(publisher, knows, is_confirmed=is_confirmed)
-        self._published(name, self.voters[name].publisher.start(self.now))
-        if knows:
+        self.voters[name] = _Voter(publisher, known_changes, is_confirmed=is_confirmed)
+        self._carry_out_publisher(name, self.voters[name].publisher.start(self.now))
+        if known_changes:
             self._restored(name)
 
-    def _begin_machine(self) -> None:
+    def _start_machine(self) -> None:
         self.machine = _Machine(self.now, self.scope.voters)
         subscriber = self.machine.subscriber
-        self._subscribed(
+        self._carry_out_subscriber(
             [*subscriber.start(self.now), *subscriber.voters_changed(self.now, self.machine.voters)]
         )
 
-    # -- what may happen --
+    # -- moves --
 
     def moves(self) -> Iterable[Action]:
         yield from self.network.moves(self.deliver, self.lose)
@@ -196,84 +196,86 @@
         for name, voter in self.voters.items():
             yield from self._voter_moves(name, voter)
         yield move(f"{MACHINE} is killed and starts again", self.restart_machine, cost=1)
-        late = 1 if self.network.letters else 0
-        if self.time < self.scope.most_time:
+        late = 1 if self.network.envelopes else 0
+        if self.time < self.scope.max_steps:
             yield move(f"{STEP_S:g} s pass", self.wait, STEP_S, cost=late)
-            yield move(f"{LONG_S:g} s pass", self.wait, LONG_S, cost=1)
+            yield move(f"{LONG_STEP_S:g} s pass", self.wait, LONG_STEP_S, cost=1)
 
     def _voter_moves(self, name: str, voter: _Voter) -> Iterable[Action]:
-        if voter.knows < self.committed:
-            yield move(f"{name} learns that {voter.knows + 1} is committed", self.learn, name)
-            yield move(f"{name} is handed the state at {self.committed}", self.hand, name, cost=1)
+        if voter.known_changes < self.committed:
+            yield move(f"{name} learns that {voter.known_changes + 1} is committed", self.learn, name)
+            yield move(f"{name} is handed the state at {self.committed}", self.hand_over_state, name, cost=1)
         if not voter.is_confirmed:
             yield move(f"{name} hears of a head in force, and what is committed", self.confirm, name)
-        if voter.is_asked:
+        if voter.wants_snapshot:
             yield move(f"{name}'s publisher is given the snapshot it wants", self.give_snapshot, name)
-        for kept in {voter.knows, max(voter.knows - 1, 0)}:
-            text = f"{name} is killed and starts again, knowing of {kept}"
-            yield move(text, self.restart_voter, name, kept, cost=1)
+        for known_after_restart in {voter.known_changes, max(voter.known_changes - 1, 0)}:
+            text = f"{name} is killed and starts again, knowing of {known_after_restart}"
+            yield move(text, self.restart_voter, name, known_after_restart, cost=1)
         yield move(f"the connections of {name} are reset", self.reset, name, cost=1)
 
     # -- the chain --
 
     def commit(self) -> None:
-        """One more change is committed."""
+        """Commits the next change."""
         self.committed += 1
 
     def learn(self, name: str) -> None:
-        """A voter learns of the next change."""
+        """Notifies a voter of the next committed change."""
         voter = self.voters[name]
-        voter.knows += 1
-        update = _history(self.scope.changes)[0][voter.knows - 1]
-        self._published(name, voter.publisher.committed(self.now, voter.knows, update))
+        voter.known_changes += 1
+        update = _history(self.scope.changes)[0][voter.known_changes - 1]
+        self._carry_out_publisher(name, voter.publisher.committed(self.now, voter.known_changes, update))
 
-    def hand(self, name: str) -> None:
-        """A voter is handed the whole committed state."""
-        self.voters[name].knows = self.committed
+    def hand_over_state(self, name: str) -> None:
+        """Hands the whole committed state to a voter."""
+        self.voters[name].known_changes = self.committed
         self._restored(name)
 
     def give_snapshot(self, name: str) -> None:
-        """As `ReplicaRole` does at its next tick."""
+        """Gives a publisher the requested snapshot, as `ReplicaRole` does at its next tick."""
         self._restored(name)
 
     def _restored(self, name: str) -> None:
         voter = self.voters[name]
-        voter.is_asked = False
-        snapshot = _history(self.scope.changes)[1][voter.knows]
-        self._published(name, voter.publisher.restored(self.now, voter.knows, snapshot))
+        voter.wants_snapshot = False
+        snapshot = _history(self.scope.changes)[1][voter.known_changes]
+        self._carry_out_publisher(name, voter.publisher.restored(self.now, voter.known_changes, snapshot))
 
-    def restart_voter(self, name: str, kept: int) -> None:
-        """Its disk may know of less than its process did."""
-        self._begin_voter(name, kept, not self.scope.confirms)
+    def restart_voter(self, name: str, known_after_restart: int) -> None:
+        """Restarts a voter, whose disk may have fewer commits than its process knew."""
+        self._start_voter(name, known_after_restart, not self.scope.restarts_unconfirmed)
 
     def confirm(self, name: str) -> None:
-        """As `ReplicaRole` does in the chain of a view in force: the head's first heartbeat has told what is
-        committed."""
+        """Confirms a voter, as `ReplicaRole` does in the chain of a view in force.
+
+        The head's first heartbeat has told it what is committed.
+        """
         voter = self.voters[name]
-        while voter.knows < self.committed:
+        while voter.known_changes < self.committed:
             self.learn(name)
         voter.is_confirmed = True
-        self._published(name, voter.publisher.confirm(self.now))
+        self._carry_out_publisher(name, voter.publisher.confirm(self.now))
 
-    def _published(self, name: str, effects: Iterable[Send | SnapshotWanted]) -> None:
+    def _carry_out_publisher(self, name: str, effects: Iterable[Send | SnapshotWanted]) -> None:
         for effect in effects:
             if isinstance(effect, Send):
                 self._check_handed_out(name, effect.message)
-                self.network.send(name, effect.ip, effect.message, _shown(effect.message))
+                self.network.send(name, effect.ip, effect.message, _describe(effect.message))
             else:
-                self.voters[name].is_asked = True
+                self.voters[name].wants_snapshot = True
 
     def _check_handed_out(self, name: str, message: object) -> None:
         is_nothing = isinstance(message, Offer) and message.newest == NOTHING
-        text = f"{name} tells {_shown(message)}"
-        self.must(self.voters[name].is_confirmed or is_nothing, "unsure", text)
+        text = f"{name} tells {_describe(message)}"
+        self.require(self.voters[name].is_confirmed or is_nothing, "unsure", text)
 
     # -- the machine --
 
-    def _subscribed(self, effects: Iterable[Send | Apply | Replace]) -> None:
+    def _carry_out_subscriber(self, effects: Iterable[Send | Apply | Replace]) -> None:
         for effect in effects:
             if isinstance(effect, Send):
-                self.network.send(MACHINE, effect.ip, effect.message, _shown(effect.message))
+                self.network.send(MACHINE, effect.ip, effect.message, _describe(effect.message))
             else:
                 self._put_in_force(effect)
 
@@ -282,101 +284,113 @@
         machine.feed.take(effect)
         document = machine.feed.state.json()
         documents = _history(self.scope.changes)[2]
-        self.tell(f"-> {effect.sequence} is in force")
+        self.add_note(f"-> {effect.sequence} is in force")
         text = f"{effect.sequence} came into force after {machine.sequence}"
-        self.must(effect.sequence > machine.sequence, "back", text)
-        self.must(effect.sequence <= self.committed, "uncommitted", f"{effect.sequence} of {self.committed}")
+        self.require(effect.sequence > machine.sequence, "back", text)
+        self.require(
+            effect.sequence <= self.committed, "uncommitted", f"{effect.sequence} of {self.committed}"
+        )
         is_right = effect.sequence < len(documents) and documents[effect.sequence] == document
-        self.must(is_right, "uncommitted", f"{effect.sequence} is not what was committed under that number")
-        self.must(not machine.errors, "uncommitted", "; ".join(machine.errors))
+        self.require(
+            is_right, "uncommitted", f"{effect.sequence} is not what was committed under that number"
+        )
+        self.require(not machine.errors, "uncommitted", "; ".join(machine.errors))
         machine.sequence = effect.sequence
 
     def restart_machine(self) -> None:
-        """A process ends and starts."""
+        """Restarts the machine's process; messages that it sent are lost."""
         for link in [(MACHINE, name) for name in self.voters]:
-            self.network.cut(*link)
-        self._begin_machine()
+            self.network.reset(*link)
+        self._start_machine()
 
     def reset(self, name: str) -> None:
-        """Connections between a voter and the machine, both ways."""
-        self.network.cut(name, MACHINE)
-        self.network.cut(MACHINE, name)
-        self._subscribed(self.machine.subscriber.link_up(self.now, name))
+        """Resets the connections between a voter and the machine in both directions."""
+        self.network.reset(name, MACHINE)
+        self.network.reset(MACHINE, name)
+        self._carry_out_subscriber(self.machine.subscriber.link_up(self.now, name))
 
     # -- the network and time --
 
-    def deliver(self, place: int) -> None:
-        """A message comes."""
-        letter = self.network.take(place)
-        if letter.target == MACHINE:
-            self._subscribed(self.machine.subscriber.receive(self.now, letter.source, letter.message))
+    def deliver(self, position: int) -> None:
+        """Delivers a message."""
+        envelope = self.network.remove(position)
+        if envelope.target == MACHINE:
+            self._carry_out_subscriber(
+                self.machine.subscriber.receive(self.now, envelope.source, envelope.message)
+            )
         else:
-            publisher = self.voters[letter.target].publisher
-            self._published(letter.target, publisher.receive(self.now, letter.source, letter.message))
+            publisher = self.voters[envelope.target].publisher
+            self._carry_out_publisher(
+                envelope.target, publisher.receive(self.now, envelope.source, envelope.message)
+            )
 
-    def lose(self, place: int) -> None:
-        """A message is lost."""
-        self.network.take(place)
+    def lose(self, position: int) -> None:
+        """Loses a message."""
+        self.network.remove(position)
 
     def wait(self, seconds: float) -> None:
-        """Time passes for all."""
+        """Advances time for all processes."""
         self.now += seconds
         self.steps += 1
         self._tick()
 
     def _tick(self) -> None:
         for name, voter in self.voters.items():
-            if voter.is_asked:
+            if voter.wants_snapshot:
                 self._restored(name)
-            self._published(name, voter.publisher.tick(self.now))
-        self._subscribed(self.machine.subscriber.tick(self.now))
+            self._carry_out_publisher(name, voter.publisher.tick(self.now))
+        self._carry_out_subscriber(self.machine.subscriber.tick(self.now))
 
     @property
     def time(self) -> int:
         return self.steps
 
-    # -- when all is calm --
+    # -- convergence without further faults --
 
-    def settles(self) -> bool:
-        """Whether the newest state comes into force if from now on nothing goes wrong. Changes the world."""
+    def settle(self) -> bool:
+        """Returns whether the newest state comes into force without further faults. Modifies the world."""
         until = self.now + CALM_S
         while self.now < until:
             for name, voter in self.voters.items():
-                while voter.knows < self.committed:
+                while voter.known_changes < self.committed:
                     self.learn(name)
                 if not voter.is_confirmed:
                     self.confirm(name)
             self._deliver_all()
-            if self.wrong or self.machine.sequence == self.committed:
+            if self.violations or self.machine.sequence == self.committed:
                 return True
             self.now += CALM_STEP_S
             self._tick()
         return False
 
     def _deliver_all(self) -> None:
-        for _ in range(MOST_AT_ONCE):
-            if not self.network.letters:
+        for _ in range(MAX_MESSAGES_AT_ONCE):
+            if not self.network.envelopes:
                 return
             self.deliver(0)
-        self.must(False, "storm", f"{MOST_AT_ONCE} messages, and still more, with no time between them")
+        self.require(
+            False, "storm", f"{MAX_MESSAGES_AT_ONCE} messages, and still more, with no time between them"
+        )
 
     def look_ahead(self) -> None:
-        """Breaks `behind` where it holds no more."""
-        if self.wrong or self.key() % self.scope.calm_every:
+        """Checks the invariant `behind` in a sample of the states."""
+        if self.violations or self.key() % self.scope.calm_check_interval:
             return
-        later = copied(self)
-        settled = later.settles()
-        self.wrong += later.wrong
-        self.must(settled, "behind", f"{self.committed} is committed and not in force {CALM_S:g} s later")
+        later = deep_copy(self)
+        settled = later.settle()
+        self.violations += later.violations
+        self.require(settled, "behind", f"{self.committed} is committed and not in force {CALM_S:g} s later")
 
     def key(self) -> int:
         machine = self.machine
-        parts = [_FORM.told(voter, self.now) for voter in self.voters.values()]
-        told = _FORM.told((machine.subscriber, machine.sequence, machine.feed.state.version), self.now)
+        parts = [_CANONICALIZER.canonical(voter, self.now) for voter in self.voters.values()]
+        told = _CANONICALIZER.canonical(
+            (machine.subscriber, machine.sequence, machine.feed.state.version), self.now
+        )
         return digest((self.committed, parts, told, self.network.key()))
 
 
-def _shown(message: object) -> str:
+def _describe(message: object) -> str:
     match message:
         case Subscribe():
             return f"'have {message.have}'" + (" (pushes wanted)" if message.wants_push else "")
@@ -401,8 +415,8 @@
     return f"{'snapshot' if part.is_snapshot else 'update'} {part.sequence}"
 
 
-_FORM = Form(
-    skipped=frozenset(
+_CANONICALIZER = Canonicalizer(
+    skipped_fields=frozenset(
         {
             "_random",
             "_fleet_size",
@@ -414,6 +428,6 @@
             "zone",
         }
     ),
-    plain=frozenset({"rank", "lease", "_patience"}),
-    oldest_s=8.0,
+    non_time_fields=frozenset({"rank", "lease", "_patience"}),
+    max_age_s=8.0,
 )
--- a/cloverrouter/explore/coordination/distribution_scopes.py
+++ b/cloverrouter/explore/coordination/distribution_scopes.py
@@ -1,4 +1,7 @@
-"""The scopes `distribution`, `distribution-late` and `distribution-large`, with the faults to be found."""
+"""The scopes `distribution`, `distribution-late`, `distribution-restart` and `distribution-large`.
+
+With their seeded faults.
+"""
 
 from __future__ import annotations
 
@@ -16,11 +19,11 @@
     INVARIANTS,
     DistributionScope,
     DistributionWorld,
-    figures,
+    patched_limits,
 )
 from cloverrouter.explore.coordination.scope import ModelFault, ModelScope
 from cloverrouter.explore.coordination.search import Limits
-from cloverrouter.explore.coordination.worlds import WorldModel, told
+from cloverrouter.explore.coordination.worlds import WorldModel, notes_of
 
 SCOPE = "distribution"
 LATE = "distribution-late"
@@ -28,36 +31,40 @@
 RESTART = "distribution-restart"
 
 SMALL_WORLDS = {
-    "one voter, two changes": DistributionScope(changes=2, voters=("v1",), most_time=2, calm_every=4),
-    "two voters, one change": DistributionScope(changes=1, most_time=0, calm_every=4),
+    "one voter, two changes": DistributionScope(
+        changes=2, voters=("v1",), max_steps=2, calm_check_interval=4
+    ),
+    "two voters, one change": DistributionScope(changes=1, max_steps=0, calm_check_interval=4),
 }
 LATE_WORLDS = {
     "one voter that holds one of three changes": DistributionScope(
-        changes=3, voters=("v1",), begins_with=1, most_time=1, calm_every=16
+        changes=3, voters=("v1",), initial_changes=1, max_steps=1, calm_check_interval=16
     ),
 }
 RESTART_WORLDS = {
     "two voters that hold two changes": DistributionScope(
-        changes=2, begins_with=2, most_time=1, calm_every=16, confirms=True
+        changes=2, initial_changes=2, max_steps=1, calm_check_interval=16, restarts_unconfirmed=True
     ),
 }
 LARGE_WORLDS = {
-    "one voter, three changes": DistributionScope(changes=3, voters=("v1",), most_time=3, calm_every=8),
-    "two voters, two changes": DistributionScope(changes=2, most_time=2, calm_every=8),
+    "one voter, three changes": DistributionScope(
+        changes=3, voters=("v1",), max_steps=3, calm_check_interval=8
+    ),
+    "two voters, two changes": DistributionScope(changes=2, max_steps=2, calm_check_interval=8),
 }
 
 
 class DistributionModel(WorldModel[DistributionWorld]):
-    """The model of some of these worlds."""
+    """The model that starts from the given worlds."""
 
     def __init__(self, worlds: dict[str, DistributionScope]) -> None:
         first = {name: _world(scope) for name, scope in worlds.items()}
-        super().__init__(first, lambda world: figures(world.scope))
+        super().__init__(first, lambda world: patched_limits(world.scope))
 
 
 def _world(scope: DistributionScope) -> Callable[[], DistributionWorld]:
     def make() -> DistributionWorld:
-        with figures(scope):
+        with patched_limits(scope):
             return DistributionWorld(scope)
 
     return make
@@ -79,7 +86,7 @@
 _take_part = Subscriber._take_part
 
 
-def _take_old_part(self: Subscriber, now: float, ip: str, part: Part) -> list[Any]:
+def _take_older_part(self: Subscriber, now: float, ip: str, part: Part) -> list[Any]:
     if part.sequence <= self._have:
         self._have = part.sequence - 1
     return _take_part(self, now, ip, part)
@@ -125,42 +132,42 @@
 
 FAULTS = {
     "snapshots-end-each-other": ModelFault(
-        "a part of another snapshot always ends the one that is being put together",
+        "a part of another snapshot always aborts the assembly in progress",
         ("storm",), LATE, _seeded(subscriber_module._Fetch, "begins_with", _always_begins),
     ),
     "takes-any-updates": ModelFault(
-        "updates are taken without a look at what they follow",
+        "updates are applied without a check of the sequence number that they follow",
         ("back", "uncommitted", "crash"), SCOPE, _seeded(Subscriber, "_take_delta", _take_any_delta),
     ),
     "takes-older-snapshots": ModelFault(
-        "a snapshot that is older than what is in force replaces it",
-        ("back",), SCOPE, _seeded(Subscriber, "_take_part", _take_old_part),
+        "a snapshot that is older than the state in force replaces it",
+        ("back",), SCOPE, _seeded(Subscriber, "_take_part", _take_older_part),
     ),
     "waits-for-ever": ModelFault(
-        "who gets no answer doesn't ask again",
+        "a subscriber without an answer does not retry",
         ("behind",), SCOPE, _seeded(Subscriber, "_give_up", _gives_up_for_good),
     ),
     "window-with-a-gap": ModelFault(
-        "a voter sends the updates that it has, though some before them are missing",
+        "a voter sends updates although earlier ones are missing",
         ("uncommitted", "storm"), LATE, _seeded(Publisher, "_updates_after", _all_updates),
     ),
     "parts-of-any-whole": ModelFault(
-        "parts of two snapshots are put together",
+        "parts of two snapshots are assembled into one",
         ("uncommitted", "behind", "crash", "storm"), LATE, _seeded(Assembly, "takes", _takes_anything),
     ),
 }  # fmt: skip
 
 RESTART_FAULTS = {
     "offers-before-it-is-confirmed": ModelFault(
-        "a voter that started again offers what its disk knows to be committed",
+        "a restarted voter offers what its disk records as committed",
         ("unsure",), RESTART, _seeded(Publisher, "_offered", property(_offers_what_it_knows)),
     ),
     "parts-before-it-is-confirmed": ModelFault(
-        "a voter that started again goes on handing out the parts that it is asked for",
+        "a restarted voter serves requested parts before it is confirmed",
         ("unsure",), RESTART, _seeded(Publisher, "_part_pulled", _parts_at_once),
     ),
     "confirmed-by-its-start": ModelFault(
-        "a voter takes itself for confirmed once it has read its disk",
+        "a voter counts as confirmed once it has read its disk",
         ("unsure", "crash"), RESTART, _seeded(Publisher, "start", _confirms_itself),
     ),
 }  # fmt: skip
@@ -170,22 +177,23 @@
 
 SCOPES = {
     SCOPE: ModelScope(
-        "voters and a machine that subscribes: restarts, late and lost messages, snapshots in parts",
+        "voters and a subscribing machine: restarts, delayed and lost messages, snapshots in parts",
         lambda: DistributionModel(SMALL_WORLDS), Limits(deviations=1, seconds=120.0),
-        SMALL_FAULTS, told, INVARIANTS,
+        SMALL_FAULTS, notes_of, INVARIANTS,
     ),
     LATE: ModelScope(
-        "a machine that starts while its voter learns of more, with two deviations",
+        "a machine that starts while its voter learns of further commits, with two deviations",
         lambda: DistributionModel(LATE_WORLDS), Limits(deviations=2, seconds=120.0),
-        LATE_FAULTS, told, INVARIANTS,
+        LATE_FAULTS, notes_of, INVARIANTS,
     ),
     RESTART: ModelScope(
-        "voters that start again know of less than they had told, until a head in force confirms it",
+        "restarted voters know less than they had published, until a head in force confirms them",
         lambda: DistributionModel(RESTART_WORLDS), Limits(deviations=2, seconds=120.0),
-        RESTART_FAULTS, told, INVARIANTS,
+        RESTART_FAULTS, notes_of, INVARIANTS,
     ),
     LARGE: ModelScope(
-        "the same with more changes, more time and a second deviation",
-        lambda: DistributionModel(LARGE_WORLDS), Limits(deviations=2, seconds=600.0), {}, told, INVARIANTS,
+        "as `distribution`, with more changes, more time and a second deviation",
+        lambda: DistributionModel(LARGE_WORLDS), Limits(deviations=2, seconds=600.0),
+        {}, notes_of, INVARIANTS,
     ),
 }  # fmt: skip
--- a/cloverrouter/explore/coordination/figures.py
+++ b/cloverrouter/explore/coordination/figures.py
@@ -1,8 +1,9 @@
-"""Time as it passes in the model, and the replicas' figures for it.
+"""Time in the replica model, and the timeouts of the replicas.
 
-Time moves for all replicas at once, in steps of `STEP_S`; within a step it stands still. All figures are
-whole steps, which a float holds exactly, and as short as they can be while their order stays that of service:
-a head is held to for a shorter time than it may be silent, and so on. What must always hold rests on no more.
+Time advances for all replicas at once in steps of `STEP_S`; within a step it stands still. All timeouts are
+whole steps, which a float represents exactly. They are as short as possible while their order is that of
+production: for example, voters stick to a head for less time than the head may be silent. The invariants
+depend on that order only, not on the values.
 """
 
 from __future__ import annotations
@@ -16,7 +17,7 @@
 STEP_S = 0.125
 FIRST_STEP = 800
 TOLERANCE = 1
-LONG_AGO_S = 2.0  # longer than any figure that decides something within a history
+LONG_AGO_S = 2.0  # longer than any timeout that matters within a history
 
 REPLICA = ReplicaConfig(
     tolerance=TOLERANCE,
@@ -47,16 +48,16 @@
 
 
 def seconds(step: int) -> float:
-    """The cores' clock at a step."""
+    """Returns the clock of the cores at a step, in seconds."""
     return step * STEP_S
 
 
-class NoDraws(Random):
-    """A source that always gives the least: what is left to chance is left to the search instead."""
+class MinimumRandom(Random):
+    """A random source that always draws the minimum: the search varies the order of events instead."""
 
     def uniform(self, a: float, b: float) -> float:
-        """The least."""
+        """Returns the lower bound."""
         return a
 
     def __reduce__(self) -> Any:
-        return NoDraws, ()
+        return MinimumRandom, ()
--- a/cloverrouter/explore/coordination/lease_scopes.py
+++ b/cloverrouter/explore/coordination/lease_scopes.py
@@ -1,4 +1,4 @@
-"""The scopes `lease`, `lease-tokens` and `lease-large`, with the faults to be found."""
+"""The scopes `lease`, `lease-tokens`, `lease-clocks` and `lease-large`, with their seeded faults."""
 
 from __future__ import annotations
 
@@ -13,20 +13,20 @@
 from cloverrouter.explore.coordination.lease_model import INVARIANTS, LeaseScope, LeaseWorld
 from cloverrouter.explore.coordination.scope import ModelFault, ModelScope
 from cloverrouter.explore.coordination.search import Limits
-from cloverrouter.explore.coordination.worlds import WorldModel, told
+from cloverrouter.explore.coordination.worlds import WorldModel, notes_of
 
 SCOPE = "lease"
 TOKENS = "lease-tokens"
 CLOCKS = "lease-clocks"
 LARGE = "lease-large"
-SMALL_WORLD = LeaseScope(most_time=5)
-CLOCKS_WORLD = LeaseScope(candidates=("c1",), step_s=0.25, most_time=14, only_late=True)
-TOKENS_WORLD = LeaseScope(candidates=("c1",), most_time=7)
+SMALL_WORLD = LeaseScope(max_steps=5)
+CLOCKS_WORLD = LeaseScope(candidates=("c1",), step_s=0.25, max_steps=14, delays_only=True)
+TOKENS_WORLD = LeaseScope(candidates=("c1",), max_steps=7)
 LARGE_WORLD = LeaseScope(voters=("v1", "v2", "v3"))
 
 
 class LeaseModel(WorldModel[LeaseWorld]):
-    """The model of one world."""
+    """The model with one initial world."""
 
     def __init__(self, scope: LeaseScope) -> None:
         super().__init__({f"{len(scope.candidates)} candidates": lambda: LeaseWorld(scope)})
@@ -74,27 +74,27 @@
 
 FAULTS = {
     "grants-at-once-after-a-start": ModelFault(
-        "a voter that has just started grants at once",
+        "a voter grants immediately after its start",
         ("two", "free"), SCOPE, _seeded(LeaseVoter, "__init__", _begin_at_once),
     ),
     "token-on-no-disk": ModelFault(
-        "a voter that starts knows no tokens",
+        "a restarted voter has lost its tokens",
         ("token", "free"), TOKENS, _seeded(LeaseVoter, "__init__", _begin_without_tokens),
     ),
     "no-margin-for-clocks": ModelFault(
-        "voters and holders count a lease's time on clocks that differ as if they were one",
+        "voters and holders measure a lease without a margin for clock drift",
         ("two", "free"), CLOCKS, _seeded(lease, "CLOCK_MARGIN", 0.0),
     ),
     "counted-from-its-answer": ModelFault(
-        "a holder counts its lease from when it hears of it, not from when it asked",
+        "a holder counts its lease from the grant's arrival instead of from its request",
         ("two", "free"), CLOCKS, _seeded(LeaseHolder, "receive", _counted_from_its_answer),
     ),
     "granted-before-the-disk": ModelFault(
-        "a voter grants a token that is not on its disk yet",
+        "a voter grants a token before it is on its disk",
         ("token", "free"), TOKENS, _seeded(LeaseVoter, "_on_request", _grant_before_the_disk),
     ),
     "released-by-anyone": ModelFault(
-        "a voter takes a role for free, whoever gave it back",
+        "a voter accepts the release of a role from any process",
         ("two", "free"), SCOPE, _seeded(LeaseVoter, "_on_released", _release_of_anyone),
     ),
 }  # fmt: skip
@@ -106,22 +106,22 @@
 
 SCOPES = {
     SCOPE: ModelScope(
-        "one voter and two candidates: restarts, freezes, uneven clocks, late and lost messages",
+        "one voter and two candidates: restarts, freezes, clock drift, delayed and lost messages",
         lambda: LeaseModel(SMALL_WORLD), Limits(deviations=1, seconds=120.0),
-        _faults_of(SCOPE), told, INVARIANTS,
+        _faults_of(SCOPE), notes_of, INVARIANTS,
     ),
     TOKENS: ModelScope(
-        "one voter and one candidate, both of which start again",
+        "one voter and one candidate, both of which restart",
         lambda: LeaseModel(TOKENS_WORLD), Limits(deviations=3, seconds=300.0),
-        _faults_of(TOKENS), told, INVARIANTS,
+        _faults_of(TOKENS), notes_of, INVARIANTS,
     ),
     CLOCKS: ModelScope(
-        "one voter and one candidate whose clocks differ: messages as late as they like, nothing else",
+        "one voter and one candidate with clock drift: messages delayed without limit, no other faults",
         lambda: LeaseModel(CLOCKS_WORLD), Limits(deviations=1, seconds=120.0),
-        _faults_of(CLOCKS), told, INVARIANTS,
+        _faults_of(CLOCKS), notes_of, INVARIANTS,
     ),
     LARGE: ModelScope(
-        "the same with three voters",
-        lambda: LeaseModel(LARGE_WORLD), Limits(deviations=2, seconds=600.0), {}, told, INVARIANTS,
+        "as `lease`, with three voters",
+        lambda: LeaseModel(LARGE_WORLD), Limits(deviations=2, seconds=600.0), {}, notes_of, INVARIANTS,
     ),
 }  # fmt: skip
--- a/cloverrouter/explore/coordination/model.py
+++ b/cloverrouter/explore/coordination/model.py
@@ -1,4 +1,4 @@
-"""The model of the replicas: what may happen in a world, and the world after it."""
+"""The model of the replicas: the possible actions in a state, and the state after each."""
 
 from __future__ import annotations
 
@@ -8,8 +8,8 @@
 
 from cloverrouter.coordination.messages import GENESIS_MESSAGES
 from cloverrouter.explore.coordination import clients, troubles
-from cloverrouter.explore.coordination.canon import Base, Canon, Template
-from cloverrouter.explore.coordination.cores import Cores
+from cloverrouter.explore.coordination.canon import Baseline, Template, TemplateCache
+from cloverrouter.explore.coordination.cores import CoreStates
 from cloverrouter.explore.coordination.describe import text_of
 from cloverrouter.explore.coordination.effects import check_sure, play, play_proposer, store
 from cloverrouter.explore.coordination.search import Action
@@ -19,51 +19,52 @@
 
 @dataclass(frozen=True, slots=True)
 class Situation:
-    """A world in which a search begins, and how far from there."""
+    """A named state from which a search starts."""
 
     name: str
     make: Callable[[ReplicaModel], State]
 
 
-class BrokenError(Exception):
-    """Something is wrong before a situation is reached."""
+class InvariantBrokenError(Exception):
+    """An invariant is broken before a situation is reached."""
 
     def __init__(self, state: State) -> None:
-        super().__init__(state.wrong[0])
+        super().__init__(state.violations[0])
         self.state = state
 
 
 class ReplicaModel:
     """Replicas, their disks and their network.
 
-    The prompt schedule: what is under way arrives in the order in which it was sent, writes among it; when
-    nothing is under way, time moves on by a step for all. A deviation is to hold back what is next, or
-    trouble."""
+    In the prompt schedule, messages arrive and writes complete in the order in which they were issued; when
+    nothing is in flight, time advances by one step for all. A deviation is to hold back or duplicate the next
+    item, or a fault: a power loss, a disk loss or a network partition.
+    """
 
     def __init__(self, situations: Sequence[Situation], bounds: Bounds, orders: Sequence[str]) -> None:
-        self.cores = Cores()
+        self.cores = CoreStates()
         self.bounds = bounds
         self.orders = tuple(orders)
         self._situations = tuple(situations)
-        self._canon = Canon(self.cores)
+        self._template_cache = TemplateCache(self.cores)
 
     # -- the model --
 
     def initial(self) -> Iterable[tuple[str, State]]:
-        """The situations."""
+        """Returns the start states by name."""
         for situation in self._situations:
             try:
                 state = situation.make(self)
-            except BrokenError as error:
+            except InvariantBrokenError as error:
                 state = error.state
-            state.start = state.step
-            state.left = dict(self.bounds.most)
+            state.start_step = state.step
+            state.remaining_faults = dict(self.bounds.max_faults)
             yield situation.name, state
 
     def actions(self, state: State) -> Sequence[Action]:
-        """What may happen: the next of the prompt schedule first."""
+        """Returns the possible actions, those of the prompt schedule first."""
         found = list(self._prompt(state))
-        if state.step - state.start < self.bounds.window:
+        if state.step - state.start_step < self.bounds.window_steps:
             found += troubles.actions(state, self.bounds)
         return found
 
@@ -73,13 +74,13 @@
             return
         yield Action("time passes", event=("time",))
         labels: dict[str, int] = {}
-        for place, held in enumerate(state.held):
+        for position, held in enumerate(state.delayed):
             label = f"late: {text_of(held.item)}"
             count = labels[label] = labels.get(label, 0) + 1
-            yield Action(label if count == 1 else f"{label} ({count})", event=("late", place))
+            yield Action(label if count == 1 else f"{label} ({count})", event=("late", position))
 
     def apply(self, state: State, action: Action) -> State:
-        """The state after it."""
+        """Returns the state after an action."""
         after = state.copy()
         event: Any = action.event
         if event[0] == "next":
@@ -87,30 +88,30 @@
         elif event[0] == "time":
             self.pass_time(after)
         elif event[0] == "late":
-            self.take(after, after.held.pop(event[1]).item)
+            self.take(after, after.delayed.pop(event[1]).item)
         else:
-            troubles.strike(after, event)
+            troubles.apply_deviation(after, event)
         return after
 
     def age(self, state: State) -> int:
-        """Steps of time since the situation."""
-        return state.step - state.start
+        """Returns the time steps since the search started."""
+        return state.step - state.start_step
 
     @staticmethod
     def breaches(state: State) -> Sequence[str]:
-        """What is wrong."""
-        return state.wrong
+        """Returns the violated invariants."""
+        return state.violations
 
-    # -- what happens --
+    # -- events --
 
     def take(self, state: State, item: Item) -> None:
-        """A message arrives, or a write is done."""
+        """Delivers a message or completes a write."""
         if not isinstance(item, Delivery):
-            store(state, item.place, item.record)
-            play(self.cores, state, item.place, ("persisted", item.token))
+            store(state, item.position, item.record)
+            play(self.cores, state, item.position, ("persisted", item.token))
             return
-        if state.cut is not None and (item.source, item.target) in state.cut.pairs:
-            state.spoken.append("lost in the cut")
+        if state.partition is not None and (item.source, item.target) in state.partition.links:
+            state.notes.append("lost in the cut")
             return
         event = ("receive", ip_of(item.source), item.message)
         if isinstance(item.message, GENESIS_MESSAGES):
@@ -119,37 +120,41 @@
             play(self.cores, state, item.target, event)
 
     def pass_time(self, state: State, orders: int | None = None) -> None:
-        """A step of time for all: timers, machines that are back, clients (`orders`: the first so
-        many, None: all)."""
+        """Advances time by one step: timers, restarts of machines, then the clients.
+
+        Clients send the first `orders` orders; None: all.
+        """
         state.step += 1
-        if state.cut is not None and state.cut.until <= state.step:
-            state.cut = None
-        kept = state.step - self.bounds.patience
-        state.held = [held for held in state.held if held.since > kept]
+        if state.partition is not None and state.partition.until <= state.step:
+            state.partition = None
+        oldest_step = state.step - self.bounds.max_delay_steps
+        state.delayed = [held for held in state.delayed if held.since > oldest_step]
         self._tick(state)
         for machine in state.machines:
-            if machine.back_at is not None and machine.back_at <= state.step:
-                troubles.start(self.cores, state, machine.place, self.bounds.seeds)
+            if machine.restart_at is not None and machine.restart_at <= state.step:
+                troubles.start_process(self.cores, state, machine.position, self.bounds.seeds)
         check_sure(self.cores, state)
         clients.call(self.cores, state, self.orders[:orders])
 
     def _tick(self, state: State) -> None:
-        pairs = state.cut.pairs if state.cut is not None else frozenset()
+        pairs = state.partition.links if state.partition is not None else frozenset()
         running = [machine for machine in state.machines if machine.core is not None]
         for machine in running:
             seen = tuple(
                 other.member
                 for other in running
-                if not {(machine.place, other.place), (other.place, machine.place)} & pairs
+                if not {(machine.position, other.position), (other.position, machine.position)} & pairs
             )
-            play_proposer(self.cores, state, machine.place, ("time", seen), elapsed=1)
-            play(self.cores, state, machine.place, ("time", seen), elapsed=1)
+            play_proposer(self.cores, state, machine.position, ("time", seen), elapsed=1)
+            play(self.cores, state, machine.position, ("time", seen), elapsed=1)
 
-    # -- when two worlds are the same --
+    # -- keys: which states count as the same --
 
     def key(self, state: State) -> Hashable:
-        """Between two steps of time the canonical form; within a step, where the search hardly ever meets the
-        same world by two ways, what is there as it is."""
+        """Returns the canonical form between two time steps, and the plain state within a step.
+
+        Within a step the search rarely reaches the same state twice, so the canonical form does not pay off.
+        """
         if state.queue:
             return self._plain(state)
         return self._canonical(state)
@@ -158,62 +163,64 @@
         return hash(
             (
                 state.step,
-                state.start,
-                state.cut,
-                state.orders_from,
+                state.start_step,
+                state.partition,
+                state.orders_from_step,
                 state.newest_only,
-                tuple(state.left.items()),
+                tuple(state.remaining_faults.items()),
                 tuple(state.acknowledged.items()),
                 tuple(
                     (
                         machine.core,
                         machine.proposer,
-                        self.cores.frozen.number(machine.disk),
-                        machine.back_at,
-                        machine.read,
+                        self.cores.interned.number(machine.disk),
+                        machine.restart_at,
+                        machine.last_read,
                     )
                     for machine in state.machines
                 ),
                 tuple(self._item(item) for item in state.queue),
-                tuple((self._item(held.item), held.since) for held in state.held),
+                tuple((self._item(held.item), held.since) for held in state.delayed),
                 tuple(state.tickets),
             )
         )
 
     def _item(self, item: Item) -> Hashable:
         if isinstance(item, Delivery):
-            return item.source, item.target, self.cores.frozen.number(item.message)
-        return item.place, self.cores.frozen.number(item.record)
+            return item.source, item.target, self.cores.interned.number(item.message)
+        return item.position, self.cores.interned.number(item.record)
 
     def _canonical(self, state: State) -> Hashable:
-        tickets = {ticket.number: (ticket.place, ticket.order, ticket.least) for ticket in state.tickets}
+        tickets = {ticket.number: (ticket.position, ticket.order, ticket.min_seq) for ticket in state.tickets}
         parts: list[Template] = []
         rest: list[Any] = []
         for machine in state.machines:
-            parts.append(self._canon.frozen(machine.disk))
+            parts.append(self._template_cache.interned(machine.disk))
             cores = machine.core, machine.proposer
-            parts += [self._canon.core(core) for core in cores if core is not None]
-            back_in = machine.back_at - state.step if machine.back_at is not None else None
+            parts += [self._template_cache.core(core) for core in cores if core is not None]
+            back_in = machine.restart_at - state.step if machine.restart_at is not None else None
             alive = machine.core is not None, machine.proposer is not None
-            rest.append((alive, back_in, machine.committed, machine.read, sorted(machine.held)))
-        for held in state.held:
+            rest.append(
+                (alive, back_in, machine.committed, machine.last_read, sorted(machine.durable_orders))
+            )
+        for held in state.delayed:
             item = held.item
             where: tuple[int, ...]
             if isinstance(item, Delivery):
-                parts.append(self._canon.frozen(item.message))
+                parts.append(self._template_cache.interned(item.message))
                 where = item.source, item.target
             else:
-                parts.append(self._canon.frozen(item.record))
-                where = (item.place,)
+                parts.append(self._template_cache.interned(item.record))
+                where = (item.position,)
             rest.append((where, state.step - held.since))
-        if state.cut is not None:
-            rest.append((sorted(state.cut.pairs), state.cut.until - state.step))
-        may_strike = self.bounds.window - (state.step - state.start)
+        if state.partition is not None:
+            rest.append((sorted(state.partition.links), state.partition.until - state.step))
+        steps_left = self.bounds.window_steps - (state.step - state.start_step)
         rest += [
-            sorted(tickets.values()), sorted(state.log.items()), sorted(state.acknowledged.items()),
-            max(0, state.orders_from - state.step), state.newest_only, sorted(state.left.items()),
-            [sorted(held) for held in state.buried], state.first_voters and sorted(state.first_voters),
-            max(0, may_strike),
+            sorted(tickets.values()), sorted(state.known_orders.items()), sorted(state.acknowledged.items()),
+            max(0, state.orders_from_step - state.step), state.newest_only,
+            sorted(state.remaining_faults.items()), [sorted(orders) for orders in state.lost_disk_orders],
+            state.first_voters and sorted(state.first_voters), max(0, steps_left),
         ]  # fmt: skip
-        base = Base(parts, tickets.get)
+        base = Baseline(parts, tickets.get)
         return hash((tuple(base.resolve(part) for part in parts), repr(rest)))
--- a/cloverrouter/explore/coordination/network.py
+++ b/cloverrouter/explore/coordination/network.py
@@ -1,4 +1,4 @@
-"""Messages under way between the parts of a world: late, lost, and overtaken on newer connections."""
+"""Messages in flight between the parts of a world: they may be delayed, lost or reordered."""
 
 from __future__ import annotations
 
@@ -11,8 +11,8 @@
 
 
 @attrs.frozen(slots=True, eq=False)
-class Letter:
-    """A message under way. `text`: what it is; two of one text are the same."""
+class Envelope:
+    """A message in flight. Two messages with the same source, target and `text` count as equal."""
 
     source: str
     target: str
@@ -24,45 +24,49 @@
 
 
 class Network:
-    """All messages under way, in the order in which they were sent."""
+    """All messages in flight, in the order in which they were sent."""
 
     def __init__(self) -> None:
-        self.letters: list[Letter] = []
+        self.envelopes: list[Envelope] = []
 
     def send(self, source: str, target: str, message: object, text: str) -> None:
-        """A message goes out."""
-        self.letters.append(Letter(source, target, message, text))
+        """Adds a message."""
+        self.envelopes.append(Envelope(source, target, message, text))
 
-    def take(self, place: int) -> Letter:
-        """A message leaves the network."""
-        return self.letters.pop(place)
+    def remove(self, position: int) -> Envelope:
+        """Removes and returns the message at a position, on delivery or loss."""
+        return self.envelopes.pop(position)
 
-    def cut(self, source: str, target: str) -> None:
-        """A connection is reset: what is on it is lost."""
-        self.letters = [each for each in self.letters if (each.source, each.target) != (source, target)]
+    def reset(self, source: str, target: str) -> None:
+        """Resets a connection: all messages on it are lost."""
+        self.envelopes = [each for each in self.envelopes if (each.source, each.target) != (source, target)]
 
-    def links(self) -> list[tuple[str, str]]:
-        """The connections that carry something."""
-        return list(dict.fromkeys((each.source, each.target) for each in self.letters))
+    def busy_links(self) -> list[tuple[str, str]]:
+        """Returns the connections that carry at least one message."""
+        return list(dict.fromkeys((each.source, each.target) for each in self.envelopes))
 
     def moves(
         self, deliver: Callable[[int], None], lose: Callable[[int], None] | None = None
     ) -> Iterable[Action]:
-        """What is first on a connection comes next; what is behind it may come first over a newer one."""
+        """Yields the possible deliveries and, with `lose`, losses.
+
+        The first message of a connection is delivered in order at no cost. A later one overtakes it, as on
+        a newer connection, at the cost of one deviation. A loss costs one deviation.
+        """
         seen: set[str] = set()
-        busy: set[tuple[str, str]] = set()
-        for place, letter in enumerate(self.letters):
-            link = (letter.source, letter.target)
-            if str(letter) not in seen:
-                if link in busy:
-                    yield move(f"overtakes: {letter}", deliver, place, cost=1)
+        used_links: set[tuple[str, str]] = set()
+        for position, envelope in enumerate(self.envelopes):
+            link = (envelope.source, envelope.target)
+            if str(envelope) not in seen:
+                if link in used_links:
+                    yield move(f"overtakes: {envelope}", deliver, position, cost=1)
                 else:
-                    yield move(f"comes: {letter}", deliver, place)
+                    yield move(f"comes: {envelope}", deliver, position)
                 if lose is not None:
-                    yield move(f"is lost: {letter}", lose, place, cost=1)
-            seen.add(str(letter))
-            busy.add(link)
+                    yield move(f"is lost: {envelope}", lose, position, cost=1)
+            seen.add(str(envelope))
+            used_links.add(link)
 
     def key(self) -> list[str]:
-        """What is on each connection, in order."""
-        return [str(each) for each in sorted(self.letters, key=lambda each: (each.source, each.target))]
+        """Returns the messages of each connection in order, as text."""
+        return [str(each) for each in sorted(self.envelopes, key=lambda each: (each.source, each.target))]
--- a/cloverrouter/explore/coordination/orders_model.py
+++ b/cloverrouter/explore/coordination/orders_model.py
@@ -1,10 +1,10 @@
-"""Operators' orders from proxy to head and back: the real order machine, forwarder and the head's desks.
+"""Model of operators' orders from a proxy to the head and back.
 
-Real: `ConfigurationMachine`, `Forwarder`, `HeadDesk`; of the chain `History`, `PendingCalls` and the work of
-`Head` on commands. Played: operators, who hear no answer and send again, to any proxy; the network, which
-holds messages back, loses them and changes their order; and the chain, as far as its own model shows that it
-does it: one replica leads, updates are committed in order by it alone, another takes over with all that was
-committed, and with or without what was not; the one before goes on believing for a while that it leads.
+Shipped code: `ConfigurationMachine`, `Forwarder`, `HeadDesk`, and of the chain `History`, `PendingCalls` and
+the command handling of `Head`. Modelled: operators, who retry at any proxy when they get no answer; the
+network, which delays, loses and reorders messages; and the chain, reduced to the behaviour that its own model
+verifies: one replica leads and alone commits updates in order; another one takes over with all committed
+updates, and with or without uncommitted ones; the previous head believes for a while that it still leads.
 """
 
 from __future__ import annotations
@@ -47,25 +47,25 @@
 from cloverrouter.coordination.replica import Replica
 from cloverrouter.coordination.views import Member, View
 from cloverrouter.daemon.head_desk import HeadDesk
-from cloverrouter.explore.coordination.copies import Form, Immutable, digest
+from cloverrouter.explore.coordination.copies import Canonicalizer, Immutable, digest
 from cloverrouter.explore.coordination.network import Network
 from cloverrouter.explore.coordination.search import Action
 from cloverrouter.explore.coordination.worlds import World, move
 from cloverrouter.messages import Decoder, encode
 
 INVARIANTS = {
-    "lost": "what was confirmed is in the configuration, with the content that was sent",
-    "refused": "an order that was taken is never refused, whenever and wherever it is sent again",
-    "race": "of two changes on top of one version only one is taken; versions rise",
-    "stale": "a configuration that is read is committed, and no older than any that was confirmed before",
-    "mixed": "an answer is for the call that it was given to",
+    "lost": "a confirmed order is in the configuration with the content that was sent",
+    "refused": "an accepted order is never refused when it is sent again, at any time and proxy",
+    "race": "of two changes based on one version only one is accepted; versions increase",
+    "stale": "a configuration that is read is committed, and not older than any confirmed before the read",
+    "mixed": "each call gets the answer to that call",
 }
 READ = "read"
 
 
 @attrs.frozen(slots=True)
-class Wanted:
-    """An order that an operator wants to give. `after`: the order whose confirmation it waits for."""
+class WantedOrder:
+    """An order that an operator sends, after the order named by `after` is confirmed."""
 
     name: str
     order: Order
@@ -74,37 +74,37 @@
 
 @attrs.frozen(slots=True)
 class OrdersScope:
-    """How large a world."""
+    """The size of a world."""
 
-    orders: tuple[Wanted, ...]
+    orders: tuple[WantedOrder, ...]
     proxies: tuple[str, ...] = ("p1", "p2")
     replicas: tuple[str, ...] = ("r1", "r2")
     reads: bool = False
-    most_taken: int = 2
-    """So many orders are known again."""
+    max_remembered: int = 2
+    """Number of accepted orders that are remembered, so that a repeated one is recognised."""
 
 
 @contextmanager
-def figures(scope: OrdersScope) -> Iterator[None]:
-    """Few orders are known again, so that few fill the memory of them."""
-    with patch.object(orders, "MAX_REMEMBERED_ORDERS", scope.most_taken):
+def patched_limits(scope: OrdersScope) -> Iterator[None]:
+    """Limits the number of remembered orders, so that a few orders exceed it."""
+    with patch.object(orders, "MAX_REMEMBERED_ORDERS", scope.max_remembered):
         yield
 
 
 class _Disk(Immutable):
-    """Takes everything at once."""
+    """A disk on which every write completes immediately."""
 
     state_bytes = 0
 
     def append(self, seq: int, update: bytes) -> None:
-        """The update is on the disk."""
+        """Does nothing: the update counts as stored."""
 
     def set_meta_later(self, now: float, **facts: Any) -> None:
-        """The facts are on the disk."""
+        """Does nothing: the metadata counts as stored."""
 
 
 class _Rounds:
-    """Rounds of heartbeats, answered when the world says so."""
+    """Heartbeat rounds, which a move of the world confirms."""
 
     def __init__(self) -> None:
         self.newest = 0
@@ -113,7 +113,7 @@
 
 @attrs.define(slots=True)
 class _Context:
-    """What the head's work on commands needs of its surroundings."""
+    """The part of a replica's context that the command handling of `Head` uses."""
 
     me: Member
     history: History
@@ -123,7 +123,7 @@
 
 
 class _LoneHead(Head):
-    """The head's work on commands, in a chain whose other members the world stands for."""
+    """The command handling of `Head`; the world models the other chain members."""
 
     def __init__(self, context: _Context, desk: PendingCalls) -> None:
         self.view = View(1, (context.me,), (context.me.identity,), ())
@@ -138,12 +138,12 @@
         return self.rounds.newest
 
     def committed(self, seq: int) -> None:
-        """The chain has stored up to there."""
+        """Commits all updates up to `seq`, which the chain has stored."""
         self._commit(0.0, seq)
 
 
 class LeadingReplica(Replica):
-    """A replica as the desk sees it: takes commands while it leads, or believes so."""
+    """A replica as `HeadDesk` uses it: accepts commands while it considers itself head."""
 
     def __init__(self, name: str) -> None:
         self._config = ReplicaConfig(tolerance=1)
@@ -156,34 +156,34 @@
 
     @property
     def leads(self) -> bool:
-        """Whether it believes so."""
+        """Whether the replica considers itself head."""
         return self._head is not None
 
     def take_over(self) -> list[Effect]:
-        """It is the head from now on; what it holds is committed."""
+        """Becomes head and commits everything that it has."""
         self._pending = PendingCalls()
         self._head = _LoneHead(self._context, self._pending)  # type: ignore[arg-type]
         return self.stored()
 
     def stored(self) -> list[Effect]:
-        """All that it has was stored by the chain."""
+        """Commits all updates, which the chain has stored."""
         assert self._head is not None
         self._head.committed(self.history.newest)
         return self._finish(0.0)
 
     def round_answered(self) -> list[Effect]:
-        """A majority has answered the newest round of heartbeats."""
+        """Confirms the newest heartbeat round."""
         assert self._head is not None
         self._head.rounds.confirmed = self._head.rounds.newest
         return self._finish(0.0)
 
     @property
     def waits_for_round(self) -> bool:
-        """Whether a round would change anything."""
+        """Whether reads wait for a heartbeat round."""
         return self._head is not None and bool(self._pending.reads)
 
     def step_down(self) -> list[Effect]:
-        """It learns that another leads."""
+        """Stops being head and fails the pending calls."""
         self._head = None
         self._context.effects += self._pending.fail_all()
         return self._finish(0.0)
@@ -200,20 +200,20 @@
 
 @attrs.define(slots=True)
 class _Call:
-    """An operator's call at a proxy, which waits for its answer."""
+    """An operator's pending call at a proxy."""
 
     name: str
-    """Of the order; `READ` for a read."""
+    """Name of the order; `READ` for a read."""
     proxy: str
     ticket: int
-    at_least: int = 0
-    """For a read: the newest version that was confirmed before."""
-    is_heard: bool = True
-    """False once the operator has stopped waiting."""
+    min_version: int = 0
+    """For a read: the newest version that was confirmed before it was sent."""
+    awaits_answer: bool = True
+    """Whether the operator still waits for the answer."""
 
 
-class _Life(Random):
-    """Draws what no other life draws."""
+class _FixedRandomBits(Random):
+    """Draws a fixed number, which is different for each process of a proxy."""
 
     def __init__(self, number: int) -> None:
         super().__init__(number)
@@ -225,21 +225,21 @@
 
 @attrs.define(slots=True)
 class _Proxy:
-    """One life of a proxy."""
+    """A proxy process; `life` counts its restarts."""
 
     name: str
     life: int
     clock: float = 0.0
     forwarder: Forwarder = attrs.Factory(Forwarder)
     tickets: Iterator[int] = attrs.Factory(
-        lambda self: itertools.count(forwarding.first_ticket(_Life(self.life))), takes_self=True
+        lambda self: itertools.count(forwarding.first_ticket(_FixedRandomBits(self.life))), takes_self=True
     )
     head: str | None = None
 
 
 @attrs.define(slots=True)
 class _Machine:
-    """One life of a machine with a disk."""
+    """The process of a machine with a disk."""
 
     name: str
     replica: LeadingReplica
@@ -248,14 +248,14 @@
 
 @attrs.define(slots=True)
 class _Operator:
-    """What an operator knows of an order."""
+    """An operator's knowledge of its order."""
 
     confirmed: bool = False
     sent: int = 0
 
 
 class OrdersWorld(World):
-    """See the module."""
+    """Operators, proxies, machines and their network; see the module."""
 
     def __init__(self, scope: OrdersScope) -> None:
         super().__init__()
@@ -270,21 +270,21 @@
         self.has_read = False
         self.machines: dict[str, _Machine] = {}
         for name in scope.replicas:
-            self._begin_machine(name)
+            self._start_machine(name)
         self.leader = scope.replicas[0]
         self.proxies = {name: _Proxy(name, 0) for name in scope.proxies}
-        self._take(self.leader, self.machines[self.leader].replica.take_over())
+        self._carry_out(self.leader, self.machines[self.leader].replica.take_over())
         for name in scope.proxies:
-            self.hear_of_head(name)
+            self.learn_head(name)
 
-    def _begin_machine(self, name: str) -> None:
+    def _start_machine(self, name: str) -> None:
         replica = LeadingReplica(name)
-        self.machines[name] = _Machine(name, replica, HeadDesk(replica, _Outbox(self, name).send))
+        self.machines[name] = _Machine(name, replica, HeadDesk(replica, _AnswerSender(self, name).send))
         for update in self.committed:
             replica.history.append(update)
         replica.history.commit(len(self.committed))
 
-    # -- what may happen --
+    # -- moves --
 
     def moves(self) -> Iterable[Action]:
         yield from self._operators_moves()
@@ -300,12 +300,12 @@
                 continue
             if name in self.refused:
                 continue
-            is_heard = any(call.name == name and call.is_heard for call in self.calls)
+            awaits_answer = any(call.name == name and call.awaits_answer for call in self.calls)
             for proxy in self.proxies:
                 text = f"order {name} is sent to {proxy}"
                 if not operator.sent:
                     yield move(text, self.send_order, name, proxy)
-                elif is_heard:
+                elif awaits_answer:
                     yield move(f"no answer in time: {text} again", self.send_order, name, proxy, cost=1)
                 else:
                     yield move(f"{text} again", self.send_order, name, proxy, cost=1)
@@ -316,7 +316,7 @@
     def _proxy_moves(self, proxy: _Proxy) -> Iterable[Action]:
         name = proxy.name
         if proxy.head != self.leader:
-            yield move(f"{name} hears that {self.leader} leads", self.hear_of_head, name)
+            yield move(f"{name} hears that {self.leader} leads", self.learn_head, name)
         if proxy.forwarder._pending:
             yield move(f"{name} waits {RESEND_S:g} s", self.wait, name, RESEND_S, cost=1)
             yield move(f"{name} waits {FORWARD_TIMEOUT_S:g} s", self.wait, name, FORWARD_TIMEOUT_S, cost=1)
@@ -344,26 +344,26 @@
     # -- operators --
 
     def send_order(self, name: str, proxy: str) -> None:
-        """To a proxy; who waited for an answer to it waits no more."""
+        """Sends an order to a proxy; the operator gives up on its earlier calls."""
         for call in self.calls:
             if call.name == name:
-                call.is_heard = False
+                call.awaits_answer = False
         operator = self.operators[name]
         operator.sent = min(operator.sent + 1, 1)
-        self._ask(_Call(name, proxy, 0), CallKind.ORDER, encode(self.wanted[name].order))
+        self._submit(_Call(name, proxy, 0), CallKind.ORDER, encode(self.wanted[name].order))
 
     def send_read(self, proxy: str) -> None:
-        """One read of the configuration."""
+        """Sends a read of the configuration to a proxy."""
         self.has_read = True
-        self._ask(_Call(READ, proxy, 0, self.newest_confirmed), CallKind.READ, b"")
+        self._submit(_Call(READ, proxy, 0, self.newest_confirmed), CallKind.READ, b"")
 
-    def _ask(self, call: _Call, kind: CallKind, command: bytes) -> None:
+    def _submit(self, call: _Call, kind: CallKind, command: bytes) -> None:
         proxy = self.proxies[call.proxy]
         call.ticket = next(proxy.tickets)
         self.calls.append(call)
-        self._forwarded(proxy, proxy.forwarder.submit(proxy.clock, call.ticket, kind, command))
+        self._carry_out_forwarder(proxy, proxy.forwarder.submit(proxy.clock, call.ticket, kind, command))
 
-    def _forwarded(self, proxy: _Proxy, effects: Iterable[SendCall | Finished]) -> None:
+    def _carry_out_forwarder(self, proxy: _Proxy, effects: Iterable[SendCall | Finished]) -> None:
         for effect in effects:
             if isinstance(effect, SendCall):
                 self.send(proxy.name, effect.ip, effect.call)
@@ -384,31 +384,31 @@
             else:
                 self._order_answered(call, decode_message(reply, OrderReply))
         except Exception as error:
-            self.must(False, "mixed", f"the answer to {call.name} can't be read: {error}")
+            self.require(False, "mixed", f"the answer to {call.name} can't be read: {error}")
 
     def _order_answered(self, call: _Call, reply: OrderReply) -> None:
-        self.tell(f"-> {call.name} is answered {reply.status} {reply.body.decode()}")
+        self.add_note(f"-> {call.name} is answered {reply.status} {reply.body.decode()}")
         taken = self._names_committed()
         if reply.status == OrderStatus.OK:
-            self.must(call.name in taken, "lost", f"{call.name} was confirmed and is not in force")
+            self.require(call.name in taken, "lost", f"{call.name} was confirmed and is not in force")
             version = self._version(call.name)
             told = json.loads(reply.body).get("version")
-            self.must(told == version, "mixed", f"{call.name} was confirmed as {told}, and is {version}")
+            self.require(told == version, "mixed", f"{call.name} was confirmed as {told}, and is {version}")
             self.newest_confirmed = max(self.newest_confirmed, version)
-            if call.is_heard:
+            if call.awaits_answer:
                 self.operators[call.name].confirmed = True
         elif reply.status < OrderStatus.SERVICE_UNAVAILABLE:
-            self.must(call.name not in taken, "refused", f"{call.name} is in force and was refused")
+            self.require(call.name not in taken, "refused", f"{call.name} is in force and was refused")
             self.refused.add(call.name)
 
     def _read_answered(self, call: _Call, reply: bytes) -> None:
         found = decode_message(reply, MachineSnapshot)
-        self.tell(f"-> the read is answered version {found.version}")
+        self.add_note(f"-> the read is answered version {found.version}")
         document = found.document or ConfigurationState().json()
         states = {state.version: state.json() for state in self._states()}
-        self.must(states.get(found.version) == document, "stale", f"{found.version} was never committed")
-        text = f"{found.version} was read after {call.at_least} was confirmed"
-        self.must(found.version >= call.at_least, "stale", text)
+        self.require(states.get(found.version) == document, "stale", f"{found.version} was never committed")
+        text = f"{found.version} was read after {call.min_version} was confirmed"
+        self.require(found.version >= call.min_version, "stale", text)
 
     def _states(self) -> list[ConfigurationState]:
         machine = ConfigurationMachine()
@@ -420,59 +420,59 @@
 
     # -- proxies and the network --
 
-    def deliver(self, place: int) -> None:
-        """A letter comes."""
-        letter = self.network.take(place)
-        message = letter.message
+    def deliver(self, position: int) -> None:
+        """Delivers a message."""
+        envelope = self.network.remove(position)
+        message = envelope.message
         if isinstance(message, HeadAnswer):
-            proxy = self.proxies[letter.target]
-            self._forwarded(proxy, proxy.forwarder.handle_answer(proxy.clock, message))
+            proxy = self.proxies[envelope.target]
+            self._carry_out_forwarder(proxy, proxy.forwarder.handle_answer(proxy.clock, message))
         elif isinstance(message, HeadCall):
-            machine = self.machines[letter.target]
-            self._take(letter.target, machine.desk.called(0.0, letter.source, message))
+            machine = self.machines[envelope.target]
+            self._carry_out(envelope.target, machine.desk.called(0.0, envelope.source, message))
 
     def send(self, source: str, target: str, message: HeadCall | HeadAnswer) -> None:
-        """A message goes out."""
-        self.network.send(source, target, message, self._shown(message))
+        """Sends a message."""
+        self.network.send(source, target, message, self._describe(message))
 
-    def _shown(self, message: HeadCall | HeadAnswer) -> str:
+    def _describe(self, message: HeadCall | HeadAnswer) -> str:
         if isinstance(message, HeadCall):
             return f"call {message.ticket} ({self._order_name(message)})"
         if not message.done:
             return f"'not now' to call {message.ticket}"
         reply = next(iter(Decoder().feed(message.reply)))
-        told = reply.body.decode() if isinstance(reply, OrderReply) else f"state {hash_text(message.reply)}"
+        told = reply.body.decode() if isinstance(reply, OrderReply) else f"state {short_hash(message.reply)}"
         return f"the answer to call {message.ticket} ({told})"
 
     def _order_name(self, call: HeadCall) -> str:
         names = (name for name, each in self.wanted.items() if encode(each.order) == call.command)
         return READ if call.kind == CallKind.READ.value else next(names)
 
-    def lose(self, place: int) -> None:
-        """A letter is lost."""
-        self.network.take(place)
+    def lose(self, position: int) -> None:
+        """Loses a message."""
+        self.network.remove(position)
 
-    def hear_of_head(self, name: str) -> None:
-        """A proxy learns of the view."""
+    def learn_head(self, name: str) -> None:
+        """Notifies a proxy of the current head."""
         proxy = self.proxies[name]
         proxy.head = self.leader
-        self._forwarded(proxy, proxy.forwarder.head_changed(proxy.clock, self.leader))
+        self._carry_out_forwarder(proxy, proxy.forwarder.head_changed(proxy.clock, self.leader))
 
     def wait(self, name: str, seconds: float) -> None:
-        """Time passes at a proxy."""
+        """Advances the clock of a proxy."""
         proxy = self.proxies[name]
         proxy.clock += seconds
-        self._forwarded(proxy, proxy.forwarder.tick(proxy.clock))
+        self._carry_out_forwarder(proxy, proxy.forwarder.tick(proxy.clock))
 
     def restart_proxy(self, name: str) -> None:
-        """All that it knew is gone; its callers hear nothing."""
+        """Restarts a proxy without its state; its callers get no answer."""
         self.calls = [call for call in self.calls if call.proxy != name]
         self.proxies[name] = _Proxy(name, self.proxies[name].life + 1)
 
     # -- the chain --
 
-    def _take(self, name: str, effects: Iterable[Effect]) -> None:
-        """What a replica asks for."""
+    def _carry_out(self, name: str, effects: Iterable[Effect]) -> None:
+        """Carries out the effects of a replica."""
         machine = self.machines[name]
         for effect in effects:
             if isinstance(effect, Answer):
@@ -487,54 +487,56 @@
             self._commit(updates[:count])
 
     def _commit(self, updates: Iterable[bytes]) -> None:
-        """What the chain has stored is in force for good."""
+        """Appends committed updates and checks their versions."""
         for update in updates:
             change, before = decode_update(update), self._newest_version()
-            self.must(change.base == before, "race", f"a change of version {change.base} came after {before}")
-            self.must(change.version > before, "race", f"version {change.version} came after {before}")
+            self.require(
+                change.base == before, "race", f"a change of version {change.base} came after {before}"
+            )
+            self.require(change.version > before, "race", f"version {change.version} came after {before}")
             self.committed.append(update)
             name = self._name_of(update)
-            self.must(name not in self.refused, "refused", f"{name} was refused, and is in force now")
+            self.require(name not in self.refused, "refused", f"{name} was refused, and is in force now")
 
     def store(self) -> None:
-        """The chain stores what the head has passed on."""
-        self._take(self.leader, self.machines[self.leader].replica.stored())
+        """Completes the storing of the head's updates by the chain."""
+        self._carry_out(self.leader, self.machines[self.leader].replica.stored())
 
     def answer_round(self) -> None:
-        """A majority answers the head's heartbeat."""
-        self._take(self.leader, self.machines[self.leader].replica.round_answered())
+        """Answers the head's newest heartbeat round by a majority."""
+        self._carry_out(self.leader, self.machines[self.leader].replica.round_answered())
 
     def step_down(self, name: str) -> None:
-        """An earlier head hears of the new view."""
-        self._take(name, self.machines[name].replica.step_down())
+        """Notifies a previous head of the new view."""
+        self._carry_out(name, self.machines[name].replica.step_down())
 
     def change_head(self, name: str, whole: bool, keeps_newest: bool) -> None:
-        """Another replica leads from now on, with all that is committed; the one before knows nothing yet."""
+        """Makes another replica head, with all committed updates; the previous head does not know yet."""
         before = self.machines[self.leader].replica.history
         count = before.newest if keeps_newest else len(self.committed)
         updates = [*self.committed, *(before.after(len(self.committed)) or ())][:count]
         machine = self.machines[name]
         if machine.replica.leads:
-            self._take(name, machine.replica.step_down())
+            self._carry_out(name, machine.replica.step_down())
         history = machine.replica.history
         if whole:
             history.replace(count, _snapshot(updates))
         else:
-            _bring_up(history, updates)
+            _set_updates(history, updates)
         self.leader = name
         self._commit(updates[len(self.committed) :])
-        self._take(name, machine.replica.take_over())
+        self._carry_out(name, machine.replica.take_over())
 
     def restart_machine(self, name: str) -> None:
-        """A process with a disk ends, and starts with what was stored; if it led, it leads again at once."""
-        self._begin_machine(name)
+        """Restarts a process with the committed updates; a head leads again at once."""
+        self._start_machine(name)
         if name == self.leader:
-            self._take(name, self.machines[name].replica.take_over())
+            self._carry_out(name, self.machines[name].replica.take_over())
 
-    # -- what is known of orders --
+    # -- committed orders --
 
     def _name_of(self, update: bytes) -> str | None:
-        """The order whose content it is."""
+        """Returns the name of the order that has the content of an update, or None."""
         change = decode_update(update)
         content = change.document if isinstance(change, ConfigurationReplaced) else change.patch
         for wanted in self.wanted.values():
@@ -545,7 +547,7 @@
         return None
 
     def _names_committed(self) -> list[str]:
-        """Orders in force now or before, and those whose bytes are the same."""
+        """Returns the names of all committed orders and of orders with the same bytes."""
         names = [self._name_of(update) for update in self.committed]
         orders = [self.wanted[name].order for name in names if name is not None]
         return [name for name, wanted in self.wanted.items() if wanted.order in orders]
@@ -556,18 +558,19 @@
     def _version(self, name: str) -> int:
         return int(json.loads(self.wanted[name].order.body)["version"])
 
-    # -- folding --
+    # -- keys --
 
     def key(self) -> int:
         proxies = [
-            (p.name, p.head, _FORM.told((p.forwarder, p.tickets), p.clock)) for p in self.proxies.values()
+            (p.name, p.head, _CANONICALIZER.canonical((p.forwarder, p.tickets), p.clock))
+            for p in self.proxies.values()
         ]
-        machines = [_FORM.told(machine, 0.0) for machine in self.machines.values()]
+        machines = [_CANONICALIZER.canonical(machine, 0.0) for machine in self.machines.values()]
         operators = [(name, o.confirmed, o.sent) for name, o in self.operators.items()]
         calls = sorted(attrs.astuple(call) for call in self.calls)
         rest = (
             self.leader,
-            [hash_text(each) for each in self.committed],
+            [short_hash(each) for each in self.committed],
             sorted(self.refused),
             self.newest_confirmed,
             self.has_read,
@@ -575,15 +578,15 @@
         return digest((proxies, machines, operators, calls, self.network.key(), rest))
 
 
-class _Outbox:
-    """Where a desk's answers go."""
+class _AnswerSender:
+    """Sends the answers of a `HeadDesk` over the network of the world."""
 
     def __init__(self, world: OrdersWorld, source: str) -> None:
         self._world = world
         self._source = source
 
     def send(self, ip: str, message: object) -> None:
-        """A message for a proxy."""
+        """Sends an answer to a proxy."""
         assert isinstance(message, HeadAnswer)
         self._world.send(self._source, ip, message)
 
@@ -595,8 +598,8 @@
     return machine.snapshot()
 
 
-def _bring_up(history: History, updates: list[bytes]) -> None:
-    """Have it hold exactly these updates, one by one where what it has is their beginning."""
+def _set_updates(history: History, updates: list[bytes]) -> None:
+    """Makes a history hold exactly these updates, by appending if it holds a prefix of them."""
     own = history.after(0)
     if own is None or list(own) != updates[: len(own)]:
         history.replace(0, b"")
@@ -606,24 +609,24 @@
         history.append(update)
 
 
-def hash_text(data: bytes) -> str:
-    """A short name of some bytes."""
+def short_hash(data: bytes) -> str:
+    """Returns a 64-bit hash of some bytes as hexadecimal text."""
     return f"{xxhash.xxh3_64_intdigest(data):016x}"
 
 
 @lru_cache(maxsize=4096)
-def _state_form(state: ConfigurationState) -> str:
-    return hash_text(state.json())
+def _canonical_state(state: ConfigurationState) -> str:
+    return short_hash(state.json())
 
 
-def _machine_form(machine: ConfigurationMachine) -> tuple[Any, ...]:
+def _canonical_machine(machine: ConfigurationMachine) -> tuple[Any, ...]:
     prepared = machine._prepared
-    waiting = prepared and hash_text(prepared[0])
-    return (machine.version, _state_form(machine._state), tuple(machine._accepted.items()), waiting)
+    waiting = prepared and short_hash(prepared[0])
+    return (machine.version, _canonical_state(machine._state), tuple(machine._accepted.items()), waiting)
 
 
-_FORM = Form(
-    skipped=frozenset(
+_CANONICALIZER = Canonicalizer(
+    skipped_fields=frozenset(
         {
             "_replica",
             "_send",
@@ -639,5 +642,5 @@
             "since",
         }
     ),
-    stands_for={ConfigurationMachine: _machine_form},
+    replacements={ConfigurationMachine: _canonical_machine},
 )
--- a/cloverrouter/explore/coordination/orders_scopes.py
+++ b/cloverrouter/explore/coordination/orders_scopes.py
@@ -1,4 +1,4 @@
-"""The scopes `orders` and `orders-large`: what operators want there, and the faults that must be found."""
+"""The scopes `orders` and `orders-large`: the orders that operators send, and seeded faults."""
 
 from __future__ import annotations
 
@@ -19,27 +19,27 @@
     INVARIANTS,
     OrdersScope,
     OrdersWorld,
-    Wanted,
-    figures,
+    WantedOrder,
+    patched_limits,
 )
 from cloverrouter.explore.coordination.scope import ModelFault, ModelScope
 from cloverrouter.explore.coordination.search import Limits
-from cloverrouter.explore.coordination.worlds import WorldModel, told
+from cloverrouter.explore.coordination.worlds import WorldModel, notes_of
 from cloverrouter.messages import encode
 
 SCOPE = "orders"
 LARGE = "orders-large"
 
 
-def _put(name: str, base: int, version: int, prefix: str, after: str | None = None) -> Wanted:
+def _put(name: str, base: int, version: int, prefix: str, after: str | None = None) -> WantedOrder:
     route = {"name": "r", "hostname": "h", "path-prefix": prefix, "backend": "s"}
     document = {"version": version, "route-table": [route], "backends": [{"name": "s"}]}
-    return Wanted(name, Order("PUT", str(base), json.dumps(document).encode()), after)
+    return WantedOrder(name, Order("PUT", str(base), json.dumps(document).encode()), after)
 
 
-def _patch(name: str, base: int, version: int, after: str | None = None) -> Wanted:
+def _patch(name: str, base: int, version: int, after: str | None = None) -> WantedOrder:
     patched = {"version": version, "upsert": {"backends": [{"name": f"s{version}"}]}}
-    return Wanted(name, Order("PATCH", str(base), json.dumps(patched).encode()), after)
+    return WantedOrder(name, Order("PATCH", str(base), json.dumps(patched).encode()), after)
 
 
 FIRST = _put("A", 0, 1, "/a/")
@@ -52,7 +52,9 @@
     "two operators race over one proxy": OrdersScope((FIRST, RIVAL), proxies=("p1",)),
     "two operators send the same bytes": OrdersScope((FIRST, SAME), proxies=("p1",)),
     "one operator, two proxies, and a read": OrdersScope((FIRST,), reads=True),
-    "three changes, and one is known again": OrdersScope((FIRST, NEXT, LAST), proxies=("p1",), most_taken=1),
+    "three changes, and one is known again": OrdersScope(
+        (FIRST, NEXT, LAST), proxies=("p1",), max_remembered=1
+    ),
 }
 LARGE_WORLDS = {
     "two operators race over two proxies, and one goes on": OrdersScope((FIRST, RIVAL, NEXT), reads=True),
@@ -61,11 +63,11 @@
 
 
 class OrdersModel(WorldModel[OrdersWorld]):
-    """The model of some of these worlds."""
+    """The model that starts from the given worlds."""
 
     def __init__(self, worlds: dict[str, OrdersScope]) -> None:
         first = {name: _world(scope) for name, scope in worlds.items()}
-        super().__init__(first, lambda world: figures(world.scope))
+        super().__init__(first, lambda world: patched_limits(world.scope))
 
 
 def _world(scope: OrdersScope) -> Callable[[], OrdersWorld]:
@@ -95,7 +97,7 @@
     return Decision(refusal, None) if refusal is not None else _decide(self, command)
 
 
-def _keep_oldest(self: ConfigurationMachine, digest: bytes, version: int) -> None:
+def _remember_oldest(self: ConfigurationMachine, digest: bytes, version: int) -> None:
     if len(self._accepted) < orders.MAX_REMEMBERED_ORDERS:
         self._accepted[digest] = version
 
@@ -111,13 +113,13 @@
     _decide_at_head(self, now, ticket, command)
 
 
-_answer_asked = Head.answer_reads
+_answer_reads = Head.answer_reads
 
 
 def _answer_unconfirmed(self: Head) -> None:
     for entry in self._pending.reads:
         entry.round = 0
-    _answer_asked(self)
+    _answer_reads(self)
 
 
 def _done_when_stored_here(self: Head, now: float, ticket: int, command: bytes) -> None:
@@ -128,7 +130,7 @@
         self._context.effects.append(Answer(ticket, Outcome.DONE, done.reply, done.seq))
 
 
-def _not_now_is_an_end(self: Forwarder, now: float, answer: HeadAnswer) -> list[Any]:
+def _take_not_now_as_final(self: Forwarder, now: float, answer: HeadAnswer) -> list[Any]:
     if answer.ticket not in self._pending:
         return []
     del self._pending[answer.ticket]
@@ -141,50 +143,50 @@
 
 FAULTS = {
     "tickets-from-one": ModelFault(
-        "a proxy numbers its calls from one in each life",
+        "a proxy numbers its calls from one after each restart",
         ("lost", "mixed", "refused"), SCOPE, _seeded(forwarding, "first_ticket", lambda random: 1),
     ),
     "digest-without-body": ModelFault(
-        "an order is known again by its method and base alone",
+        "a repeated order is recognised by its method and base version alone",
         ("lost",), SCOPE, _seeded(orders, "order_digest", _digest_without_body),
     ),
     "whole-state-without-orders": ModelFault(
-        "a state that is handed over whole lacks the orders that were taken",
+        "a snapshot lacks the accepted orders",
         ("refused",), SCOPE, _seeded(ConfigurationMachine, "snapshot", _snapshot_without_orders),
     ),
     "version-before-order": ModelFault(
-        "the base is looked at before it is known whether the order was taken",
+        "the base version is checked before a repeated order is recognised",
         ("refused",), SCOPE, _seeded(ConfigurationMachine, "decide", _version_first),
     ),
     "remembers-the-oldest": ModelFault(
-        "a full memory of orders keeps the oldest ones",
-        ("refused",), SCOPE, _seeded(ConfigurationMachine, "_remember", _keep_oldest),
+        "a full memory of accepted orders keeps the oldest ones",
+        ("refused",), SCOPE, _seeded(ConfigurationMachine, "_remember", _remember_oldest),
     ),
     "known-order-at-once": ModelFault(
-        "an answer without a change doesn't wait until what it rests on is committed",
+        "an answer without a change does not wait for the commit of the state it is based on",
         ("lost", "refused"), SCOPE, _seeded(Head, "_decide", _answer_at_once),
     ),
     "reads-without-contact": ModelFault(
-        "a head answers reads without having heard of a majority since",
+        "a head answers reads without a confirmation by a majority",
         ("stale", "lost", "refused"), SCOPE, _seeded(Head, "answer_reads", _answer_unconfirmed),
     ),
     "confirmed-by-one-disk": ModelFault(
-        "an order is confirmed once the head has it",
+        "an order is confirmed once the head alone has stored it",
         ("lost",), SCOPE, _seeded(Head, "_decide", _done_when_stored_here),
     ),
     "not-now-is-an-end": ModelFault(
-        "a proxy takes 'not now' for the answer",
-        ("mixed",), SCOPE, _seeded(Forwarder, "handle_answer", _not_now_is_an_end),
+        "a proxy treats 'not now' as the final answer",
+        ("mixed",), SCOPE, _seeded(Forwarder, "handle_answer", _take_not_now_as_final),
     ),
 }  # fmt: skip
 
 SCOPES = {
     SCOPE: ModelScope(
-        "operators, proxies and the head: orders with lost answers through a change of head",
-        lambda: OrdersModel(SMALL_WORLDS), Limits(deviations=1, seconds=120.0), FAULTS, told, INVARIANTS,
+        "operators, proxies and the head: orders with lost answers during a change of head",
+        lambda: OrdersModel(SMALL_WORLDS), Limits(deviations=1, seconds=120.0), FAULTS, notes_of, INVARIANTS,
     ),
     LARGE: ModelScope(
-        "the same with two proxies for a race and a change that builds on it",
-        lambda: OrdersModel(LARGE_WORLDS), Limits(deviations=2, seconds=600.0), {}, told, INVARIANTS,
+        "as `orders`, with a race over two proxies and a change based on the winner",
+        lambda: OrdersModel(LARGE_WORLDS), Limits(deviations=2, seconds=600.0), {}, notes_of, INVARIANTS,
     ),
 }  # fmt: skip
--- a/cloverrouter/explore/coordination/register.py
+++ b/cloverrouter/explore/coordination/register.py
@@ -1,36 +1,36 @@
-"""The state machine of the model: a log of orders, each taken once."""
+"""The replicated state machine of the model: a log that accepts each order once."""
 
 from __future__ import annotations
 
 from cloverrouter.coordination.effects import Decision
 
 
-class Register:
-    """The names of the orders taken, in their order; the state's number is how many they are."""
+class OrderLog:
+    """The accepted orders in sequence. The sequence number of a state is the number of its orders."""
 
     def __init__(self) -> None:
         self.orders: list[str] = []
 
     def decide(self, command: bytes) -> Decision:
-        """An order that was taken is confirmed again under its number, any other is taken."""
+        """Accepts a new order; answers a repeated one with its existing number and no update."""
         name = command.decode()
         if name in self.orders:
             return Decision(str(self.orders.index(name) + 1).encode(), None)
         return Decision(str(len(self.orders) + 1).encode(), command)
 
     def apply(self, update: bytes) -> None:
-        """An order is taken."""
+        """Appends an order."""
         self.orders.append(update.decode())
 
     def snapshot(self) -> bytes:
-        """All of them."""
+        """Returns all orders, separated by spaces."""
         return " ".join(self.orders).encode()
 
     def restore(self, snapshot: bytes) -> None:
-        """Others in their place."""
+        """Replaces all orders by those of a snapshot."""
         self.orders = snapshot.decode().split()
 
 
 def orders_of(snapshot: bytes) -> list[str]:
-    """The orders in a state."""
+    """Returns the orders of a snapshot."""
     return snapshot.decode().split()
--- a/cloverrouter/explore/coordination/registry_scopes.py
+++ b/cloverrouter/explore/coordination/registry_scopes.py
@@ -1,4 +1,4 @@
-"""The scopes `registrations`, `registrations-draining`, `registrations-large`, and faults to be found."""
+"""The scopes `registrations`, `registrations-draining` and `registrations-large`, and seeded faults."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 from cloverrouter.explore.coordination.registry_model import INVARIANTS, Calls, RegistryWorld
 from cloverrouter.explore.coordination.scope import ModelFault, ModelScope
 from cloverrouter.explore.coordination.search import Limits
-from cloverrouter.explore.coordination.worlds import WorldModel, told
+from cloverrouter.explore.coordination.worlds import WorldModel, notes_of
 
 SCOPE = "registrations"
 DRAINING = "registrations-draining"
@@ -23,7 +23,7 @@
 
 
 class RegistryModel(WorldModel[RegistryWorld]):
-    """The model of one server's calls."""
+    """The model with one initial world: empty registries and one server."""
 
     def __init__(self, calls: Calls) -> None:
         super().__init__({"all empty": lambda: RegistryWorld(calls)})
@@ -52,31 +52,32 @@
 
 FAULTS = {
     "newest-call-wins": ModelFault(
-        "the state of a server is that of its newest call, not the furthest that it told",
+        "a server's state is that of its newest call, not the highest one reported",
         ("back", "stale", "differ", "storm"), SCOPE, _seeded(instance_table, "merge", _newest_call_wins),
     ),
     "acknowledged-by-nobody": ModelFault(
-        "a server's news is acknowledged before any voter has it",
+        "a server's call is acknowledged before any voter has stored it",
         ("stale", "differ"), SCOPE, _seeded(announcements, "_is_done", _done_at_once),
     ),
     "receipt-for-anything": ModelFault(
-        "a receipt counts for whatever waits for one",
+        "an acknowledgement counts for any pending announcement of the instance",
         ("stale", "differ"), SCOPE, _seeded(Announcements, "record_acknowledgement", _receipt_for_anything),
     ),
 }  # fmt: skip
 
 SCOPES = {
     SCOPE: ModelScope(
-        "a server that is ready and gone: calls at any machine, restarts, lost and late messages",
+        "a server that is ready, then gone: calls at any machine, restarts, lost and delayed messages",
         lambda: RegistryModel(Calls((InstanceState.READY, InstanceState.GONE), most_time=0)),
-        Limits(deviations=1, seconds=300.0), FAULTS, told, INVARIANTS,
+        Limits(deviations=1, seconds=300.0), FAULTS, notes_of, INVARIANTS,
     ),
     DRAINING: ModelScope(
-        "a server that is ready, draining and gone",
-        lambda: RegistryModel(Calls(most_time=0)), Limits(deviations=1, seconds=600.0), {}, told, INVARIANTS,
+        "a server that is ready, then draining, then gone",
+        lambda: RegistryModel(Calls(most_time=0)), Limits(deviations=1, seconds=600.0),
+        {}, notes_of, INVARIANTS,
     ),
     LARGE: ModelScope(
-        "the same with half a second between",
-        lambda: RegistryModel(Calls()), Limits(deviations=1, seconds=1800.0), {}, told, INVARIANTS,
+        "as `registrations-draining`, with half a second of time",
+        lambda: RegistryModel(Calls()), Limits(deviations=1, seconds=1800.0), {}, notes_of, INVARIANTS,
     ),
 }  # fmt: skip
--- a/cloverrouter/explore/coordination/scope.py
+++ b/cloverrouter/explore/coordination/scope.py
@@ -1,4 +1,4 @@
-"""What the command line needs to know of a model: how to make it, how far to search, and its faults."""
+"""Descriptions of explorable models for the command line: factory, search limits, invariants and faults."""
 
 from __future__ import annotations
 
@@ -12,21 +12,21 @@
 
 @dataclass(frozen=True, slots=True)
 class ModelFault:
-    """A mistake that is put into the cores on purpose, while `seeded` is entered."""
+    """A fault that is deliberately injected into the cores while the context of `seeded` is entered."""
 
     text: str
-    shows: tuple[str, ...]  # names of the invariants that it may break
-    scope: str  # in which it is to be found
+    shows: tuple[str, ...]  # names of the invariants that the fault may break
+    scope: str  # name of the scope whose search has to find the fault
     seeded: Callable[[], AbstractContextManager[Any]]
 
 
 @dataclass(frozen=True, slots=True)
 class ModelScope:
-    """One model as it is explored by default. The faults may be those of several scopes of one kind."""
+    """A model with its default search limits. Several scopes of one kind may share the same faults."""
 
     text: str
     model: Callable[[], Model[Any]]
     limits: Limits
     faults: Mapping[str, ModelFault] = field(default_factory=dict)
-    tell: Callable[[Any], Iterable[str]] = lambda state: ()  # lines that stand under a step of a history
-    invariants: Mapping[str, str] = field(default_factory=dict)  # their texts
+    tell: Callable[[Any], Iterable[str]] = lambda state: ()  # notes printed below a step of a history
+    invariants: Mapping[str, str] = field(default_factory=dict)  # descriptions by name
--- a/cloverrouter/explore/coordination/scopes.py
+++ b/cloverrouter/explore/coordination/scopes.py
@@ -1,4 +1,4 @@
-"""The scopes of the replicas: where each begins, and how far it goes."""
+"""The scopes of the replica model: situations, bounds and limits of each search."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from cloverrouter.explore.coordination.troubles import CRASH, CUT, Bounds
 from cloverrouter.explore.coordination.world import State
 
-ORDERS = ("x", "y", "z")  # the first is confirmed in most situations; the other two race
+ORDERS = ("x", "y", "z")  # the first is confirmed in most situations; the other two are concurrent
 
 
 def _scope(text: str, situations: Iterable[str], bounds: Bounds, limits: Limits) -> ModelScope:
@@ -22,11 +22,11 @@
     def model() -> ReplicaModel:
         return ReplicaModel(named(*names), bounds, ORDERS)
 
-    return ModelScope(text, model, limits, FAULTS, _spoken, INVARIANTS)
+    return ModelScope(text, model, limits, FAULTS, _notes, INVARIANTS)
 
 
-def _spoken(state: State) -> Iterable[str]:
-    return state.spoken
+def _notes(state: State) -> Iterable[str]:
+    return state.notes
 
 
 ESTABLISHED = (
@@ -44,87 +44,87 @@
 
 SCOPES = {
     "coordination-small": _scope(
-        "one deviation while two orders are on their way down a chain of three",
+        "one deviation while two orders are in flight in a chain of three",
         ("order under way",),
-        Bounds(window=1),
+        Bounds(window_steps=1),
         Limits(deviations=1, age=16, seconds=300.0),
     ),
     "coordination": _scope(
-        "one deviation at any point of ten steps of time, in all situations",
+        "one deviation within ten time steps, in all situations",
         ESTABLISHED,
-        Bounds(window=10),
+        Bounds(window_steps=10),
         Limits(deviations=1, age=40, seconds=1800.0),
     ),
     "coordination-large": _scope(
-        "two deviations within three steps of time, in all situations",
+        "two deviations within three time steps, in all situations",
         ESTABLISHED,
-        Bounds(window=3),
+        Bounds(window_steps=3),
         Limits(deviations=2, age=40, seconds=7200.0),
     ),
     "coordination-twice": _scope(
-        "messages that come twice, the second time in this step or a later one, and nothing else",
+        "duplicated messages only, delivered again in the same step or a later one",
         ("order under way", "exchange begun", "voter silent"),
-        Bounds(most={}, holds=False, doubles=True, window=3),
+        Bounds(max_faults={}, may_delay=False, may_duplicate=True, window_steps=3),
         Limits(deviations=2, age=24, seconds=600.0),
     ),
     "coordination-cut": _scope(
-        "a chain that has confirmed an order, and the next come when a cut may have struck",
+        "a chain that has confirmed an order; the next ones come when a partition may have begun",
         ("orders later",),
-        Bounds(window=3),
+        Bounds(window_steps=3),
         Limits(deviations=1, age=30),
     ),
     "coordination-votes": _scope(
-        "a chain of two that takes orders, and the third that is back",
+        "a chain of two that accepts orders while the third voter restarts",
         ("chain of two",),
-        Bounds(window=3),
+        Bounds(window_steps=3),
         Limits(deviations=1, age=30),
     ),
     "coordination-pairs": _scope(
-        "two deviations in the step of time in which orders are under way",
+        "two deviations in the time step in which orders are in flight",
         ("order under way",),
-        Bounds(window=1),
+        Bounds(window_steps=1),
         Limits(deviations=2, age=24, seconds=1800.0, depth_first=True),
     ),
     "coordination-crash-and-cut": _scope(
-        "a crash and a cut in the step of time in which orders are under way",
+        "a crash and a partition in the time step in which orders are in flight",
         ("order under way",),
-        Bounds(most={CRASH: 1, CUT: 1}, window=1, holds=False),
+        Bounds(max_faults={CRASH: 1, CUT: 1}, window_steps=1, may_delay=False),
         Limits(deviations=2, age=24, seconds=300.0, depth_first=True),
     ),
     "coordination-loss": _scope(
-        "two deviations when two of three have confirmed all orders, and the third is about to come back",
+        "two deviations after two of three voters have confirmed all orders, before the third restarts",
         ("two confirmed",),
-        Bounds(window=1),
+        Bounds(window_steps=1),
         Limits(deviations=2, age=30),
     ),
     "coordination-exchange": _scope(
-        "an exchange of voters, as the newcomer is handed view and state",
+        "a replacement of a voter, while the new voter receives view and state",
         ("exchange begun",),
-        Bounds(window=2),
+        Bounds(window_steps=2),
         Limits(deviations=1, age=30),
     ),
     "coordination-return": _scope(
-        "an exchange of voters while the silent one comes back with its disk",
+        "a replacement of a silent voter that restarts with its disk meanwhile",
         ("voter silent",),
-        Bounds(window=2),
+        Bounds(window_steps=2),
         Limits(deviations=1, age=30),
     ),
     "coordination-exchange-pairs": _scope(
-        "two troubles in the step of time in which an exchange of voters is handed out",
+        "two faults in the time step in which a replacement of a voter is sent out",
         ("exchange begun", "voter silent"),
-        Bounds(window=1, holds=False),
+        Bounds(window_steps=1, may_delay=False),
         Limits(deviations=2, age=24, seconds=1800.0, depth_first=True),
     ),
     "coordination-genesis-pairs": _scope(
-        "a crash and a cut in the first start",
+        "a crash and a partition during the first start",
         ("first start",),
-        Bounds(most={CRASH: 1, CUT: 1}, window=8, holds=False, seeds=(0, 1, 2)),
+        Bounds(max_faults={CRASH: 1, CUT: 1}, window_steps=8, may_delay=False, seeds=(0, 1, 2)),
         Limits(deviations=2, age=30, seconds=1800.0, depth_first=True),
     ),
     "coordination-genesis": _scope(
-        "the first start",
+        "one deviation during the first start",
         ("first start",),
-        Bounds(window=8, seeds=(0, 1, 2)),
+        Bounds(window_steps=8, seeds=(0, 1, 2)),
         Limits(deviations=1, age=30, seconds=300.0),
     ),
 }
--- a/cloverrouter/explore/coordination/search.py
+++ b/cloverrouter/explore/coordination/search.py
@@ -1,13 +1,13 @@
-"""The search over a model: every ordering up to a bound of deviations, one more at a time.
+"""Exhaustive search over a model, bounded by the number of deviations from the prompt schedule.
 
-A model says what may happen in a state, and what of that costs a deviation from the prompt schedule: a
-message held back, a crash, a cut. What costs nothing is the prompt schedule itself (it may branch as well).
-All states that need no deviation are opened first, then all that need one, and so on, so that of the states
-up to a bound none is left out, however long their histories are. `Limits.age` bounds the histories: in a
-model with a clock, by its time.
+A model returns the possible actions in a state and their cost in deviations, for example a delayed message,
+a crash or a partition. Actions without cost form the prompt schedule, which may branch as well. The search
+expands all states that need no deviation first, then all that need one, and so on, so that no state up to a
+bound is left out, however long its history is. `Limits.age` bounds the histories; in a model with a clock it
+is the elapsed time.
 
-Two histories that lead to the same key are one; the one with fewer deviations goes on, and the other too if
-it is younger, as more can follow within the bound.
+Two states with the same key are merged: the one reached with fewer deviations is expanded. The other one is
+expanded as well if its age is lower, since more steps then fit within the bound.
 """
 
 from __future__ import annotations
@@ -19,71 +19,70 @@
 from typing import Generic, Protocol, TypeVar
 
 State = TypeVar("State")
-CLOCK_EVERY = 64  # how many states are opened between two looks at the clock
+CLOCK_CHECK_INTERVAL = 64  # number of states that are expanded between two checks of the time limit
 ROOT = -1
 
 
 @dataclass(frozen=True, slots=True)
 class Action:
-    """What may happen in a state. Within one state a label stands for one action; a saved history is made
-    of labels."""
+    """A possible action in a state. Labels are unique within a state; a saved history consists of labels."""
 
     label: str
-    cost: int = 0  # deviations
-    event: object = None  # for the model's own use
+    cost: int = 0  # number of deviations
+    event: object = None  # interpreted by the model only
 
 
 class Model(Protocol[State]):
-    """A world of pure cores. A state is never changed once it was given out."""
+    """A model of cores without I/O. A state is never modified after it was returned."""
 
     def initial(self) -> Iterable[tuple[str, State]]:
-        """Where the search begins, each with its name."""
+        """Returns the initial states with their names."""
 
     def actions(self, state: State) -> Sequence[Action]:
-        """What may happen."""
+        """Returns the possible actions in a state."""
 
     def apply(self, state: State, action: Action) -> State:
-        """The state after it. What it raises is a breach, too."""
+        """Returns the state after an action. An exception counts as a breach of the invariant `crash`."""
 
     def key(self, state: State) -> Hashable:
-        """Equal for states after which the same can follow."""
+        """Returns a key that is equal for states with the same possible continuations."""
 
     def age(self, state: State) -> int:
-        """What `Limits.age` bounds; never falls along a history. 0 everywhere in a model that is finite."""
+        """Returns the value that `Limits.age` bounds. It never falls along a history; 0 in a finite model."""
 
     def breaches(self, state: State) -> Sequence[str]:
-        """What is wrong in this state, each with the name of its invariant and a colon first."""
+        """Returns the violations in a state, each as `invariant: text`."""
 
 
 @dataclass(frozen=True, slots=True)
 class Limits:
-    """How far is searched. A state of the greatest age is looked at and not opened."""
+    """The bounds of a search. A state of the greatest age is checked but not expanded."""
 
     deviations: int = 1
     age: int = 1_000_000
     states: int = 5_000_000
     seconds: float = 60.0
-    depth_first: bool = False  # among equal deviations; else the shortest history first
+    depth_first: bool = False  # order among states with equal deviations; otherwise breadth first
 
 
 @dataclass(frozen=True, slots=True)
 class Trace:
-    """A history and what is wrong at its end."""
+    """A history and the violation at its end."""
 
-    start: str  # name of the state in which it begins
-    steps: tuple[str, ...]  # labels
+    start: str  # name of the initial state
+    steps: tuple[str, ...]  # labels of the actions
     breach: str
 
 
 @dataclass(slots=True)
 class Result:
-    """What has been explored, and what was found."""
+    """Statistics of a search, and the breach that was found."""
 
-    states: int = 0  # that differ
+    states: int = 0  # number of distinct states
     transitions: int = 0
-    depth: int = 0  # steps of the longest history
-    deviations: int = -1  # up to which every history was followed; -1: not even the prompt ones
-    left: int = 0  # states that were reached within the bounds and not opened
+    depth: int = 0  # number of steps of the longest history
+    deviations: int = -1  # number of deviations that is fully explored; -1: not even the prompt schedule is
+    left: int = 0  # states within the bounds that were reached but not expanded
     ended_by: str = "bound"  # bound, time, states or breach
     seconds: float = 0.0
     trace: Trace | None = None
@@ -93,7 +92,7 @@
 
 
 @dataclass(slots=True)
-class _Open(Generic[State]):
+class _OpenState(Generic[State]):
     node: int
     steps: int
     state: State
@@ -106,39 +105,39 @@
     progress: Progress
     clock: Callable[[], float]
     result: Result = field(default_factory=Result)
-    ages: dict[Hashable, int] = field(default_factory=dict)  # of each key, the least
+    ages: dict[Hashable, int] = field(default_factory=dict)  # lowest age by key
     parents: list[tuple[int, str]] = field(default_factory=list)
-    levels: list[deque[_Open[State]]] = field(default_factory=list)
+    levels: list[deque[_OpenState[State]]] = field(default_factory=list)
 
     def run(self) -> Result:
-        begun = self.clock()
+        started_at = self.clock()
         result = self.result
         self.levels = [deque() for _ in range(self.limits.deviations + 1)]
         for name, state in self.model.initial():
-            if not self._reach(ROOT, name, 0, 0, state, self.model.breaches(state)):
+            if not self._register_state(ROOT, name, 0, 0, state, self.model.breaches(state)):
                 break
         for deviations, level in enumerate(self.levels):
-            if result.trace is not None or not self._open_level(deviations, level, begun):
+            if result.trace is not None or not self._expand_level(deviations, level, started_at):
                 break
             result.deviations = deviations
         result.left = sum(len(level) for level in self.levels)
-        result.seconds = self.clock() - begun
+        result.seconds = self.clock() - started_at
         return result
 
-    def _open_level(self, deviations: int, level: deque[_Open[State]], begun: float) -> bool:
-        opened = 0
+    def _expand_level(self, deviations: int, level: deque[_OpenState[State]], started_at: float) -> bool:
+        expanded = 0
         while level:
-            if opened % CLOCK_EVERY == 0 and not self._may_go_on(begun):
+            if expanded % CLOCK_CHECK_INTERVAL == 0 and not self._may_continue(started_at):
                 return False
-            opened += 1
+            expanded += 1
             entry = level.pop() if self.limits.depth_first else level.popleft()
-            if not self._open(deviations, entry):
+            if not self._expand(deviations, entry):
                 return False
         return True
 
-    def _may_go_on(self, begun: float) -> bool:
+    def _may_continue(self, started_at: float) -> bool:
         result = self.result
-        result.seconds = self.clock() - begun
+        result.seconds = self.clock() - started_at
         self.progress(result)
         if result.seconds >= self.limits.seconds:
             result.ended_by = "time"
@@ -148,7 +147,7 @@
             return True
         return False
 
-    def _open(self, deviations: int, entry: _Open[State]) -> bool:
+    def _expand(self, deviations: int, entry: _OpenState[State]) -> bool:
         for action in self.model.actions(entry.state):
             cost = deviations + action.cost
             if cost > self.limits.deviations:
@@ -156,33 +155,33 @@
             self.result.transitions += 1
             try:
                 state = self.model.apply(entry.state, action)
-                wrong = self.model.breaches(state)
-            except Exception as error:  # whatever it is, no order of events may raise it
-                state, wrong = entry.state, [f"crash: {type(error).__name__}: {error}"]
-            if not self._reach(entry.node, action.label, entry.steps + 1, cost, state, wrong):
+                violations = self.model.breaches(state)
+            except Exception as error:  # no ordering of events may raise an exception
+                state, violations = entry.state, [f"crash: {type(error).__name__}: {error}"]
+            if not self._register_state(entry.node, action.label, entry.steps + 1, cost, state, violations):
                 return False
         return True
 
-    def _reach(
-        self, parent: int, label: str, steps: int, cost: int, state: State, wrong: Sequence[str]
+    def _register_state(
+        self, parent: int, label: str, steps: int, cost: int, state: State, violations: Sequence[str]
     ) -> bool:
-        """A state was reached; False at a breach."""
+        """Registers a state that was reached. Returns False if it violates an invariant."""
         result = self.result
-        if wrong:
+        if violations:
             result.ended_by = "breach"
-            result.trace = self._trace(parent, label, wrong[0])
+            result.trace = self._trace(parent, label, violations[0])
             return False
         key, age = self.model.key(state), self.model.age(state)
-        known = self.ages.get(key)
-        if known is not None and known <= age:
+        known_age = self.ages.get(key)
+        if known_age is not None and known_age <= age:
             return True
-        if known is None:
+        if known_age is None:
             result.states += 1
         self.ages[key] = age
         result.depth = max(result.depth, steps)
         if age < self.limits.age:
             self.parents.append((parent, label))
-            self.levels[cost].append(_Open(len(self.parents) - 1, steps, state))
+            self.levels[cost].append(_OpenState(len(self.parents) - 1, steps, state))
         return True
 
     def _trace(self, parent: int, label: str, breach: str) -> Trace:
@@ -200,13 +199,13 @@
     progress: Progress = lambda result: None,
     clock: Callable[[], float] = time.monotonic,
 ) -> Result:
-    """Search until a bound, the time or a breach ends it."""
+    """Searches until the bounds are exhausted, the time or state limit is reached, or a breach is found."""
     return _Search(model, limits, progress, clock).run()
 
 
 @dataclass(frozen=True, slots=True)
 class Played:
-    """A history as it was played: what is wrong at its end, and what it tells."""
+    """The result of replaying a history: the violations at its end, and its timeline."""
 
     breaches: list[str]
     steps: int
@@ -219,14 +218,17 @@
     steps: Sequence[str],
     tell: Callable[[State], Iterable[str]] = lambda state: (),
 ) -> Played | None:
-    """Play a history up to its first breach. None if one of its steps can't happen. `tell` gives the lines
-    that stand under a step, from the state after it."""
+    """Replays a history up to its first breach.
+
+    Returns None if one of its steps is not possible. `tell` returns the notes that the timeline shows below a
+    step, given the state after it.
+    """
     states = dict(model.initial())
     if start not in states:
         return None
     state, timeline = states[start], [f"     from: {start}"]
-    if wrong := list(model.breaches(state)):
-        return Played(wrong, 0, [*timeline, *(f"      BROKEN  {text}" for text in wrong)])
+    if violations := list(model.breaches(state)):
+        return Played(violations, 0, [*timeline, *(f"      BROKEN  {text}" for text in violations)])
     for number, label in enumerate(steps, 1):
         action = next((action for action in model.actions(state) if action.label == label), None)
         if action is None:
@@ -234,10 +236,10 @@
         timeline.append(f"{number:4}  {label}")
         try:
             state = model.apply(state, action)
-            wrong = list(model.breaches(state))
+            violations = list(model.breaches(state))
             timeline += [f"           {line}" for line in tell(state)]
         except Exception as error:  # as in the search
-            wrong = [f"crash: {type(error).__name__}: {error}"]
-        if wrong:
-            return Played(wrong, number, [*timeline, *(f"      BROKEN  {text}" for text in wrong)])
+            violations = [f"crash: {type(error).__name__}: {error}"]
+        if violations:
+            return Played(violations, number, [*timeline, *(f"      BROKEN  {text}" for text in violations)])
     return Played([], len(steps), timeline)
--- a/cloverrouter/explore/coordination/world.py
+++ b/cloverrouter/explore/coordination/world.py
@@ -1,4 +1,4 @@
-"""The world of the model as a value: machines with their disks, what is under way, and what was found out."""
+"""The state of the replica model: machines and disks, messages and writes in flight, and observations."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class Delivery(NamedTuple):
-    """A message under way between two machines, by their places."""
+    """A message in flight between two machines, given by their positions in `State.machines`."""
 
     source: int
     target: int
@@ -20,9 +20,9 @@
 
 
 class Write(NamedTuple):
-    """A record under way to a disk."""
+    """A disk write in progress."""
 
-    place: int
+    position: int
     token: int
     record: Record
 
@@ -30,113 +30,137 @@
 Item = Delivery | Write
 
 
-class Held(NamedTuple):
-    """What is late, and since when."""
+class DelayedItem(NamedTuple):
+    """A held-back message or write, and the step since which it is held back."""
 
     item: Item
     since: int
 
 
-class Cut(NamedTuple):
-    """Directed pairs of places between which nothing passes, and until when."""
+class Partition(NamedTuple):
+    """A network partition: directed pairs of machine positions, and the step at which it ends."""
 
-    pairs: frozenset[tuple[int, int]]
+    links: frozenset[tuple[int, int]]
     until: int
     text: str
 
 
 class Machine(NamedTuple):
-    """A machine with a disk."""
+    """A machine with its disk and, while it runs, its process."""
 
-    place: int
-    disks: int  # how many it has lost
+    position: int
+    lost_disks: int  # number of disks that this machine has lost
     disk: StoredReplica
-    core: int | None  # its replica's state; None: its process is not there
-    proposer: int | None  # of the first start
-    back_at: int | None  # when its process starts
-    committed: int  # told in this life
-    held: frozenset[tuple[int, str]]  # orders by their numbers that were ever durable on this disk
-    read: int  # the number that its last answered read told
+    core: int | None  # number of the replica's state in `CoreStates`; None: the process is down
+    proposer: int | None  # state of the genesis proposer; None: it takes no part
+    restart_at: int | None  # step at which the process starts again
+    committed: int  # highest sequence number reported as committed since the process started
+    durable_orders: frozenset[tuple[int, str]]  # orders that were ever durable on this disk
+    last_read: int  # sequence number returned by its last answered read
 
     @property
     def member(self) -> Member:
-        """This machine with this disk."""
+        """The membership entry of this machine with its current disk."""
         return Member(
-            self.disk.identity, ip_of(self.place), NAMES[self.place], ZONES[self.place % len(ZONES)]
+            self.disk.identity, ip_of(self.position), NAMES[self.position], ZONES[self.position % len(ZONES)]
         )
 
 
 class Ticket(NamedTuple):
-    """A call that awaits its answer."""
+    """A client call that awaits its answer."""
 
     number: int
-    place: int
-    order: str  # empty: a read
-    least: int  # was acknowledged when it was asked
+    position: int
+    order: str  # empty for a read
+    min_seq: int  # highest sequence number that was acknowledged when the call was made
 
 
 class State:
-    """A state of the world. Lists are copied by `copy` and never changed once the state was given out."""
+    """A state of the model. `copy` copies the lists; a state that was returned is never modified."""
 
     __slots__ = (
-        "acknowledged", "buried", "cut", "first_voters", "held", "left", "log", "machines", "newest_only",
-        "next_ticket", "orders_from", "queue", "spoken", "start", "step", "tickets", "views", "wrong",
+        "acknowledged",
+        "delayed",
+        "first_voters",
+        "known_orders",
+        "lost_disk_orders",
+        "machines",
+        "newest_only",
+        "next_ticket",
+        "notes",
+        "orders_from_step",
+        "partition",
+        "queue",
+        "remaining_faults",
+        "start_step",
+        "step",
+        "tickets",
+        "views",
+        "violations",
     )  # fmt: skip
 
     def __init__(self) -> None:
         self.step = 0
-        self.start = 0  # the step in which the search begins
+        self.start_step = 0  # the step at which the search starts
         self.machines: list[Machine] = []
-        self.queue: list[Item] = []  # in the order of the prompt schedule
-        self.held: list[Held] = []
-        self.cut: Cut | None = None
-        self.left: dict[str, int] = {}  # how often each kind of trouble may still strike
+        self.queue: list[Item] = []  # in the order of the prompt schedule (see `ReplicaModel`)
+        self.delayed: list[DelayedItem] = []
+        self.partition: Partition | None = None
+        self.remaining_faults: dict[str, int] = {}  # how often each kind of fault may still occur
         self.tickets: list[Ticket] = []
         self.next_ticket = 1
-        self.log: dict[int, str] = {}  # which order each number is, as far as was told
-        self.acknowledged: dict[str, int] = {}  # orders, and the numbers they were confirmed under
-        self.buried: list[frozenset[tuple[int, str]]] = []  # what lost disks held
-        self.views: dict[int, tuple[str, ...]] = {}  # chains of the views in force
+        self.known_orders: dict[int, str] = {}  # order by sequence number, as reported so far
+        self.acknowledged: dict[str, int] = {}  # confirmed orders with their sequence numbers
+        self.lost_disk_orders: list[frozenset[tuple[int, str]]] = []  # orders on disks that were lost
+        self.views: dict[int, tuple[str, ...]] = {}  # chain of each view in force, by epoch
         self.first_voters: frozenset[str] | None = None
-        self.orders_from = 0  # the step before which no order comes
-        self.newest_only = False  # orders go to the newest head only
-        self.wrong: list[str] = []
-        self.spoken: list[str] = []  # what the last step led to, for the timeline
+        self.orders_from_step = 0  # the step before which clients send no orders
+        self.newest_only = False  # clients send orders only to the head of the newest epoch
+        self.violations: list[str] = []
+        self.notes: list[str] = []  # results of the last step, for the timeline
 
     def copy(self) -> State:
-        """The same, to be changed."""
+        """Returns a copy that may be modified, without violations and notes."""
         other = State.__new__(State)
-        other.step, other.start, other.cut = self.step, self.start, self.cut
-        other.machines, other.queue, other.held = self.machines[:], self.queue[:], self.held[:]
-        other.left, other.tickets, other.next_ticket = self.left, self.tickets[:], self.next_ticket
-        other.log, other.acknowledged = self.log, self.acknowledged
-        other.buried, other.views, other.first_voters = self.buried, self.views, self.first_voters
+        other.step, other.start_step, other.partition = self.step, self.start_step, self.partition
+        other.machines, other.queue, other.delayed = self.machines[:], self.queue[:], self.delayed[:]
+        other.remaining_faults, other.tickets, other.next_ticket = (
+            self.remaining_faults,
+            self.tickets[:],
+            self.next_ticket,
+        )
+        other.known_orders, other.acknowledged = self.known_orders, self.acknowledged
+        other.lost_disk_orders, other.views, other.first_voters = (
+            self.lost_disk_orders,
+            self.views,
+            self.first_voters,
+        )
         other.newest_only = self.newest_only
-        other.orders_from, other.wrong, other.spoken = self.orders_from, [], []
+        other.orders_from_step, other.violations, other.notes = self.orders_from_step, [], []
         return other
 
     @property
     def newest_acknowledged(self) -> int:
-        """The highest number that a client knows of."""
+        """The highest sequence number that was confirmed to a client."""
         return max(self.acknowledged.values(), default=0)
 
 
-def ip_of(place: int) -> str:
-    """A machine's address."""
-    return f"10.0.0.{place + 1}"
+def ip_of(position: int) -> str:
+    """Returns the IP address of a machine."""
+    return f"10.0.0.{position + 1}"
 
 
-def place_of(ip: str) -> int:
-    """The machine at an address."""
+def position_of(ip: str) -> int:
+    """Returns the position of the machine with an IP address."""
     return int(ip.rpartition(".")[2]) - 1
 
 
-def identity_of(place: int, disks: int) -> str:
-    """The identity of a machine's disk, when it has lost so many before."""
-    return f"{(disks + 1) * 256 + place + 1:016x}"
+def identity_of(position: int, lost_disks: int) -> str:
+    """Returns the identity of a machine's disk after it has lost the given number of disks."""
+    return f"{(lost_disks + 1) * 256 + position + 1:016x}"
 
 
-def name_of(identity: str) -> str:
-    """A disk in a history: the machine's letter, with a mark for each disk that it has lost."""
+def disk_name(identity: str) -> str:
+    """Returns the name of a disk in a history: the machine's letter, with a prime for each lost disk."""
     number = int(identity, 16)
     return NAMES[number % 256 - 1] + "'" * (number // 256 - 1)
--- a/cloverrouter/explore/coordination/worlds.py
+++ b/cloverrouter/explore/coordination/worlds.py
@@ -1,4 +1,4 @@
-"""Worlds of real cores as models for the search: each offers its moves by name, and is copied before one."""
+"""Base classes that make worlds of shipped cores explorable: a world is copied before each move."""
 
 from __future__ import annotations
 
@@ -9,104 +9,104 @@
 
 import attrs
 
-from cloverrouter.explore.coordination.copies import copied
+from cloverrouter.explore.coordination.copies import deep_copy
 from cloverrouter.explore.coordination.search import Action
 
 
 class World(ABC):
-    """Cores with what is under way between them. `wrong`: what was broken so far."""
+    """Cores and the messages between them. `violations` lists the invariants that were broken so far."""
 
     def __init__(self) -> None:
-        self.wrong: list[str] = []
-        self.told: list[str] = []
-        """What the last move led to, for readers of a history."""
+        self.violations: list[str] = []
+        self.notes: list[str] = []
+        """Results of the last move, for the timeline of a history."""
 
     @abstractmethod
     def moves(self) -> Iterable[Action]:
-        """What may happen now; see `move`."""
+        """Returns the possible moves; see `move`."""
 
     @abstractmethod
     def key(self) -> int:
-        """A digest of all that can make a difference to what comes after."""
+        """Returns a digest of everything that can influence the further behaviour."""
 
     @property
     def time(self) -> int:
-        """How many steps of time have passed, in worlds where that bounds the search."""
+        """The number of time steps that have passed, in worlds where it bounds the search."""
         return 0
 
     def look_ahead(self) -> None:
-        """What has to be true of what comes after."""
+        """Checks properties of the world's future, such as eventual convergence."""
         return
 
-    def must(self, holds: bool, name: str, text: str) -> None:
-        """A property that is broken unless it holds."""
+    def require(self, holds: bool, name: str, text: str) -> None:
+        """Records a violation of the invariant `name` unless `holds` is true."""
         if not holds:
-            self.wrong.append(f"{name}: {text}")
+            self.violations.append(f"{name}: {text}")
 
-    def tell(self, text: str) -> None:
-        """Something that a reader of a history wants to know."""
-        self.told.append(text)
+    def add_note(self, text: str) -> None:
+        """Adds a line to the timeline of a history."""
+        self.notes.append(text)
 
 
 @attrs.frozen(slots=True)
-class Made:
-    """A method of a world, and what it is called with."""
+class MethodCall:
+    """A method of a world with its arguments."""
 
     name: str
     args: tuple[Any, ...]
 
 
 def move(label: str, do: Callable[..., None], *args: Any, cost: int = 0) -> Action:
-    """A move that a method of the world makes."""
-    return Action(label, cost, Made(do.__name__, args))
+    """Returns an action that calls the method `do` of a world; methods are looked up by name on the copy."""
+    return Action(label, cost, MethodCall(do.__name__, args))
 
 
 SomeWorld = TypeVar("SomeWorld", bound=World)
 
 
 class WorldModel(Generic[SomeWorld]):
-    """The model of one or more first worlds."""
+    """A model that starts from one or more initial worlds."""
 
     def __init__(
         self,
-        first: Mapping[str, Callable[[], SomeWorld]],
-        figures: Callable[[SomeWorld], AbstractContextManager[None]] = lambda world: nullcontext(),
+        initial_worlds: Mapping[str, Callable[[], SomeWorld]],
+        patched_limits: Callable[[SomeWorld], AbstractContextManager[None]] = lambda world: nullcontext(),
     ) -> None:
-        """`figures` is entered while a world's cores run: such as are small enough for a small world."""
-        self._first = first
-        self._figures = figures
+        """`patched_limits` is entered while cores run and replaces their limits by smaller ones."""
+        self._initial_worlds = initial_worlds
+        self._patched_limits = patched_limits
 
     def initial(self) -> Iterable[tuple[str, SomeWorld]]:
-        """Each world that a history may begin with."""
-        return [(name, make()) for name, make in self._first.items()]
+        """Returns the initial worlds with their names."""
+        return [(name, make()) for name, make in self._initial_worlds.items()]
 
     def actions(self, state: SomeWorld) -> Sequence[Action]:
-        """The world's moves; none after a breach."""
-        return [] if state.wrong else list(state.moves())
+        """Returns the world's moves; none after a violation."""
+        return [] if state.violations else list(state.moves())
 
     def apply(self, state: SomeWorld, action: Action) -> SomeWorld:
-        """A copy on which the move was made."""
-        after = copied(state)
-        after.told = []
-        assert isinstance(action.event, Made)
-        with self._figures(after):
+        """Returns a copy of the world on which the move was made."""
+        after = deep_copy(state)
+        after.notes = []
+        assert isinstance(action.event, MethodCall)
+        with self._patched_limits(after):
             getattr(after, action.event.name)(*action.event.args)
             after.look_ahead()
         return after
 
     def key(self, state: SomeWorld) -> int:
-        """See `World.key`."""
+        """Returns `World.key`."""
         return state.key()
 
     def age(self, state: SomeWorld) -> int:
-        """See `World.time`."""
+        """Returns `World.time`."""
         return state.time
 
     def breaches(self, state: SomeWorld) -> Sequence[str]:
-        """What was broken so far."""
-        return state.wrong
+        """Returns the violations so far."""
+        return state.violations
 
 
-def told(world: World) -> Iterable[str]:
-    """What the last move led to."""
-    return world.told
+def notes_of(world: World) -> Iterable[str]:
+    """Returns the notes on the last move."""
+    return world.notes
--- a/tests/system/test_found_histories.py
+++ b/tests/system/test_found_histories.py
@@ -1,4 +1,4 @@
-"""Histories that the explorer found, played again on the shipped cores: none may break anything any more."""
+"""Replays histories of fixed bugs that the explorer found: none may violate an invariant any more."""
 
 from __future__ import annotations
 
@@ -17,5 +17,5 @@
 def test_a_history_that_was_found_breaks_nothing(name: str) -> None:
     found = model_trace.read(HISTORIES / f"{name}.json")
     played = play(MODELS[found.scope].model(), found.start, found.steps)
-    # None: it can't happen any more.
+    # None: a step of the history is no longer possible.
     assert played is None or not played.breaches, played.breaches
--- a/tests/test_explore_control.py
+++ b/tests/test_explore_control.py
@@ -1,4 +1,4 @@
-"""The explorer's models of control: the shipped cores are clean, each seeded fault is found and tells why."""
+"""Explorer of the control plane models: shipped cores pass, seeded faults break a listed invariant."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
     orders_scopes,
     registry_scopes,
 )
-from cloverrouter.explore.coordination.copies import Form, copied, digest
+from cloverrouter.explore.coordination.copies import Canonicalizer, deep_copy, digest
 from cloverrouter.explore.coordination.credit_model import CreditScope
 from cloverrouter.explore.coordination.credit_scopes import CreditModel
 from cloverrouter.explore.coordination.distribution_scopes import DistributionModel
@@ -28,7 +28,7 @@
 from cloverrouter.explore.coordination.scope import ModelScope
 from cloverrouter.explore.coordination.search import Limits, Model, Result, play, search
 
-LONG_S = 600.0  # never reached by what is bounded
+LONG_S = 600.0  # bounded searches end before this limit
 SCOPES: dict[str, ModelScope] = {
     **orders_scopes.SCOPES,
     **distribution_scopes.SCOPES,
@@ -39,7 +39,7 @@
 FAULTS = [(scope, fault) for scope, known in SCOPES.items() for fault in known.faults]
 
 
-# Where the slow ones are found; the others are looked for in all worlds of their scopes.
+# The world that reveals a fault, for faults that are slow to find in all worlds of their scope.
 FOUND_IN = {
     "reads-without-contact": "one operator, two proxies, and a read",
     "whole-state-without-orders": "one operator, two proxies, and a read",
@@ -72,7 +72,7 @@
 
 
 def test_a_role_has_one_holder_in_every_ordering() -> None:
-    model = LeaseModel(LeaseScope(candidates=("c1",), most_time=5))
+    model = LeaseModel(LeaseScope(candidates=("c1",), max_steps=5))
     check_whole(search(model, Limits(deviations=1, seconds=LONG_S)), 200)
 
 
@@ -90,12 +90,12 @@
         again = play(known.model(), result.trace.start, result.trace.steps, known.tell)
     assert again is not None and again.breaches[0] == result.trace.breach
     assert result.trace.breach.partition(":")[0] in seeded.shows
-    # The same history breaks nothing in the shipped code, or can't happen there.
+    # In the shipped code the same history is impossible or violates no invariant.
     clean = play(known.model(), result.trace.start, result.trace.steps, known.tell)
     assert clean is None or not clean.breaches
 
 
-def test_faults_and_invariants_are_told() -> None:
+def test_faults_and_invariants_are_described() -> None:
     assert len(FAULTS) >= 8
     for scope, fault in FAULTS:
         seeded = SCOPES[scope].faults[fault]
@@ -103,7 +103,7 @@
         assert set(seeded.shows) <= {*SCOPES[scope].invariants, "crash"}
 
 
-# -- copies and forms --
+# -- copies and canonical forms --
 
 
 @attrs.define
@@ -118,7 +118,7 @@
 def test_a_copy_changes_on_its_own() -> None:
     first = Part(["a"], deque([1], maxlen=2), 1.0)
     first.other = first
-    again = copied(first)
+    again = deep_copy(first)
     assert again.other is again and again.queue.maxlen == 2
     again.names.append("b")
     again.queue.append(2)
@@ -128,12 +128,12 @@
 
 def test_a_copy_shares_what_is_never_changed() -> None:
     wanted = orders_scopes.FIRST
-    assert copied([wanted])[0] is wanted
+    assert deep_copy([wanted])[0] is wanted
 
 
 def test_times_count_from_now() -> None:
-    form = Form(oldest_s=5.0)
+    form = Canonicalizer(max_age_s=5.0)
     one, other = _Subscription(10.0), _Subscription(20.0)
-    assert digest(form.told(one, 12.0)) == digest(form.told(other, 22.0))
-    assert digest(form.told(one, 12.0)) != digest(form.told(other, 23.0))
-    assert form.told(one, 30.0) == form.told(one, 40.0)  # long past
+    assert digest(form.canonical(one, 12.0)) == digest(form.canonical(other, 22.0))
+    assert digest(form.canonical(one, 12.0)) != digest(form.canonical(other, 23.0))
+    assert form.canonical(one, 30.0) == form.canonical(one, 40.0)  # both older than `max_age_s`
