--- a/cloverrouter/explore/coordination/credit_model.py
+++ b/cloverrouter/explore/coordination/credit_model.py
@@ -165,8 +165,8 @@
         note, machine.writing = machine.writing, None
         assert note is not None
         machine.note = encode(note)
-        sure = self._lease_end() if ip == self.head else None
-        self._carry_out(ip, machine.duty.noted(self.now, sure, note))
+        lease_end = self._lease_end() if ip == self.head else None
+        self._carry_out(ip, machine.duty.noted(self.now, lease_end, note))
 
     def note_stored_then_power_loss(self, ip: str) -> None:
         """Completes the write of a note, but the process ends before it is notified."""
@@ -193,7 +193,7 @@
         self.last_epoch_in_force = self.epoch
         self._carry_out(ip, machine.duty.view_changed(self.now, self.epoch, ip, lambda: read.left, ip))
         if self._allocator(ip) is not before:
-            self._check_beginning(ip, unlent_tokens)
+            self._check_start_tokens(ip, unlent_tokens)
         for other, each in self.machines.items():
             if other != ip:
                 self._carry_out(other, each.duty.view_changed(self.now, self.epoch, ip))
@@ -223,24 +223,28 @@
         """Delivers a handover of remaining tokens."""
         ip, message = self.handovers.pop(position)
         allocator = self._allocator(ip)
-        had = self._available_tokens(ip)
+        tokens_before = self._available_tokens(ip)
         if allocator is not None and message.epoch == self.last_epoch_in_force and ip == self.head:
             self.unlent_tokens += message.tokens.get(TENANT, 0)
         self._carry_out(ip, self.machines[ip].duty.receive(self.now, self._lease_end(), PROXY, message))
         self._update_unlent()
-        came = self._available_tokens(ip) - had
-        self.require(came <= message.tokens.get(TENANT, 0) + ROUNDING_TOKENS, "twice", f"{came:.0f} came")
+        received_tokens = self._available_tokens(ip) - tokens_before
+        self.require(
+            received_tokens <= message.tokens.get(TENANT, 0) + ROUNDING_TOKENS,
+            "twice",
+            f"{received_tokens:.0f} tokens were added",
+        )
 
     def deliver_handover_twice(self, position: int) -> None:
         """Delivers a handover and a duplicate of it."""
         ip, message = self.handovers[position]
         self.deliver_handover(position)
-        had = self._available_tokens(ip)
+        tokens_before = self._available_tokens(ip)
         self._carry_out(ip, self.machines[ip].duty.receive(self.now, self._lease_end(), PROXY, message))
         self.require(
-            self._available_tokens(ip) <= had + ROUNDING_TOKENS,
+            self._available_tokens(ip) <= tokens_before + ROUNDING_TOKENS,
             "twice",
-            "a copy of a hand-over was taken, too",
+            "a duplicated handover was taken over again",
         )
 
     def lose_handover(self, position: int) -> None:
@@ -292,7 +296,7 @@
             return
         self.add_note(f"-> {ip} lends {tokens}")
         self.require(ip == self.head and self.now < self._lease_end(), "unsure", f"{ip} lends {tokens}")
-        early = f"{ip} lends {self.earlier_credit_until - self.now:.2f} s before credit of another has ended"
+        early = f"{ip} lends {self.earlier_credit_until - self.now:.2f} s before earlier credit has expired"
         self.require(self.now >= self.earlier_credit_until, "early", early)
         self.own_credit_until = self.now + CREDIT_S
 
@@ -315,17 +319,19 @@
         if self.head is not None and self._allocator(self.head) is not None:
             self.unlent_tokens = self._available_tokens(self.head)
 
-    def _check_beginning(self, ip: str, unlent_tokens: float) -> None:
-        held = self._available_tokens(ip)
-        text = f"{ip} begins with {held:.0f}, and the allocator before has left {unlent_tokens:.0f}"
-        self.add_note(f"-> {ip} begins with {held:.0f}")
-        self.require(held <= unlent_tokens + ROUNDING_TOKENS, "more", text)
+    def _check_start_tokens(self, ip: str, unlent_tokens: float) -> None:
+        available_tokens = self._available_tokens(ip)
+        text = (
+            f"{ip} begins with {available_tokens:.0f}, and its predecessor had not lent {unlent_tokens:.0f}"
+        )
+        self.add_note(f"-> {ip} begins with {available_tokens:.0f}")
+        self.require(available_tokens <= unlent_tokens + ROUNDING_TOKENS, "more", text)
 
     def key(self) -> int:
         machines = [_CANONICALIZER.canonical(machine, self.now) for machine in self.machines.values()]
         handovers = [(ip, message.epoch - self.epoch, message.tokens) for ip, message in self.handovers]
-        sure_for = None if self.confirmed_until is None else round(self.confirmed_until - self.now, 4)
-        rest = (self.head, sure_for, round(self.unlent_tokens, 3), self.asks_made, handovers, self.steps)
+        confirmed_for = None if self.confirmed_until is None else round(self.confirmed_until - self.now, 4)
+        rest = (self.head, confirmed_for, round(self.unlent_tokens, 3), self.asks_made, handovers, self.steps)
         times = [
             round(max(at - self.now, 0.0), 4) for at in (self.earlier_credit_until, self.own_credit_until)
         ]
--- a/cloverrouter/explore/coordination/distribution_model.py
+++ b/cloverrouter/explore/coordination/distribution_model.py
@@ -369,7 +369,7 @@
                 return
             self.deliver(0)
         self.require(
-            False, "storm", f"{MAX_MESSAGES_AT_ONCE} messages, and still more, with no time between them"
+            False, "storm", f"{MAX_MESSAGES_AT_ONCE} messages and still more without the passing of time"
         )
 
     def look_ahead(self) -> None:
@@ -383,11 +383,11 @@
 
     def key(self) -> int:
         machine = self.machine
-        parts = [_CANONICALIZER.canonical(voter, self.now) for voter in self.voters.values()]
-        told = _CANONICALIZER.canonical(
+        voter_forms = [_CANONICALIZER.canonical(voter, self.now) for voter in self.voters.values()]
+        subscriber_form = _CANONICALIZER.canonical(
             (machine.subscriber, machine.sequence, machine.feed.state.version), self.now
         )
-        return digest((self.committed, parts, told, self.network.key()))
+        return digest((self.committed, voter_forms, subscriber_form, self.network.key()))
 
 
 def _describe(message: object) -> str:
--- a/cloverrouter/explore/coordination/effects.py
+++ b/cloverrouter/explore/coordination/effects.py
@@ -91,7 +91,7 @@
     if message.seq > seq or promised > disk.meta.promised or synced > disk.meta.synced:
         text = f"{type(message).__name__} {message_text(message)}"
         state.violations.append(
-            f"told: {disk_name(disk.identity)} says {text!r}, and its disk does not hold it"
+            f"told: {disk_name(disk.identity)} reports {text!r}, which is not on its disk"
         )
 
 
@@ -148,7 +148,7 @@
 def _check_snapshot(state: State, seq: int, snapshot: bytes, who: str) -> None:
     orders = orders_of(snapshot)
     if len(orders) != seq:
-        state.violations.append(f"order: {who} has {len(orders)} orders as the state {seq}")
+        state.violations.append(f"order: {who} has {len(orders)} orders in the state {seq}")
     for number, order in enumerate(orders, 1):
         _record_order(state, number, order, who)
 
@@ -175,19 +175,21 @@
         state.violations.append(f"again: {ticket.order!r} was confirmed as {known}, and now as {number}")
     if number not in state.known_orders:
         state.violations.append(
-            f"lost: {who} confirms {ticket.order!r} as {number}, and nobody has committed it"
+            f"lost: {who} confirms {ticket.order!r} as {number}, which no replica has committed"
         )
     _record_order(state, number, ticket.order, who)
     disks = [machine.durable_orders for machine in state.machines] + state.lost_disk_orders
     holders = sum((number, ticket.order) in durable_orders for durable_orders in disks)
     if holders < TOLERANCE + 1:
-        state.violations.append(f"durable: {ticket.order!r} is confirmed, and on {holders} disks")
+        state.violations.append(f"durable: {ticket.order!r} is confirmed, but only on {holders} disks")
     state.acknowledged = {**state.acknowledged, ticket.order: number}
 
 
 def _check_read(state: State, ticket: Ticket, answer: Answer, who: str) -> None:
     if answer.seq < ticket.min_seq:
-        state.violations.append(f"read: {who} tells {answer.seq}, and {ticket.min_seq} was confirmed before")
+        state.violations.append(
+            f"read: {who} returns {answer.seq}, but {ticket.min_seq} was confirmed before"
+        )
     _check_snapshot(state, answer.seq, answer.reply, who)
     machine = state.machines[ticket.position]
     state.machines[ticket.position] = machine._replace(last_read=answer.seq)
@@ -212,19 +214,19 @@
     for order, number in state.acknowledged.items():
         if facts.newest_orders[number - 1 : number] != (order,) and facts.head_epoch == max(state.views):
             state.violations.append(f"lost: {who} leads without {order!r}, which was confirmed as {number}")
-    check_sure(cores, state)
+    check_certain_heads(cores, state)
 
 
-def check_sure(cores: CoreStates, state: State) -> None:
+def check_certain_heads(cores: CoreStates, state: State) -> None:
     """Checks that at most one head holds a valid lease.
 
     Every replica must have had an event in the current time step, as leases count from its last event.
     """
-    sure = []
+    certain = []
     for machine in state.machines:
         lease_remaining_s = cores.facts(machine.core).lease_remaining_s if machine.core is not None else None
         if lease_remaining_s is not None and lease_remaining_s > 0:
-            sure.append(machine)
-    if len(sure) > 1:
-        names = " and ".join(disk_name(machine.disk.identity) for machine in sure)
-        state.violations.append(f"sure: {names} are both sure to be the only head")
+            certain.append(machine)
+    if len(certain) > 1:
+        names = " and ".join(disk_name(machine.disk.identity) for machine in certain)
+        state.violations.append(f"sure: {names} are both certain to be the only head")
--- a/cloverrouter/explore/coordination/lease_model.py
+++ b/cloverrouter/explore/coordination/lease_model.py
@@ -61,6 +61,8 @@
 
 @attrs.define(slots=True)
 class _Candidate:
+    """A candidate process; `life` counts its restarts."""
+
     core: LeaseHolder
     life: int = 1
 
@@ -101,7 +103,9 @@
     def moves(self) -> Iterable[Action]:
         for name, voter in self.voters.items():
             if voter.writes:
-                yield move(f"{name}'s disk has token {voter.writes[0].token}", self.written, name)
+                yield move(
+                    f"{name}'s disk has token {voter.writes[0].token}", self.complete_token_write, name
+                )
         if self.scope.delays_only:
             yield from (each for each in self.network.moves(self.deliver, self.lose) if not each.cost)
             if self.steps < self.scope.max_steps:
@@ -135,7 +139,7 @@
         """Loses a message."""
         self.network.remove(position)
 
-    def written(self, name: str) -> None:
+    def complete_token_write(self, name: str) -> None:
         """Completes the write of a token to a voter's disk."""
         voter = self.voters[name]
         done = voter.writes.pop(0)
@@ -182,7 +186,7 @@
         for name, candidate in cores:
             life = f"{name}/{candidate.life}"
             free = [voter for voter, each in self.voters.items() if self._is_free(each, life)]
-            text = f"{name} has the role, and {', '.join(free)} would give it to another"
+            text = f"{name} has the role, and {', '.join(free)} would grant it to another"
             self.require(2 * len(free) <= len(self.voters), "free", text)
         for name, candidate in cores[:1]:
             holder = (f"{name}/{candidate.life}", candidate.core.token)
--- a/cloverrouter/explore/coordination/model.py
+++ b/cloverrouter/explore/coordination/model.py
@@ -11,7 +11,7 @@
 from cloverrouter.explore.coordination.canon import Baseline, Template, TemplateCache
 from cloverrouter.explore.coordination.cores import CoreStates
 from cloverrouter.explore.coordination.describe import text_of
-from cloverrouter.explore.coordination.effects import check_sure, play, play_proposer, store
+from cloverrouter.explore.coordination.effects import check_certain_heads, play, play_proposer, store
 from cloverrouter.explore.coordination.search import Action
 from cloverrouter.explore.coordination.troubles import Bounds
 from cloverrouter.explore.coordination.world import Delivery, Item, State, ip_of
@@ -74,8 +74,8 @@
             return
         yield Action("time passes", event=("time",))
         labels: dict[str, int] = {}
-        for position, held in enumerate(state.delayed):
-            label = f"late: {text_of(held.item)}"
+        for position, entry in enumerate(state.delayed):
+            label = f"late: {text_of(entry.item)}"
             count = labels[label] = labels.get(label, 0) + 1
             yield Action(label if count == 1 else f"{label} ({count})", event=("late", position))
 
@@ -128,22 +128,22 @@
         if state.partition is not None and state.partition.until <= state.step:
             state.partition = None
         oldest_step = state.step - self.bounds.max_delay_steps
-        state.delayed = [held for held in state.delayed if held.since > oldest_step]
+        state.delayed = [entry for entry in state.delayed if entry.since > oldest_step]
         self._tick(state)
         for machine in state.machines:
             if machine.restart_at is not None and machine.restart_at <= state.step:
                 troubles.start_process(self.cores, state, machine.position, self.bounds.seeds)
-        check_sure(self.cores, state)
+        check_certain_heads(self.cores, state)
         clients.call(self.cores, state, self.orders[:orders])
 
     def _tick(self, state: State) -> None:
-        pairs = state.partition.links if state.partition is not None else frozenset()
+        cut_links = state.partition.links if state.partition is not None else frozenset()
         running = [machine for machine in state.machines if machine.core is not None]
         for machine in running:
             seen = tuple(
                 other.member
                 for other in running
-                if not {(machine.position, other.position), (other.position, machine.position)} & pairs
+                if not {(machine.position, other.position), (other.position, machine.position)} & cut_links
             )
             play_proposer(self.cores, state, machine.position, ("time", seen), elapsed=1)
             play(self.cores, state, machine.position, ("time", seen), elapsed=1)
@@ -180,7 +180,7 @@
                     for machine in state.machines
                 ),
                 tuple(self._item(item) for item in state.queue),
-                tuple((self._item(held.item), held.since) for held in state.delayed),
+                tuple((self._item(entry.item), entry.since) for entry in state.delayed),
                 tuple(state.tickets),
             )
         )
@@ -203,8 +203,8 @@
             rest.append(
                 (alive, back_in, machine.committed, machine.last_read, sorted(machine.durable_orders))
             )
-        for held in state.delayed:
-            item = held.item
+        for entry in state.delayed:
+            item = entry.item
             where: tuple[int, ...]
             if isinstance(item, Delivery):
                 parts.append(self._template_cache.interned(item.message))
@@ -212,7 +212,7 @@
             else:
                 parts.append(self._template_cache.interned(item.record))
                 where = (item.position,)
-            rest.append((where, state.step - held.since))
+            rest.append((where, state.step - entry.since))
         if state.partition is not None:
             rest.append((sorted(state.partition.links), state.partition.until - state.step))
         steps_left = self.bounds.window_steps - (state.step - state.start_step)
--- a/cloverrouter/explore/coordination/orders_model.py
+++ b/cloverrouter/explore/coordination/orders_model.py
@@ -388,17 +388,25 @@
 
     def _order_answered(self, call: _Call, reply: OrderReply) -> None:
         self.add_note(f"-> {call.name} is answered {reply.status} {reply.body.decode()}")
-        taken = self._names_committed()
+        committed_names = self._names_committed()
         if reply.status == OrderStatus.OK:
-            self.require(call.name in taken, "lost", f"{call.name} was confirmed and is not in force")
+            self.require(
+                call.name in committed_names, "lost", f"{call.name} was confirmed and is not in force"
+            )
             version = self._version(call.name)
-            told = json.loads(reply.body).get("version")
-            self.require(told == version, "mixed", f"{call.name} was confirmed as {told}, and is {version}")
+            reported_version = json.loads(reply.body).get("version")
+            self.require(
+                reported_version == version,
+                "mixed",
+                f"{call.name} was confirmed as {reported_version}, and is {version}",
+            )
             self.newest_confirmed = max(self.newest_confirmed, version)
             if call.awaits_answer:
                 self.operators[call.name].confirmed = True
         elif reply.status < OrderStatus.SERVICE_UNAVAILABLE:
-            self.require(call.name not in taken, "refused", f"{call.name} is in force and was refused")
+            self.require(
+                call.name not in committed_names, "refused", f"{call.name} is in force and was refused"
+            )
             self.refused.add(call.name)
 
     def _read_answered(self, call: _Call, reply: bytes) -> None:
@@ -441,8 +449,10 @@
         if not message.done:
             return f"'not now' to call {message.ticket}"
         reply = next(iter(Decoder().feed(message.reply)))
-        told = reply.body.decode() if isinstance(reply, OrderReply) else f"state {short_hash(message.reply)}"
-        return f"the answer to call {message.ticket} ({told})"
+        content = (
+            reply.body.decode() if isinstance(reply, OrderReply) else f"state {short_hash(message.reply)}"
+        )
+        return f"the answer to call {message.ticket} ({content})"
 
     def _order_name(self, call: HeadCall) -> str:
         names = (name for name, each in self.wanted.items() if encode(each.order) == call.command)
@@ -491,9 +501,11 @@
         for update in updates:
             change, before = decode_update(update), self._newest_version()
             self.require(
-                change.base == before, "race", f"a change of version {change.base} came after {before}"
+                change.base == before, "race", f"a change of version {change.base} follows version {before}"
+            )
+            self.require(
+                change.version > before, "race", f"version {change.version} follows version {before}"
             )
-            self.require(change.version > before, "race", f"version {change.version} came after {before}")
             self.committed.append(update)
             name = self._name_of(update)
             self.require(name not in self.refused, "refused", f"{name} was refused, and is in force now")
--- a/cloverrouter/explore/coordination/registry_model.py
+++ b/cloverrouter/explore/coordination/registry_model.py
@@ -226,7 +226,7 @@
             if not self.network.envelopes:
                 return
             self.deliver(0)
-        self.require(False, "storm", "messages without end")
+        self.require(False, "storm", "the exchange of messages does not end")
 
     def key(self) -> int:
         machines = [_CANONICALIZER.canonical(machine, self.now) for machine in self.machines.values()]
--- a/cloverrouter/explore/coordination/troubles.py
+++ b/cloverrouter/explore/coordination/troubles.py
@@ -144,9 +144,9 @@
         item for item in state.queue if not (isinstance(item, Write) and item.position == position)
     ]
     state.delayed = [
-        held
-        for held in state.delayed
-        if not (isinstance(held.item, Write) and held.item.position == position)
+        entry
+        for entry in state.delayed
+        if not (isinstance(entry.item, Write) and entry.item.position == position)
     ]
     state.tickets = [ticket for ticket in state.tickets if ticket.position != position]
 
