--- a/cloverrouter/explore/coordination/search.py
+++ b/cloverrouter/explore/coordination/search.py
@@ -220,8 +220,8 @@
 ) -> Played | None:
     """Replays a history up to its first breach.
 
-    Returns None if one of its steps is not possible. `tell` returns the notes that the timeline shows below a
-    step, given the state after it.
+    Returns None if one of its steps is not possible. `tell` returns the notes on a step, given the
+    state after it; the timeline shows them below the step.
     """
     states = dict(model.initial())
     if start not in states:
--- a/tests/system/test_explore_coordination.py
+++ b/tests/system/test_explore_coordination.py
@@ -149,8 +149,8 @@
 def test_relative_numbers_one_apart_have_different_keys() -> None:
     """-1 and -2 have the same hash in Python, so no relative number may be negative."""
     cores = CoreStates()
-    canon = TemplateCache(cores)
+    cache = TemplateCache(cores)
     beats = [Heartbeat("a", "b", 5 << 16, number, True, 0, 0, False) for number in (7, 8, 9)]
-    templates = [canon.interned(beat) for beat in beats]
+    templates = [cache.interned(beat) for beat in beats]
     base = Baseline(templates, lambda ticket: None)
     assert len({hash(base.resolve(one)) for one in templates}) == len(beats)
