--- a/cloverrouter/cli/explore_models.py
+++ b/cloverrouter/cli/explore_models.py
@@ -109,7 +109,7 @@
     """Tell a history. Gives whether it breaks something; None if it can't happen."""
     scope = MODELS[found.scope]
     with _seeded(found.fault):
-        played = play(scope.model(), found.start, found.steps, scope.tell)
+        played = play(scope.model(), found.start, found.steps, scope.step_notes)
     if played is None:
         return None
     usage.say(f"scope {found.scope}" + (f", with the fault {found.fault}" if found.fault else ""))
--- a/cloverrouter/explore/coordination/canon.py
+++ b/cloverrouter/explore/coordination/canon.py
@@ -25,7 +25,7 @@
 from cloverrouter.coordination.rounds import HeartbeatRounds
 from cloverrouter.coordination.views import GENESIS_EPOCH, PROPOSER_BITS, decode_view
 from cloverrouter.explore.coordination.cores import IMMUTABLE_TYPES, MIN_TIME_S, CoreStates
-from cloverrouter.explore.coordination.figures import LONG_AGO_S
+from cloverrouter.explore.coordination.timing import LONG_AGO_S
 from cloverrouter.store import Meta
 from cloverrouter.store.records import Ballot
 
--- a/cloverrouter/explore/coordination/clients.py
+++ b/cloverrouter/explore/coordination/clients.py
@@ -6,7 +6,7 @@
 
 from cloverrouter.explore.coordination.cores import CoreStates
 from cloverrouter.explore.coordination.effects import play
-from cloverrouter.explore.coordination.world import Machine, State, Ticket
+from cloverrouter.explore.coordination.replica_state import Machine, State, Ticket
 
 
 def call(cores: CoreStates, state: State, orders: Sequence[str]) -> None:
--- a/cloverrouter/explore/coordination/cores.py
+++ b/cloverrouter/explore/coordination/cores.py
@@ -20,8 +20,8 @@
 from cloverrouter.coordination.genesis import GenesisConfig, GenesisProposer
 from cloverrouter.coordination.replica import Replica
 from cloverrouter.coordination.views import Member, View
-from cloverrouter.explore.coordination.figures import GENESIS, LONG_AGO_S, REPLICA, MinimumRandom, seconds
-from cloverrouter.explore.coordination.register import OrderLog, orders_of
+from cloverrouter.explore.coordination.order_log import OrderLog, orders_of
+from cloverrouter.explore.coordination.timing import GENESIS, LONG_AGO_S, REPLICA, MinimumRandom, seconds
 from cloverrouter.store import Meta, Record, Snapshot, StoredReplica, Update
 
 MAX_CACHED_STEPS = 1_000_000  # when the cache is full it is cleared, and events run again
--- a/cloverrouter/explore/coordination/credit_model.py
+++ b/cloverrouter/explore/coordination/credit_model.py
@@ -16,7 +16,7 @@
 from cloverrouter.control.quota_note import KeepNote, QuotaNote, read_note
 from cloverrouter.explore.coordination.copies import Canonicalizer, digest
 from cloverrouter.explore.coordination.search import Action
-from cloverrouter.explore.coordination.worlds import World, move
+from cloverrouter.explore.coordination.world_model import World, move
 from cloverrouter.messages import encode
 from cloverrouter.messages.sending import Send
 from cloverrouter.placement.quota_messages import QuotaAsk, QuotaCredit, QuotaHandover
--- a/cloverrouter/explore/coordination/credit_scopes.py
+++ b/cloverrouter/explore/coordination/credit_scopes.py
@@ -17,7 +17,7 @@
 from cloverrouter.explore.coordination.credit_model import INVARIANTS, CreditScope, CreditWorld
 from cloverrouter.explore.coordination.scope import ModelFault, ModelScope
 from cloverrouter.explore.coordination.search import Limits
-from cloverrouter.explore.coordination.worlds import WorldModel, notes_of
+from cloverrouter.explore.coordination.world_model import WorldModel, notes_of
 from cloverrouter.placement.quota_messages import QuotaHandover
 
 SCOPE = "credit"
--- a/cloverrouter/explore/coordination/describe.py
+++ b/cloverrouter/explore/coordination/describe.py
@@ -25,7 +25,7 @@
     Support,
 )
 from cloverrouter.coordination.views import GENESIS_EPOCH, View
-from cloverrouter.explore.coordination.world import NAMES, Delivery, Item, disk_name
+from cloverrouter.explore.coordination.replica_state import NAMES, Delivery, Item, disk_name
 from cloverrouter.store import Record
 
 
--- a/cloverrouter/explore/coordination/troubles.py
+++ b/cloverrouter/explore/coordination/deviations.py
@@ -10,9 +10,7 @@
 from cloverrouter.explore.coordination.cores import CoreStates, new_proposer, new_replica
 from cloverrouter.explore.coordination.describe import text_of
 from cloverrouter.explore.coordination.effects import play, play_proposer, store
-from cloverrouter.explore.coordination.figures import seconds
-from cloverrouter.explore.coordination.search import Action
-from cloverrouter.explore.coordination.world import (
+from cloverrouter.explore.coordination.replica_state import (
     NAMES,
     DelayedItem,
     Delivery,
@@ -22,9 +20,11 @@
     disk_name,
     ip_of,
 )
-from cloverrouter.explore.coordination.world import (
+from cloverrouter.explore.coordination.replica_state import (
     identity_of as identity_of,
 )
+from cloverrouter.explore.coordination.search import Action
+from cloverrouter.explore.coordination.timing import seconds
 from cloverrouter.store import StoredReplica
 
 CRASH, WIPE, CUT, HOLD, TWICE = "crash", "wipe", "cut", "hold", "twice"
--- a/cloverrouter/explore/coordination/disk.py
+++ b/cloverrouter/explore/coordination/disk.py
@@ -6,7 +6,7 @@
 
 import attrs
 
-from cloverrouter.explore.coordination.register import orders_of
+from cloverrouter.explore.coordination.order_log import orders_of
 from cloverrouter.store import Record, StoredReplica
 
 
--- a/cloverrouter/explore/coordination/distribution_model.py
+++ b/cloverrouter/explore/coordination/distribution_model.py
@@ -38,7 +38,7 @@
 from cloverrouter.explore.coordination.copies import Canonicalizer, Immutable, deep_copy, digest
 from cloverrouter.explore.coordination.network import Network
 from cloverrouter.explore.coordination.search import Action
-from cloverrouter.explore.coordination.worlds import World, move
+from cloverrouter.explore.coordination.world_model import World, move
 from cloverrouter.messages import encode
 from cloverrouter.messages.sending import Send
 
--- a/cloverrouter/explore/coordination/distribution_scopes.py
+++ b/cloverrouter/explore/coordination/distribution_scopes.py
@@ -23,7 +23,7 @@
 )
 from cloverrouter.explore.coordination.scope import ModelFault, ModelScope
 from cloverrouter.explore.coordination.search import Limits
-from cloverrouter.explore.coordination.worlds import WorldModel, notes_of
+from cloverrouter.explore.coordination.world_model import WorldModel, notes_of
 
 SCOPE = "distribution"
 LATE = "distribution-late"
--- a/cloverrouter/explore/coordination/effects.py
+++ b/cloverrouter/explore/coordination/effects.py
@@ -17,9 +17,16 @@
 from cloverrouter.explore.coordination.cores import CoreStates, Event
 from cloverrouter.explore.coordination.describe import epoch_name, message_text
 from cloverrouter.explore.coordination.disk import apply_record, orders_on
-from cloverrouter.explore.coordination.figures import TOLERANCE
-from cloverrouter.explore.coordination.register import orders_of
-from cloverrouter.explore.coordination.world import Delivery, State, Ticket, Write, disk_name, position_of
+from cloverrouter.explore.coordination.order_log import orders_of
+from cloverrouter.explore.coordination.replica_state import (
+    Delivery,
+    State,
+    Ticket,
+    Write,
+    disk_name,
+    position_of,
+)
+from cloverrouter.explore.coordination.timing import TOLERANCE
 from cloverrouter.messages.sending import Send
 from cloverrouter.store import Record
 
--- a/cloverrouter/explore/coordination/faults.py
+++ b/cloverrouter/explore/coordination/faults.py
@@ -23,7 +23,7 @@
 from cloverrouter.coordination.proposal import Phase, Proposal
 from cloverrouter.coordination.rounds import HeartbeatRounds
 from cloverrouter.coordination.views import Member, View
-from cloverrouter.explore.coordination import troubles
+from cloverrouter.explore.coordination import deviations
 from cloverrouter.explore.coordination.scope import ModelFault
 
 FAULTS: dict[str, ModelFault] = {}
@@ -120,12 +120,12 @@
 @_fault("coordination-loss", "order", "lost", "back")
 def identity_kept_by_an_empty_disk() -> Iterator[None]:
     """A replaced, empty disk keeps the identity of the lost one."""
-    original = troubles.identity_of
+    original = deviations.identity_of
 
     def same(position: int, disks: int) -> str:
         return original(position, 0)
 
-    with patch.object(troubles, "identity_of", same):
+    with patch.object(deviations, "identity_of", same):
         yield
 
 
--- a/cloverrouter/explore/coordination/lease_model.py
+++ b/cloverrouter/explore/coordination/lease_model.py
@@ -16,7 +16,7 @@
 from cloverrouter.explore.coordination.copies import Canonicalizer, Immutable, digest
 from cloverrouter.explore.coordination.network import Network
 from cloverrouter.explore.coordination.search import Action
-from cloverrouter.explore.coordination.worlds import World, move
+from cloverrouter.explore.coordination.world_model import World, move
 from cloverrouter.messages.sending import Send
 
 INVARIANTS = {
--- a/cloverrouter/explore/coordination/lease_scopes.py
+++ b/cloverrouter/explore/coordination/lease_scopes.py
@@ -13,7 +13,7 @@
 from cloverrouter.explore.coordination.lease_model import INVARIANTS, LeaseScope, LeaseWorld
 from cloverrouter.explore.coordination.scope import ModelFault, ModelScope
 from cloverrouter.explore.coordination.search import Limits
-from cloverrouter.explore.coordination.worlds import WorldModel, notes_of
+from cloverrouter.explore.coordination.world_model import WorldModel, notes_of
 
 SCOPE = "lease"
 TOKENS = "lease-tokens"
--- a/cloverrouter/explore/coordination/model.py
+++ b/cloverrouter/explore/coordination/model.py
@@ -7,14 +7,14 @@
 from typing import Any
 
 from cloverrouter.coordination.messages import GENESIS_MESSAGES
-from cloverrouter.explore.coordination import clients, troubles
+from cloverrouter.explore.coordination import clients, deviations
 from cloverrouter.explore.coordination.canon import Baseline, Template, TemplateCache
 from cloverrouter.explore.coordination.cores import CoreStates
 from cloverrouter.explore.coordination.describe import text_of
+from cloverrouter.explore.coordination.deviations import Bounds
 from cloverrouter.explore.coordination.effects import check_certain_heads, play, play_proposer, store
+from cloverrouter.explore.coordination.replica_state import Delivery, Item, State, ip_of
 from cloverrouter.explore.coordination.search import Action
-from cloverrouter.explore.coordination.troubles import Bounds
-from cloverrouter.explore.coordination.world import Delivery, Item, State, ip_of
 
 
 @dataclass(frozen=True, slots=True)
@@ -65,7 +65,7 @@
         """Returns the possible actions, those of the prompt schedule first."""
         found = list(self._prompt(state))
         if state.step - state.start_step < self.bounds.window_steps:
-            found += troubles.actions(state, self.bounds)
+            found += deviations.actions(state, self.bounds)
         return found
 
     def _prompt(self, state: State) -> Iterator[Action]:
@@ -90,7 +90,7 @@
         elif event[0] == "late":
             self.take(after, after.delayed.pop(event[1]).item)
         else:
-            troubles.apply_deviation(after, event)
+            deviations.apply_deviation(after, event)
         return after
 
     def age(self, state: State) -> int:
@@ -132,7 +132,7 @@
         self._tick(state)
         for machine in state.machines:
             if machine.restart_at is not None and machine.restart_at <= state.step:
-                troubles.start_process(self.cores, state, machine.position, self.bounds.seeds)
+                deviations.start_process(self.cores, state, machine.position, self.bounds.seeds)
         check_certain_heads(self.cores, state)
         clients.call(self.cores, state, self.orders[:orders])
 
--- a/cloverrouter/explore/coordination/network.py
+++ b/cloverrouter/explore/coordination/network.py
@@ -7,7 +7,7 @@
 import attrs
 
 from cloverrouter.explore.coordination.search import Action
-from cloverrouter.explore.coordination.worlds import move
+from cloverrouter.explore.coordination.world_model import move
 
 
 @attrs.frozen(slots=True, eq=False)
--- a/cloverrouter/explore/coordination/orders_model.py
+++ b/cloverrouter/explore/coordination/orders_model.py
@@ -50,7 +50,7 @@
 from cloverrouter.explore.coordination.copies import Canonicalizer, Immutable, digest
 from cloverrouter.explore.coordination.network import Network
 from cloverrouter.explore.coordination.search import Action
-from cloverrouter.explore.coordination.worlds import World, move
+from cloverrouter.explore.coordination.world_model import World, move
 from cloverrouter.messages import Decoder, encode
 
 INVARIANTS = {
--- a/cloverrouter/explore/coordination/orders_scopes.py
+++ b/cloverrouter/explore/coordination/orders_scopes.py
@@ -24,7 +24,7 @@
 )
 from cloverrouter.explore.coordination.scope import ModelFault, ModelScope
 from cloverrouter.explore.coordination.search import Limits
-from cloverrouter.explore.coordination.worlds import WorldModel, notes_of
+from cloverrouter.explore.coordination.world_model import WorldModel, notes_of
 from cloverrouter.messages import encode
 
 SCOPE = "orders"
--- a/cloverrouter/explore/coordination/registry_model.py
+++ b/cloverrouter/explore/coordination/registry_model.py
@@ -28,7 +28,7 @@
 from cloverrouter.explore.coordination.copies import Canonicalizer, deep_copy, digest
 from cloverrouter.explore.coordination.network import Network
 from cloverrouter.explore.coordination.search import Action
-from cloverrouter.explore.coordination.worlds import World, move
+from cloverrouter.explore.coordination.world_model import World, move
 from cloverrouter.messages.sending import Send
 
 INVARIANTS = {
@@ -51,7 +51,7 @@
     """The states that the server reports, in order; each call carries its sequence number."""
 
     states: tuple[InstanceState, ...] = (InstanceState.READY, InstanceState.DRAINING, InstanceState.GONE)
-    most_time: int = 1
+    max_steps: int = 1
 
 
 @attrs.define
@@ -108,7 +108,7 @@
             yield move(f"{name} is killed and starts again", self.restart, name, cost=1)
         if self.calls_made < len(self.calls.states):
             yield move(f"the server's call {self.calls_made + 1} is on its way", self.delay_call, cost=1)
-        if self.steps < self.calls.most_time:
+        if self.steps < self.calls.max_steps:
             yield move(f"{STEP_S:g} s pass", self.wait, cost=1 if self.network.envelopes else 0)
 
     def _state(self, number: int) -> InstanceState:
--- a/cloverrouter/explore/coordination/registry_scopes.py
+++ b/cloverrouter/explore/coordination/registry_scopes.py
@@ -15,7 +15,7 @@
 from cloverrouter.explore.coordination.registry_model import INVARIANTS, Calls, RegistryWorld
 from cloverrouter.explore.coordination.scope import ModelFault, ModelScope
 from cloverrouter.explore.coordination.search import Limits
-from cloverrouter.explore.coordination.worlds import WorldModel, notes_of
+from cloverrouter.explore.coordination.world_model import WorldModel, notes_of
 
 SCOPE = "registrations"
 DRAINING = "registrations-draining"
@@ -68,12 +68,12 @@
 SCOPES = {
     SCOPE: ModelScope(
         "a server that is ready, then gone: calls at any machine, restarts, lost and delayed messages",
-        lambda: RegistryModel(Calls((InstanceState.READY, InstanceState.GONE), most_time=0)),
+        lambda: RegistryModel(Calls((InstanceState.READY, InstanceState.GONE), max_steps=0)),
         Limits(deviations=1, seconds=300.0), FAULTS, notes_of, INVARIANTS,
     ),
     DRAINING: ModelScope(
         "a server that is ready, then draining, then gone",
-        lambda: RegistryModel(Calls(most_time=0)), Limits(deviations=1, seconds=600.0),
+        lambda: RegistryModel(Calls(max_steps=0)), Limits(deviations=1, seconds=600.0),
         {}, notes_of, INVARIANTS,
     ),
     LARGE: ModelScope(
--- a/cloverrouter/explore/coordination/scope.py
+++ b/cloverrouter/explore/coordination/scope.py
@@ -28,5 +28,5 @@
     model: Callable[[], Model[Any]]
     limits: Limits
     faults: Mapping[str, ModelFault] = field(default_factory=dict)
-    tell: Callable[[Any], Iterable[str]] = lambda state: ()  # notes printed below a step of a history
+    step_notes: Callable[[Any], Iterable[str]] = lambda state: ()  # notes printed below a step of a history
     invariants: Mapping[str, str] = field(default_factory=dict)  # descriptions by name
--- a/cloverrouter/explore/coordination/scopes.py
+++ b/cloverrouter/explore/coordination/scopes.py
@@ -4,14 +4,14 @@
 
 from collections.abc import Iterable
 
+from cloverrouter.explore.coordination.deviations import CRASH, CUT, Bounds
 from cloverrouter.explore.coordination.effects import INVARIANTS
 from cloverrouter.explore.coordination.faults import FAULTS
 from cloverrouter.explore.coordination.model import ReplicaModel
+from cloverrouter.explore.coordination.replica_state import State
 from cloverrouter.explore.coordination.scope import ModelScope
 from cloverrouter.explore.coordination.search import Limits
 from cloverrouter.explore.coordination.situations import named
-from cloverrouter.explore.coordination.troubles import CRASH, CUT, Bounds
-from cloverrouter.explore.coordination.world import State
 
 ORDERS = ("x", "y", "z")  # the first is confirmed in most situations; the other two are concurrent
 
--- a/cloverrouter/explore/coordination/search.py
+++ b/cloverrouter/explore/coordination/search.py
@@ -216,11 +216,11 @@
     model: Model[State],
     start: str,
     steps: Sequence[str],
-    tell: Callable[[State], Iterable[str]] = lambda state: (),
+    step_notes: Callable[[State], Iterable[str]] = lambda state: (),
 ) -> Played | None:
     """Replays a history up to its first breach.
 
-    Returns None if one of its steps is not possible. `tell` returns the notes on a step, given the
+    Returns None if one of its steps is not possible. `step_notes` returns the notes on a step, given the
     state after it; the timeline shows them below the step.
     """
     states = dict(model.initial())
@@ -237,7 +237,7 @@
         try:
             state = model.apply(state, action)
             violations = list(model.breaches(state))
-            timeline += [f"           {line}" for line in tell(state)]
+            timeline += [f"           {line}" for line in step_notes(state)]
         except Exception as error:  # as in the search
             violations = [f"crash: {type(error).__name__}: {error}"]
         if violations:
--- a/cloverrouter/explore/coordination/situations.py
+++ b/cloverrouter/explore/coordination/situations.py
@@ -9,10 +9,10 @@
 
 from cloverrouter.coordination.messages import Forward, Install
 from cloverrouter.coordination.views import GENESIS_EPOCH, View, encode_view
-from cloverrouter.explore.coordination import troubles
-from cloverrouter.explore.coordination.figures import FIRST_STEP
+from cloverrouter.explore.coordination import deviations
 from cloverrouter.explore.coordination.model import InvariantBrokenError, ReplicaModel, Situation
-from cloverrouter.explore.coordination.world import Delivery, Machine, State, identity_of
+from cloverrouter.explore.coordination.replica_state import Delivery, Machine, State, identity_of
+from cloverrouter.explore.coordination.timing import FIRST_STEP
 from cloverrouter.store import Meta, StoredReplica
 
 VOTERS = 3
@@ -81,7 +81,7 @@
     One order is confirmed, and the tail still has its disk.
     """
     state = one_confirmed(model)
-    troubles.end_process(state, 2, None)
+    deviations.end_process(state, 2, None)
     _run(model, state, lambda: _is_handover_next(state))
     state.machines[2] = state.machines[2]._replace(restart_at=state.step + 1)
     return state
@@ -94,7 +94,7 @@
     """
     state = one_confirmed(model)
     state.machines[VOTERS] = state.machines[VOTERS]._replace(core=None)  # no spare
-    troubles.end_process(state, 2, None)
+    deviations.end_process(state, 2, None)
     _run(model, state, lambda: _chain_length(model, state) == 2 and not state.queue)
     state.machines[2] = state.machines[2]._replace(restart_at=state.step + 6)
     return state
@@ -149,8 +149,8 @@
 
 
 def _lose_disk(state: State, position: int) -> None:
-    troubles.end_process(state, position, None)
-    troubles.lose_disk(state, position)
+    deviations.end_process(state, position, None)
+    deviations.lose_disk(state, position)
 
 
 def _is_handover_next(state: State) -> bool:
--- a/tests/system/test_explore_coordination.py
+++ b/tests/system/test_explore_coordination.py
@@ -12,13 +12,13 @@
 from cloverrouter.explore import model_trace
 from cloverrouter.explore.coordination.canon import Baseline, TemplateCache
 from cloverrouter.explore.coordination.cores import CoreStates
+from cloverrouter.explore.coordination.deviations import Bounds
 from cloverrouter.explore.coordination.effects import INVARIANTS
 from cloverrouter.explore.coordination.faults import FAULTS
 from cloverrouter.explore.coordination.model import ReplicaModel
 from cloverrouter.explore.coordination.scopes import SCOPES
 from cloverrouter.explore.coordination.search import Action, Limits, Result, play, search
 from cloverrouter.explore.coordination.situations import SITUATIONS, named
-from cloverrouter.explore.coordination.troubles import Bounds
 from cloverrouter.explore.model_trace import FORM, SavedTrace
 from cloverrouter.explore.models import MODELS
 from tests import command_line
--- a/tests/system/test_registry_orderings.py
+++ b/tests/system/test_registry_orderings.py
@@ -10,10 +10,10 @@
 from cloverrouter.control.instances import Instance, InstanceState, merge
 from cloverrouter.explore.coordination.registry_model import Calls, RegistryWorld
 from cloverrouter.explore.coordination.search import Limits, Result, search
-from cloverrouter.explore.coordination.worlds import WorldModel
+from cloverrouter.explore.coordination.world_model import WorldModel
 
 LONG_S = 600.0  # the bounds below end the search before this
-READY_AND_GONE = Calls((InstanceState.READY, InstanceState.GONE), most_time=0)
+READY_AND_GONE = Calls((InstanceState.READY, InstanceState.GONE), max_steps=0)
 
 
 def explored(deviations: int, states: int = 1_000_000) -> Result:
--- a/tests/test_explore_control.py
+++ b/tests/test_explore_control.py
@@ -87,11 +87,11 @@
     with seeded.seeded():
         result = search(model_for(scope, fault), Limits(known.limits.deviations, seconds=LONG_S))
         assert result.trace is not None
-        again = play(known.model(), result.trace.start, result.trace.steps, known.tell)
+        again = play(known.model(), result.trace.start, result.trace.steps, known.step_notes)
     assert again is not None and again.breaches[0] == result.trace.breach
     assert result.trace.breach.partition(":")[0] in seeded.shows
     # In the shipped code the same history is impossible or violates no invariant.
-    clean = play(known.model(), result.trace.start, result.trace.steps, known.tell)
+    clean = play(known.model(), result.trace.start, result.trace.steps, known.step_notes)
     assert clean is None or not clean.breaches
 
 
