--- a/cloverrouter/cli/__init__.py
+++ b/cloverrouter/cli/__init__.py
@@ -1,1 +1,1 @@
-"""The command line: `python -m cloverrouter`, or `cypresswinch` where the package is installed."""
+"""Command-line interface: `python -m cloverrouter`, or `cypresswinch` where the package is installed."""
--- a/cloverrouter/cli/config.py
+++ b/cloverrouter/cli/config.py
@@ -1,4 +1,4 @@
-"""`config`: the configuration in force, how a file differs from it, and bringing a file into force."""
+"""The `config` commands: show the current configuration, compare a file with it, apply a file."""
 
 from __future__ import annotations
 
@@ -15,88 +15,93 @@
 from cloverrouter.cli.tables import text_of
 
 PATH = "/-/configuration"
-TRIES = 4
-PAUSE_S = 0.5
-CHANGE_SECTIONS = ("upsert", "delete")
+MAX_ATTEMPTS = 4
+BACKOFF_STEP_S = 0.5  # the n-th retry waits n times this
+CHANGE_SECTIONS = ("upsert", "delete")  # a file with either is a patch, not a whole configuration
 
 config = App(
     name="config",
-    help="The configuration in force: show it, compare a file with it, bring a file into force.",
+    help="Show the current configuration, compare a file with it, apply a file.",
 )
 
 
 def _read_file(path: Path) -> dict[str, Any]:
     try:
-        told = json.loads(path.read_text())
+        document = json.loads(path.read_text())
     except OSError as error:
         raise usage.UsageError(f"{path}: {error.strerror}") from error
     except ValueError as error:
-        raise usage.UsageError(f"{path}: no JSON: {error}") from error
-    if not isinstance(told, dict):
-        raise usage.UsageError(f"{path}: found {type(told).__name__}, allowed is an object")
-    return told
+        raise usage.UsageError(f"{path}: not valid JSON: {error}") from error
+    if not isinstance(document, dict):
+        raise usage.UsageError(f"{path}: found {type(document).__name__}, allowed is an object")
+    return document
 
 
-def _current(node: str) -> dict[str, Any]:
-    """What is in force; version 0 and nothing else before the first."""
+def _current_configuration(node: str) -> dict[str, Any]:
+    """Returns the current configuration, or only version 0 if none has been applied yet."""
     reply = node_calls.call(node, "GET", PATH)
     if reply.status == 404:
         return {"version": 0}
     if reply.status != 200 or not isinstance(reply.body, dict):
-        raise usage.CommandFailed(f"{node}: {node_calls.refusal(reply)}")
+        raise usage.CommandFailed(f"{node}: {node_calls.error_text(reply)}")
     return reply.body
 
 
 @config.command
 def show(*, node: Node, as_json: Json = False) -> None:
-    """The newest configuration.
+    """Show the current configuration.
 
     Parameters
     ----------
     node
         HOST:PORT of any node's control-plane address.
     as_json
-        As it would be brought.
+        Print it as JSON, in the form that `apply` reads.
     """
-    told = node_calls.read(node, PATH)
-    usage.say(json.dumps(told, indent=1) if as_json else text_of(told))
+    configuration = node_calls.read(node, PATH)
+    usage.print_line(json.dumps(configuration, indent=1) if as_json else text_of(configuration))
 
 
 @config.command
 def diff(file: Path, /, *, node: Node) -> None:
-    """What a file would change. Exits 0 if nothing, 1 if something.
+    """Show what a file would change. Exits 0 if nothing, 1 if something.
 
     Parameters
     ----------
     file
-        A whole configuration in JSON.
+        A complete configuration in JSON.
     node
         HOST:PORT of any node's control-plane address.
     """
-    lines = list(differences(_current(node), _read_file(file)))
+    lines = list(differences(_current_configuration(node), _read_file(file)))
     for line in lines:
-        usage.say(line)
+        usage.print_line(line)
     if any(not line.startswith("version") for line in lines):
-        raise SystemExit(usage.FOUND)
+        raise SystemExit(usage.EXIT_FINDINGS)
 
 
 def differences(old: dict[str, Any], new: dict[str, Any]) -> Iterator[str]:
-    """One line for each item added (+), removed (-) or changed (~), told by its name if it has one."""
+    """Yields a line per difference: + added, - removed, ~ changed item of a section with named items, or the
+    whole value of any other section."""
     for section in dict.fromkeys((*old, *new)):
-        one, other = old.get(section), new.get(section)
-        if one == other:
+        old_items, new_items = old.get(section), new.get(section)
+        if old_items == new_items:
             continue
-        if not (_is_named(one) and _is_named(other)):
-            yield f"{section}: {json.dumps(one)} -> {json.dumps(other)}"
+        if not (_is_named(old_items) and _is_named(new_items)):
+            yield f"{section}: {json.dumps(old_items)} -> {json.dumps(new_items)}"
             continue
-        before = {item["name"]: item for item in one or ()}
-        after = {item["name"]: item for item in other or ()}
-        yield from (f"- {section} {name}" for name in before if name not in after)
-        yield from (f"+ {section} {name}: {json.dumps(after[name])}" for name in after if name not in before)
+        old_by_name = {item["name"]: item for item in old_items or ()}
+        new_by_name = {item["name"]: item for item in new_items or ()}
+        yield from (f"- {section} {name}" for name in old_by_name if name not in new_by_name)
         yield from (
-            f"~ {section} {name}: {_changed_fields(before[name], after[name])}"
-            for name in after
-            if name in before and before[name] != after[name]
+            f"+ {section} {name}: {json.dumps(new_by_name[name])}"
+            for name in new_by_name
+            if name not in old_by_name
+        )
+        yield from (
+            f"~ {section} {name}: {_changed_fields(old_by_name[name], new_by_name[name])}"
+            for name in new_by_name
+            if name in old_by_name and old_by_name[name] != new_by_name[name]
         )
 
 
@@ -113,50 +118,56 @@
 
 @config.command
 def apply(file: Path, /, *, node: Node, if_match: int | None = None) -> None:
-    """Bring a configuration, or a change of one, into force; returns when it is acknowledged.
+    """Apply a configuration or a patch, and wait until it is acknowledged.
 
-    An order without a clear answer is sent again as it is; one that has been taken is acknowledged again.
+    A request without a conclusive answer is retried unchanged; a request that was already applied is
+    acknowledged again.
 
-    Exits 0 if it is acknowledged, 1 if another version is in force or no clear answer came, 2 if invalid.
+    Exits 0 if acknowledged, 1 if another version is in force or no conclusive answer came, 2 if invalid.
 
     Parameters
     ----------
     file
-        In JSON: a whole configuration, or a change with `upsert` or `delete`.
+        In JSON: a complete configuration, or a patch with `upsert` or `delete`.
     node
         HOST:PORT of any node's control-plane address.
     if_match
-        The version that it builds on; default the one in force.
+        The version that the change is based on; default the current one.
     """
-    told = _read_file(file)
-    builds_on = if_match if if_match is not None else int(_current(node).get("version", 0))
-    method = "PATCH" if any(section in told for section in CHANGE_SECTIONS) else "PUT"
-    reply = _ordered(node, method, json.dumps(told).encode(), builds_on)
+    document = _read_file(file)
+    base_version = if_match if if_match is not None else int(_current_configuration(node).get("version", 0))
+    method = "PATCH" if any(section in document for section in CHANGE_SECTIONS) else "PUT"
+    reply = _submit(node, method, json.dumps(document).encode(), base_version)
     if reply.status == 200:
-        usage.say(f"version {told.get('version')} is in force")
+        usage.print_line(f"version {document.get('version')} is in force")
     elif reply.status == 412:
-        raise usage.CommandFailed(f"{file}: another version than {builds_on} is in force, nothing is changed")
+        raise usage.CommandFailed(
+            f"{file}: another version than {base_version} is in force; nothing was changed"
+        )
     elif 400 <= reply.status < 500:
-        raise usage.UsageError(f"{file}: {node_calls.refusal(reply)}")
+        raise usage.UsageError(f"{file}: {node_calls.error_text(reply)}")
     else:
         raise usage.CommandFailed(
-            f"{node}: {node_calls.refusal(reply)}\n"
-            "the order may or may not be in force; it is safe to apply the same file again"
-            f" with --if-match {builds_on}"
+            f"{node}: {node_calls.error_text(reply)}\n"
+            "the change may or may not be in force; it is safe to apply the same file again"
+            f" with --if-match {base_version}"
         )
 
 
-def _ordered(node: str, method: str, body: bytes, builds_on: int) -> Reply:
-    """The first clear answer, or the last of several unclear ones. Raises CommandFailed if none came."""
-    for number in range(1, TRIES + 1):
+def _submit(node: str, method: str, body: bytes, base_version: int) -> Reply:
+    """Returns the first conclusive answer (no timeout, rate limit or server error), else the last one.
+
+    Raises CommandFailed if the last attempt got no answer.
+    """
+    for attempt in range(1, MAX_ATTEMPTS + 1):
         try:
-            reply = node_calls.call(node, method, PATH, body, builds_on)
+            reply = node_calls.call(node, method, PATH, body, base_version)
         except usage.CommandFailed:
-            if number == TRIES:
+            if attempt == MAX_ATTEMPTS:
                 raise
         else:
             if reply.status not in (408, 429) and reply.status < 500:
                 return reply
-        if number < TRIES:
-            time.sleep(PAUSE_S * number)
+        if attempt < MAX_ATTEMPTS:
+            time.sleep(BACKOFF_STEP_S * attempt)
     return reply
--- a/cloverrouter/cli/demo.py
+++ b/cloverrouter/cli/demo.py
@@ -1,4 +1,4 @@
-"""`demo`: a small fleet on this machine, or the client proxy, with live figures and a verdict."""
+"""The `demo` command: runs a small fleet or the client proxy on this machine, and reports the outcome."""
 
 from __future__ import annotations
 
@@ -25,52 +25,54 @@
     keep: Path | None = None,
     log: Annotated[str, Parameter(validator=usage.one_of(LOG_LEVELS))] = "changes",
 ) -> None:
-    """Play a fleet on this machine: five nodes as real processes, stand-ins for all that is round them.
+    """Run a fleet on this machine: five nodes as real processes, everything around them simulated.
 
-    Under load a node is killed and started again, a server replaced, the configuration changed. Exits 0 if no
-    rule was broken, 1 otherwise.
+    Under load, a node is killed and restarted, a server is replaced and the configuration is changed. Exits 0
+    if no rule was broken, 1 otherwise.
 
     Parameters
     ----------
     seconds
-        How long the load goes on.
+        Duration of the load.
     seed
-        Of the load, and of which node is killed.
+        Random seed of the load and of the choice of the node to kill.
     proxy
-        Play the client proxy instead: 4 proxies, 10 stand-in servers, two classes.
+        Run the client proxy instead: 4 proxies, 10 simulated servers, two request classes.
     keep
-        Keep the nodes' settings, disks and logs in this folder, which must not be there yet.
+        Keep the nodes' settings, disks and logs in this folder, which must not exist yet.
     log
-        How much the nodes log: off, errors, changes, requests.
+        Log level of the nodes: off, errors, changes, requests.
     """
     if proxy:
-        from cloverrouter.cli.proxy_demo import play_proxy
+        from cloverrouter.cli.proxy_demo import run_proxy_demo
 
-        play_proxy(seconds)
+        run_proxy_demo(seconds)
     if keep is not None and keep.exists():
-        raise usage.UsageError(f"{keep}: is there already")
+        raise usage.UsageError(f"{keep}: already exists")
     folder = keep or Path(tempfile.mkdtemp(prefix="cypresswinch-demo-"))
     folder.mkdir(parents=True, exist_ok=True)
     try:
-        verdict = asyncio.run(Demo(folder.resolve(), seconds, seed, usage.say, log).play())
+        verdict = asyncio.run(Demo(folder.resolve(), seconds, seed, usage.print_line, log).play())
     except CypresswinchError as error:
         raise usage.CommandFailed(str(error)) from error
     finally:
         if keep is None:
             shutil.rmtree(folder, ignore_errors=True)
-    _tell(verdict)
+    _print_verdict(verdict)
     if not verdict.passed:
-        raise SystemExit(usage.FOUND)
+        raise SystemExit(usage.EXIT_FINDINGS)
 
 
-def _tell(verdict: Verdict) -> None:
+def _print_verdict(verdict: Verdict) -> None:
     figures = verdict.figures
-    usage.say("")
-    usage.say(f"{'kind':10}{'asked':>8}{'served':>8}{'p50 ms':>9}{'p99 ms':>9}")
+    usage.print_line("")
+    usage.print_line(f"{'kind':10}{'asked':>8}{'served':>8}{'p50 ms':>9}{'p99 ms':>9}")
     for kind in figures.kinds:
-        usage.say(f"{kind.name:10}{kind.asked:8}{kind.served:8}{kind.p50_ms:9.0f}{kind.p99_ms:9.0f}")
+        usage.print_line(f"{kind.name:10}{kind.asked:8}{kind.served:8}{kind.p50_ms:9.0f}{kind.p99_ms:9.0f}")
     statuses = ", ".join(f"{status} x {count}" for status, count in figures.statuses.items())
-    usage.say(f"{figures.tries} tries, {figures.runs} runs, {figures.events} events; answers: {statuses}")
+    usage.print_line(
+        f"{figures.tries} tries, {figures.runs} runs, {figures.events} events; answers: {statuses}"
+    )
     for reason in verdict.reasons:
-        usage.say(reason)
-    usage.say("PASSED: every rule kept" if verdict.passed else "FAILED")
+        usage.print_line(reason)
+    usage.print_line("PASSED: every rule kept" if verdict.passed else "FAILED")
--- a/cloverrouter/cli/explore.py
+++ b/cloverrouter/cli/explore.py
@@ -1,4 +1,4 @@
-"""`explore`: play every ordering of events against the real lifecycle and the real decisions."""
+"""The `explore` command: checks every ordering of events against the real lifecycle and decision code."""
 
 from __future__ import annotations
 
@@ -20,18 +20,18 @@
 from cloverrouter.explore.search import Report, Search
 from cloverrouter.explore.trace import Counterexample
 
-CONNECTION = "connection"
-SECONDS = 60.0
+CONNECTION_SCOPE = "connection"
+DEFAULT_TIME_LIMIT_S = 60.0
 
 
-def _faults(as_json: bool) -> None:
-    known: dict[str, Fault | ModelFault] = {**FAULTS, **models.faults()}
+def _print_faults(as_json: bool) -> None:
+    faults: dict[str, Fault | ModelFault] = {**FAULTS, **models.faults()}
     if as_json:
-        rows = {n: {"text": f.text, "scope": f.scope, "shows": f.shows} for n, f in known.items()}
-        usage.say(msgspec.json.encode(rows).decode())
+        rows = {n: {"text": f.text, "scope": f.scope, "shows": f.shows} for n, f in faults.items()}
+        usage.print_line(msgspec.json.encode(rows).decode())
         return
-    for name, fault in known.items():
-        usage.say(f"{name:26} {fault.text} (shows as: {', '.join(fault.shows)}; scope {fault.scope})")
+    for name, fault in faults.items():
+        usage.print_line(f"{name:26} {fault.text} (shows as: {', '.join(fault.shows)}; scope {fault.scope})")
 
 
 def _scope_of(fault: str) -> str:
@@ -39,57 +39,68 @@
 
 
 def _check_fault(scope: str, fault: str | None) -> None:
-    known = MODELS[scope].faults if scope in MODELS else FAULTS
-    if fault is not None and fault not in known:
-        raise usage.UsageError(f"--fault: {fault!r} is none of the scope {scope}; see --list-faults")
+    faults = MODELS[scope].faults if scope in MODELS else FAULTS
+    if fault is not None and fault not in faults:
+        raise usage.UsageError(f"--fault: {fault!r} is not a fault of the scope {scope}; see --list-faults")
 
 
 def _replay(path: Path) -> None:
     if model_trace.is_one(path):
         explore_models.replay(path)
     try:
-        found = trace.read(path)
+        saved = trace.read(path)
     except trace.TraceError as error:
         raise usage.UsageError(str(error)) from error
-    played = trace.play(SCOPES[found.scope], found.fault, found.steps, tell=True)
-    if played is None:
-        usage.error_line("this history can't happen any more: the code has changed since it was saved")
+    replayed = trace.play(SCOPES[saved.scope], saved.fault, saved.steps, tell=True)
+    if replayed is None:
+        usage.print_error("this event sequence can no longer occur: the code has changed since it was saved")
         sys.exit(0)
-    _timeline(found, played.timeline)
-    if not played.breaches:
-        usage.say("nothing is broken any more")
-    sys.exit(1 if played.breaches else 0)
+    _print_timeline(saved, replayed.timeline)
+    if not replayed.breaches:
+        usage.print_line("nothing is broken any more")
+    sys.exit(1 if replayed.breaches else 0)
 
 
-def _connection(as_json: bool) -> None:
-    states, found = connections.explore()
+def _explore_connection(as_json: bool) -> None:
+    states, counterexample = connections.explore()
     if as_json:
-        usage.say(msgspec.json.encode({"scope": CONNECTION, "states": states, "found": found}).decode())
+        usage.print_line(
+            msgspec.json.encode(
+                {"scope": CONNECTION_SCOPE, "states": states, "found": counterexample}
+            ).decode()
+        )
     else:
-        usage.say(f"scope {CONNECTION}: {states} states, whole")
-        for number, event in enumerate(found.events if found is not None else (), 1):
-            usage.say(f"{number:3}  {event}")
-        usage.say(f"     BROKEN  {found.breach}" if found is not None else "every property held")
-    sys.exit(1 if found is not None else 0)
-
-
-def _timeline(found: Counterexample, timeline: list[str]) -> None:
-    usage.say(f"scope {found.scope}" + (f", with the fault {found.fault}" if found.fault else ""))
+        usage.print_line(f"scope {CONNECTION_SCOPE}: {states} states, complete")
+        for number, event in enumerate(counterexample.events if counterexample is not None else (), 1):
+            usage.print_line(f"{number:3}  {event}")
+        usage.print_line(
+            f"     BROKEN  {counterexample.breach}" if counterexample is not None else "every property held"
+        )
+    sys.exit(1 if counterexample is not None else 0)
+
+
+def _print_timeline(counterexample: Counterexample, timeline: list[str]) -> None:
+    usage.print_line(
+        f"scope {counterexample.scope}"
+        + (f", with the fault {counterexample.fault}" if counterexample.fault else "")
+    )
     for line in timeline:
-        usage.say(line)
-    text = PROPERTIES.get(trace.name_of(found.breach))
-    if text:
-        usage.say(f"the property: {text}")
+        usage.print_line(line)
+    property_text = PROPERTIES.get(trace.name_of(counterexample.breach))
+    if property_text:
+        usage.print_line(f"the property: {property_text}")
 
 
-def _progress(report: Report) -> None:
+def _print_progress(report: Report) -> None:
     line = f"{report.states} states, depth {report.depth}, {report.walks} walks, {report.rate:.0f} states/s"
     print(f"\r{line}", end="", file=sys.stderr, flush=True)
 
 
 def explore(
     *,
-    scope: Annotated[str | None, Parameter(validator=usage.one_of([*SCOPES, CONNECTION, *MODELS]))] = None,
+    scope: Annotated[
+        str | None, Parameter(validator=usage.one_of([*SCOPES, CONNECTION_SCOPE, *MODELS]))
+    ] = None,
     seconds: Annotated[float | None, Parameter(validator=Number(gte=0.1))] = None,
     depth: Annotated[int | None, Parameter(validator=Number(gte=0))] = None,
     walks: Annotated[int | None, Parameter(validator=Number(gte=0))] = None,
@@ -101,50 +112,53 @@
     save: Path | None = None,
     as_json: Annotated[bool, Parameter(name="--json", negative="")] = False,
 ) -> None:
-    """Play every ordering of events in a small world, and random ones beyond.
+    """Check every ordering of events in a small model, then random orderings of larger depth.
 
     Exits 0 if every property held, 1 with a counterexample, 2 if the command or a file is wrong.
 
     Parameters
     ----------
     scope
-        How large a world: small, join, dial-out, ...; default small, or the fault's. 'connection': one
-        connection, whole. 'coordination', ...: the cores of control.
+        What to model: small, join, dial-out, ...; default small, or the fault's scope. 'connection': all
+        states of one connection. 'coordination', ...: the core modules of the control plane.
     seconds
-        At most; default 60, or the scope's.
+        Time limit; default 60, or the scope's.
     depth
-        Explored whole; default the scope's.
+        Depth up to which every ordering is explored; default the scope's.
     deviations
-        From the prompt schedule, in a scope of control; default the scope's.
+        Maximum number of deviations (delays, crashes, partitions) from the schedule in which everything
+        arrives promptly and in order, in a control-plane scope; default the scope's.
     walks
-        Random walks; default as time allows.
+        Number of random walks; default as many as the time limit allows.
     seed
-        Of the random walks.
+        Random seed of the walks.
     fault
-        Seed the fault of this name.
+        Inject the fault of this name into the code under test.
     list_faults
-        Name the faults that can be seeded.
+        List the faults that can be injected.
     replay
-        Play a saved history.
+        Replay a saved event sequence.
     save
-        Save what is found.
+        Save the counterexample, if one is found, to this file.
     as_json
-        One JSON object instead of text.
+        Print one JSON object instead of text.
     """
     if list_faults:
-        _faults(as_json)
+        _print_faults(as_json)
         return
     if replay is not None:
         _replay(replay)
-    if scope == CONNECTION:
-        _connection(as_json)
-    name = scope or (_scope_of(fault) if fault is not None else "small")
-    _check_fault(name, fault)
-    if name in MODELS:
-        explore_models.run(name, fault, seconds, deviations, save, as_json)
-    search = Search(SCOPES[name], fault, seed, SECONDS if seconds is None else seconds, depth, walks)
+    if scope == CONNECTION_SCOPE:
+        _explore_connection(as_json)
+    scope_name = scope or (_scope_of(fault) if fault is not None else "small")
+    _check_fault(scope_name, fault)
+    if scope_name in MODELS:
+        explore_models.run(scope_name, fault, seconds, deviations, save, as_json)
+    search = Search(
+        SCOPES[scope_name], fault, seed, DEFAULT_TIME_LIMIT_S if seconds is None else seconds, depth, walks
+    )
     if sys.stderr.isatty() and not as_json:
-        search.progress = _progress
+        search.progress = _print_progress
     report = search.run()
     if save is not None and report.found is not None:
         try:
@@ -152,22 +166,22 @@
         except OSError as error:
             raise usage.UsageError(f"{save}: {error.strerror}") from error
     if as_json:
-        usage.say(msgspec.json.encode(report).decode())
+        usage.print_line(msgspec.json.encode(report).decode())
     else:
-        _tell(report)
+        _print_report(report)
     sys.exit(1 if report.found is not None else 0)
 
 
-def _tell(report: Report) -> None:
-    whole = "whole" if report.exhausted else f"whole, {report.left} states not opened"
-    usage.say(
+def _print_report(report: Report) -> None:
+    completeness = "complete" if report.exhausted else f"complete, {report.left} states not explored"
+    usage.print_line(
         f"scope {report.scope}: {report.states} states, {report.transitions} transitions, "
-        f"depth {report.depth} {whole}; {report.walks} walks of {report.walked} steps; "
+        f"depth {report.depth} {completeness}; {report.walks} walks of {report.walked} steps; "
         f"{report.seconds:.1f} s, {report.rate:.0f} states/s"
     )
     if report.found is None:
-        usage.say("every property held")
+        usage.print_line("every property held")
         return
     scope = SCOPES[report.found.scope]
-    played = trace.play(scope, report.found.fault, report.found.steps, tell=True)
-    _timeline(report.found, played.timeline if played is not None else [])
+    replayed = trace.play(scope, report.found.fault, report.found.steps, tell=True)
+    _print_timeline(report.found, replayed.timeline if replayed is not None else [])
--- a/cloverrouter/cli/explore_models.py
+++ b/cloverrouter/cli/explore_models.py
@@ -1,4 +1,4 @@
-"""`explore` for the models of control: search one, play a saved history, tell what was found."""
+"""The `explore` command for the control-plane models: searches a model or replays a saved event sequence."""
 
 from __future__ import annotations
 
@@ -26,96 +26,103 @@
     save: Path | None,
     as_json: bool,
 ) -> None:
-    """Search one model and tell. Ends the process."""
+    """Searches one model, prints the result and exits: 1 if an invariant was violated, 0 otherwise."""
     scope = MODELS[name]
     limits = scope.limits
     if seconds is not None:
         limits = replace(limits, seconds=seconds)
     if deviations is not None:
         limits = replace(limits, deviations=deviations)
-    with _seeded(fault):
-        result = search(scope.model(), limits, _progress(as_json))
-    found = None
+    with _fault_injected(fault):
+        result = search(scope.model(), limits, _progress_printer(as_json))
+    saved_trace = None
     if result.trace is not None:
-        found = SavedTrace(FORM, name, fault, result.trace.breach, result.trace.start, result.trace.steps)
-        _save(found, save)
+        saved_trace = SavedTrace(
+            FORM, name, fault, result.trace.breach, result.trace.start, result.trace.steps
+        )
+        _save(saved_trace, save)
     if as_json:
-        usage.say(msgspec.json.encode({"scope": name, **msgspec.to_builtins(result)}).decode())
+        usage.print_line(msgspec.json.encode({"scope": name, **msgspec.to_builtins(result)}).decode())
     else:
-        _tell(name, result, found)
-    sys.exit(1 if found is not None else 0)
+        _print_result(name, result, saved_trace)
+    sys.exit(1 if saved_trace is not None else 0)
 
 
 def replay(path: Path) -> None:
-    """Play a saved history and tell. Ends the process."""
+    """Replays a saved event sequence, prints it and exits: 1 if it violates an invariant, else 0."""
     try:
-        found = model_trace.read(path)
+        saved_trace = model_trace.read(path)
     except TraceError as error:
         raise usage.UsageError(str(error)) from error
-    is_broken = _timeline(found)
+    is_broken = _print_timeline(saved_trace)
     if is_broken is None:
-        usage.error_line("this history can't happen any more: the code has changed since it was saved")
+        usage.print_error("this event sequence can no longer occur: the code has changed since it was saved")
     elif not is_broken:
-        usage.say("nothing is broken any more")
+        usage.print_line("nothing is broken any more")
     sys.exit(1 if is_broken else 0)
 
 
-def _seeded(fault: str | None) -> AbstractContextManager[Any]:
+def _fault_injected(fault: str | None) -> AbstractContextManager[Any]:
     return faults()[fault].seeded() if fault is not None else nullcontext()
 
 
-def _save(found: SavedTrace, path: Path | None) -> None:
+def _save(saved_trace: SavedTrace, path: Path | None) -> None:
     if path is None:
         return
     try:
-        model_trace.write(found, path)
+        model_trace.write(saved_trace, path)
     except OSError as error:
         raise usage.UsageError(f"{path}: {error.strerror}") from error
 
 
-def _progress(as_json: bool) -> Progress:
+def _progress_printer(as_json: bool) -> Progress:
     if as_json or not sys.stderr.isatty():
         return lambda result: None
 
-    def show(result: Result) -> None:
+    def print_progress(result: Result) -> None:
         line = f"{result.states} states, {result.transitions} transitions, {result.seconds:.0f} s"
         print(f"\r{line}", end="", file=sys.stderr, flush=True)
 
-    return show
+    return print_progress
 
 
-ENDED = {
-    "bound": "every history within the bounds",
-    "time": "ended by the time",
-    "states": "ended by the number of states",
-    "breach": "ended by a breach",
+END_REASONS = {
+    "bound": "every event sequence within the bounds",
+    "time": "stopped at the time limit",
+    "states": "stopped at the state limit",
+    "breach": "stopped at a violation",
 }
 
 
-def _tell(name: str, result: Result, found: SavedTrace | None) -> None:
-    whole = f"whole to {result.deviations} deviations" if result.deviations >= 0 else "not whole"
-    usage.say(
+def _print_result(name: str, result: Result, saved_trace: SavedTrace | None) -> None:
+    completeness = f"complete to {result.deviations} deviations" if result.deviations >= 0 else "incomplete"
+    usage.print_line(
         f"scope {name}: {result.states} states, {result.transitions} transitions, depth {result.depth}; "
-        f"{whole}, {result.left} states not opened; "
-        f"{ENDED[result.ended_by]}; {result.seconds:.1f} s"
+        f"{completeness}, {result.left} states not explored; "
+        f"{END_REASONS[result.ended_by]}; {result.seconds:.1f} s"
     )
-    if found is None:
-        usage.say("every invariant held")
+    if saved_trace is None:
+        usage.print_line("every invariant held")
     else:
-        _timeline(found)
+        _print_timeline(saved_trace)
 
 
-def _timeline(found: SavedTrace) -> bool | None:
-    """Tell a history. Gives whether it breaks something; None if it can't happen."""
-    scope = MODELS[found.scope]
-    with _seeded(found.fault):
-        played = play(scope.model(), found.start, found.steps, scope.tell)
-    if played is None:
+def _print_timeline(saved_trace: SavedTrace) -> bool | None:
+    """Replays and prints an event sequence.
+
+    Returns whether it violates an invariant, or None if it can no longer occur.
+    """
+    scope = MODELS[saved_trace.scope]
+    with _fault_injected(saved_trace.fault):
+        replayed = play(scope.model(), saved_trace.start, saved_trace.steps, scope.tell)
+    if replayed is None:
         return None
-    usage.say(f"scope {found.scope}" + (f", with the fault {found.fault}" if found.fault else ""))
-    for line in played.timeline:
-        usage.say(line)
-    text = scope.invariants.get(found.breach.partition(":")[0])
-    if text and played.breaches:
-        usage.say(f"the invariant: {text}")
-    return bool(played.breaches)
+    usage.print_line(
+        f"scope {saved_trace.scope}" + (f", with the fault {saved_trace.fault}" if saved_trace.fault else "")
+    )
+    for line in replayed.timeline:
+        usage.print_line(line)
+    invariant_text = scope.invariants.get(saved_trace.breach.partition(":")[0])
+    if invariant_text and replayed.breaches:
+        usage.print_line(f"the invariant: {invariant_text}")
+    return bool(replayed.breaches)
--- a/cloverrouter/cli/fleet.py
+++ b/cloverrouter/cli/fleet.py
@@ -1,4 +1,4 @@
-"""`status`, `view`, `servers`, `history`, `trace`: what a running node tells of itself and of the fleet."""
+"""The commands `status`, `view`, `servers`, `history` and `trace`: query a running node."""
 
 from __future__ import annotations
 
@@ -12,94 +12,103 @@
 from cloverrouter.cli.tables import text_of
 
 
-def _tell(value: Any, as_json: bool) -> None:
-    usage.say(json.dumps(value) if as_json else text_of(value))
+def _print_answer(value: Any, as_json: bool) -> None:
+    usage.print_line(json.dumps(value) if as_json else text_of(value))
 
 
 def status(*, node: Node, as_json: Json = False) -> None:
-    """What a node tells of itself: readiness, configuration in force, figures.
+    """Show a node's readiness, current configuration and metrics.
 
     Parameters
     ----------
     node
-        HOST:PORT of its control-plane address.
+        HOST:PORT of the node's control-plane address.
     as_json
-        The node's own JSON.
+        Print the node's JSON unchanged.
     """
-    _tell(node_calls.read(node, "/-/status"), as_json)
+    _print_answer(node_calls.read(node, "/-/status"), as_json)
 
 
 def view(*, node: Node, as_json: Json = False) -> None:
-    """The chain of replicas and its voters, as a node knows them.
+    """Show the replica chain and its voters, as a node knows them.
 
     Parameters
     ----------
     node
-        HOST:PORT of its control-plane address.
+        HOST:PORT of the node's control-plane address.
     as_json
-        The node's own JSON.
+        Print the node's JSON unchanged.
     """
-    _tell(node_calls.read(node, "/-/view"), as_json)
+    _print_answer(node_calls.read(node, "/-/view"), as_json)
 
 
 def servers(*, node: Node, as_json: Json = False) -> None:
-    """The list of servers, as a node knows it.
+    """Show the list of servers, as a node knows it.
 
     Parameters
     ----------
     node
-        HOST:PORT of its control-plane address.
+        HOST:PORT of the node's control-plane address.
     as_json
-        The node's own JSON.
+        Print the node's JSON unchanged.
     """
-    told = node_calls.read(node, "/-/instances")
-    _tell(told if as_json else _rows(told), as_json)
+    instances = node_calls.read(node, "/-/instances")
+    _print_answer(instances if as_json else _table_rows(instances), as_json)
 
 
-def _rows(told: Any) -> Any:
-    """Servers by their id as rows of a table."""
-    if isinstance(told, dict) and told and all(isinstance(item, dict) for item in told.values()):
-        return [{"instance-id": name, **item} for name, item in told.items()]
-    return told
+def _table_rows(instances: Any) -> Any:
+    """Returns instances keyed by id as a list of table rows; any other value unchanged."""
+    if (
+        isinstance(instances, dict)
+        and instances
+        and all(isinstance(item, dict) for item in instances.values())
+    ):
+        return [{"instance-id": name, **item} for name, item in instances.items()]
+    return instances
 
 
 def history(*, node: Node, as_json: Json = False) -> None:
-    """The latest changes of the configuration.
+    """Show the latest changes of the configuration.
 
     Parameters
     ----------
     node
-        HOST:PORT of its control-plane address.
+        HOST:PORT of the node's control-plane address.
     as_json
-        The node's own JSON.
+        Print the node's JSON unchanged.
     """
-    told = node_calls.read(node, "/-/history")
-    _tell(told if as_json else _dated(told), as_json)
+    changes = node_calls.read(node, "/-/history")
+    _print_answer(changes if as_json else _with_readable_times(changes), as_json)
 
 
-def _dated(told: Any) -> Any:
-    """Changes with their time as a date, UTC, where it is in seconds since 1970."""
-    if not isinstance(told, list):
-        return told
-    return [{**item, "at": _date(item.get("at"))} for item in told if isinstance(item, dict)]
+def _with_readable_times(changes: Any) -> Any:
+    """Returns changes with a numeric `at` (Unix time in seconds) replaced by a UTC date; any other value
+    unchanged."""
+    if not isinstance(changes, list):
+        return changes
+    return [
+        {**change, "at": _readable_time(change.get("at"))} for change in changes if isinstance(change, dict)
+    ]
 
 
-def _date(at: Any) -> Any:
-    if not isinstance(at, int | float):
-        return at
-    return datetime.fromtimestamp(at, UTC).isoformat(sep=" ", timespec="seconds").removesuffix("+00:00")
+def _readable_time(timestamp: Any) -> Any:
+    if not isinstance(timestamp, int | float):
+        return timestamp
+    return (
+        datetime.fromtimestamp(timestamp, UTC).isoformat(sep=" ", timespec="seconds").removesuffix("+00:00")
+    )
 
 
 def trace(request_id: str, /, *, node: Node, as_json: Json = False) -> None:
-    """What a node remembers of a request: each attempt, where it went, how it ended.
+    """Show the trace of a request that a node holds: each attempt, its server and its outcome.
 
     Parameters
     ----------
     request_id
-        The attempt id that the client sent.
+        The attempt id sent by the client.
     node
-        HOST:PORT of its control-plane address.
+        HOST:PORT of the node's control-plane address.
     as_json
-        The node's own JSON.
+        Print the node's JSON unchanged.
     """
-    _tell(node_calls.read(node, f"/-/trace/{quote(request_id, safe='')}"), as_json)
+    _print_answer(node_calls.read(node, f"/-/trace/{quote(request_id, safe='')}"), as_json)
--- a/cloverrouter/cli/fuzz.py
+++ b/cloverrouter/cli/fuzz.py
@@ -1,4 +1,4 @@
-"""`fuzz`: mutated inputs for a place that reads bytes from outside."""
+"""The `fuzz` command: feeds mutated inputs to code that parses untrusted bytes."""
 
 from __future__ import annotations
 
@@ -17,8 +17,8 @@
 from cloverrouter.fuzz import guided, plain, report
 from cloverrouter.fuzz.targets import TARGETS
 
-FOLDER = Path("found/fuzz")
-LIBRARY = "atheris"
+DEFAULT_FOLDER = Path("found/fuzz")
+FUZZER_LIBRARY = "atheris"
 
 
 def fuzz(
@@ -27,72 +27,73 @@
     inputs: Annotated[int, Parameter(validator=Number(gte=1))] = 10_000,
     seed: int = 1,
     plain_inputs: Annotated[bool, Parameter(name="--plain", negative="")] = False,
-    folder: Path = FOLDER,
+    folder: Path = DEFAULT_FOLDER,
     as_json: Annotated[bool, Parameter(name="--json", negative="")] = False,
     progress: Annotated[bool, Parameter(negative="")] = False,
 ) -> None:
-    """Mutated inputs for a place that reads bytes from outside.
+    """Feed mutated inputs to code that parses untrusted bytes.
 
-    The coverage chooses which inputs to go on from, by atheris (extra `fuzz`). What is found is kept in a
-    folder, and the run goes on. Exit code 1 if something was found.
+    Coverage feedback from atheris (extra `fuzz`) selects the inputs to mutate further. Findings are saved to
+    a folder, and the run goes on. Exits 1 if there are findings.
 
     Parameters
     ----------
     target
-        What reads the inputs; without it, all targets are listed.
+        The code to test; without it, all targets are listed.
     inputs
-        How many inputs.
+        Number of inputs.
     seed
-        Of the mutations. The same seed gives the same inputs with --plain, and nearly the same without.
+        Random seed of the mutations. The same seed gives the same inputs with --plain, and nearly the same
+        without.
     plain_inputs
-        Without atheris: seeded mutations of the valid inputs, not guided by anything.
+        Run without atheris: seeded mutations of valid inputs, without coverage feedback.
     folder
-        Where an input is kept that broke something, with a text that says what.
+        Where each input that caused a failure is saved, with a text file that describes the failure.
     as_json
-        The report as one line of JSON.
+        Print the report as one line of JSON.
     progress
-        The fuzzer's own lines as well.
+        Print the output of atheris to standard error.
     """
     if target is None:
-        for name, make in sorted(TARGETS.items()):
-            usage.say(f"{name:10} {make.text}")
+        for name, target_class in sorted(TARGETS.items()):
+            usage.print_line(f"{name:10} {target_class.text}")
         return
     if target not in TARGETS:
         raise usage.UsageError(f"no target {target}; there are {', '.join(sorted(TARGETS))}")
     if plain_inputs:
-        result = _plain(target, inputs, seed, folder)
+        result = _run_plain(target, inputs, seed, folder)
     else:
-        result = _guided(target, inputs, seed, folder, progress)
-    usage.say(json.dumps(attrs.asdict(result)) if as_json else _line(result))
-    for file in result.found if not as_json else ():
-        place = Path(file).with_suffix(".txt").read_text().partition("\n")[0]
-        usage.say(f"found: {place}: {file}")
-    sys.exit(usage.FOUND if result.found else usage.DONE)
+        result = _run_guided(target, inputs, seed, folder, progress)
+    usage.print_line(json.dumps(attrs.asdict(result)) if as_json else _summary(result))
+    for input_file in result.found if not as_json else ():
+        location = Path(input_file).with_suffix(".txt").read_text().partition("\n")[0]
+        usage.print_line(f"found: {location}: {input_file}")
+    sys.exit(usage.EXIT_FINDINGS if result.found else usage.EXIT_OK)
 
 
-def _plain(target: str, inputs: int, seed: int, folder: Path) -> report.Report:
-    started = time.monotonic()
-    found = plain.play_target(TARGETS[target], inputs, seed)
-    files = tuple(str(report.keep(folder, target, each)) for each in found)
-    return report.Report(target, inputs, time.monotonic() - started, None, None, None, files)
+def _run_plain(target: str, inputs: int, seed: int, folder: Path) -> report.Report:
+    started_s = time.monotonic()
+    findings = plain.play_target(TARGETS[target], inputs, seed)
+    files = tuple(str(report.keep(folder, target, finding)) for finding in findings)
+    return report.Report(target, inputs, time.monotonic() - started_s, None, None, None, files)
 
 
-def _guided(target: str, inputs: int, seed: int, folder: Path, progress: bool) -> report.Report:
-    if importlib.util.find_spec(LIBRARY) is None:
+def _run_guided(target: str, inputs: int, seed: int, folder: Path, progress: bool) -> report.Report:
+    if importlib.util.find_spec(FUZZER_LIBRARY) is None:
         raise usage.UsageError(
-            f"{LIBRARY} is not installed; pip install 'cloverrouter[fuzz]', or use --plain"
+            f"{FUZZER_LIBRARY} is not installed; pip install 'cloverrouter[fuzz]', or use --plain"
         )
     try:
-        return guided.play(target, inputs, seed, folder, usage.error_line if progress else _unheard)
+        return guided.play(target, inputs, seed, folder, usage.print_error if progress else _discard)
     except guided.FuzzerEnded as error:
         raise usage.CommandFailed(str(error)) from error
 
 
-def _unheard(line: str) -> None:
-    """Nobody wants to see it."""
+def _discard(line: str) -> None:
+    """Ignores a line of output of the fuzzer."""
 
 
-def _line(result: report.Report) -> str:
+def _summary(result: report.Report) -> str:
     text = f"{result.target}: {result.inputs} inputs in {result.seconds:.0f} s"
     if result.edges is not None:
         text += f", {result.edges} edges covered, {result.corpus} inputs kept for new coverage"
--- a/cloverrouter/cli/logs.py
+++ b/cloverrouter/cli/logs.py
@@ -1,4 +1,4 @@
-"""`logs`: what nodes have written, as lines or as the tree of one request."""
+"""The `logs` command: prints the logs of nodes as lines, or as the tree of one request."""
 
 from __future__ import annotations
 
@@ -8,34 +8,34 @@
 
 
 def logs(files: tuple[Path, ...], /, *, request: str | None = None) -> None:
-    """Read logs of one or more nodes: all lines in order of time, or the trees of one request or change.
+    """Print the logs of nodes: all records in order of time, or the task trees of one request or change.
 
-    Exits 0, 1 if nothing mentions the id, 2 if a file can't be read.
+    Exits 0, 1 if no record mentions the id, 2 if a file can't be read.
 
     Parameters
     ----------
     files
-        What nodes have written to standard output: eliot's JSON lines. Other lines are passed over.
+        Standard output of nodes: eliot's JSON lines. Other lines are ignored.
     request
-        An attempt id, or any other value: the trees of all tasks that mention it are shown.
+        An attempt id or any other field value: shows the trees of all tasks with a record that has it.
     """
     records: list[logtree.Record] = []
-    others = 0
+    ignored_lines = 0
     for path in files:
         try:
-            found, rest = logtree.read(path.read_text(errors="replace").splitlines())
+            file_records, ignored_in_file = logtree.read(path.read_text(errors="replace").splitlines())
         except OSError as error:
             raise usage.UsageError(f"{path}: {error.strerror}") from error
-        records += found
-        others += rest
-    if others:
-        usage.error_line(f"{others} lines are no log records")
+        records += file_records
+        ignored_lines += ignored_in_file
+    if ignored_lines:
+        usage.print_error(f"{ignored_lines} lines are no log records")
     if request is None:
         for record in sorted(records, key=lambda record: record.timestamp):
-            usage.say(logtree.line(record))
+            usage.print_line(logtree.line(record))
         return
     tasks = logtree.tasks(records, request)
     if not tasks:
         raise usage.CommandFailed(f"no record among {len(records)} mentions {request}")
     for task in tasks:
-        usage.say("\n".join(logtree.tree(task)))
+        usage.print_line("\n".join(logtree.tree(task)))
--- a/cloverrouter/cli/logtree.py
+++ b/cloverrouter/cli/logtree.py
@@ -1,7 +1,7 @@
-"""Eliot's JSON lines as trees: actions with what happened inside them, over the files of several nodes.
+"""Turns eliot's JSON log lines, from the files of several nodes, into trees of actions and messages.
 
 A line belongs to a task (`task_uuid`) and has a place in it (`task_level`, a list of numbers). An action has
-a line at its start and one at its end, told by `action_status`.
+a line at its start and one at its end, distinguished by `action_status`.
 """
 
 from __future__ import annotations
@@ -14,15 +14,15 @@
 
 import attrs
 
-OWN_FIELDS = frozenset(
+FIELDS_SHOWN_SEPARATELY = frozenset(
     {"task_uuid", "task_level", "timestamp", "action_type", "action_status", "message_type", "node"}
 )
-BRANCH, LAST_BRANCH, TRUNK, NOTHING = "├── ", "└── ", "│   ", "    "
+BRANCH, LAST_BRANCH, VERTICAL_LINE, BLANK = "├── ", "└── ", "│   ", "    "
 
 
 @attrs.frozen(slots=True)
 class Record:
-    """One line of a log. `timestamp` in seconds since 1970."""
+    """One line of a log. `timestamp` is Unix time in seconds."""
 
     task: str
     level: tuple[int, ...]
@@ -35,7 +35,7 @@
 
     @property
     def status(self) -> str:
-        """`started`, `succeeded` or `failed` for the ends of actions, else empty."""
+        """`started`, `succeeded` or `failed` for the first and last record of an action, else empty."""
         return str(self.fields.get("action_status", ""))
 
     @property
@@ -44,40 +44,42 @@
 
     @property
     def details(self) -> str:
-        """All other fields, as NAME=VALUE."""
-        told = {key: value for key, value in self.fields.items() if key not in OWN_FIELDS}
-        return " ".join(f"{key}={_short(value)}" for key, value in told.items())
+        """All fields that have no column of their own, as NAME=VALUE."""
+        other_fields = {
+            key: value for key, value in self.fields.items() if key not in FIELDS_SHOWN_SEPARATELY
+        }
+        return " ".join(f"{key}={_format_value(value)}" for key, value in other_fields.items())
 
     def mentions(self, text: str) -> bool:
-        """Whether some field, at any depth, has just this value."""
+        """Returns whether a field, at any depth, has exactly this value."""
         return any(str(value) == text for value in _leaves(self.fields))
 
 
-def _short(value: Any) -> str:
+def _format_value(value: Any) -> str:
     return value if isinstance(value, str) else json.dumps(value)
 
 
 def _leaves(value: Any) -> Iterator[Any]:
     if isinstance(value, dict):
-        for inner in value.values():
-            yield from _leaves(inner)
+        for item in value.values():
+            yield from _leaves(item)
     elif isinstance(value, list):
-        for inner in value:
-            yield from _leaves(inner)
+        for item in value:
+            yield from _leaves(item)
     else:
         yield value
 
 
 def read(lines: Iterable[str]) -> tuple[list[Record], int]:
-    """The records among some lines, and how many other lines there were."""
-    records, others = [], 0
+    """Returns the log records among the lines, and the number of other lines that are not empty."""
+    records, ignored_count = [], 0
     for line in lines:
         record = _record(line)
         if record is not None:
             records.append(record)
         elif line.strip():
-            others += 1
-    return records, others
+            ignored_count += 1
+    return records, ignored_count
 
 
 def _record(line: str) -> Record | None:
@@ -90,9 +92,9 @@
 
 
 def tasks(records: Iterable[Record], mentioning: str | None = None) -> list[list[Record]]:
-    """The records by task, each in the order of its levels, the earliest task first.
+    """Groups records by task: each task sorted by level, the earliest task first.
 
-    If a text is given, only the tasks in which some record mentions it.
+    If a text is given, only the tasks with a record that mentions it.
     """
     by_task: dict[str, list[Record]] = defaultdict(list)
     for record in records:
@@ -107,60 +109,60 @@
 
 @attrs.define(slots=True)
 class _Branch:
-    """An action or a message in the tree."""
+    """An action or a message in the tree, with the actions and messages inside it."""
 
-    first: Record
-    last: Record | None = None  # the line of an action's end
-    inner: list[_Branch] = attrs.field(factory=list)
+    start: Record
+    end: Record | None = None  # the last record of an action
+    children: list[_Branch] = attrs.field(factory=list)
 
 
 def tree(task: list[Record]) -> list[str]:
-    """A task's lines as a tree, one text line each."""
-    roots = _branches(task)
+    """Renders a task as a tree, one line of text per action or message."""
+    roots = _build_branches(task)
     head = task[0]
     lines = [f"{_time_of_day(head.timestamp)}  {head.node}  task {head.task}".replace("    ", "  ")]
-    lines.extend(_drawn(roots, "", head.timestamp))
+    lines.extend(_render(roots, "", head.timestamp))
     return lines
 
 
-def _branches(task: list[Record]) -> list[_Branch]:
-    """Records that start an action hold those whose level lies below theirs."""
+def _build_branches(task: list[Record]) -> list[_Branch]:
+    """Nests records by their level: those below the level of an action's start become its children."""
     roots: list[_Branch] = []
     open_actions: dict[tuple[int, ...], _Branch] = {}
     for record in task:
         parent = open_actions.get(record.level[:-1])
         if record.status in ("succeeded", "failed") and parent is not None:
-            parent.last = record
+            parent.end = record
             continue
         branch = _Branch(record)
-        holder = parent
+        container = parent
         if record.status == "started":
             open_actions[record.level[:-1]] = branch
-            holder = open_actions.get(record.level[:-2]) if len(record.level) > 1 else None
-        (holder.inner if holder is not None else roots).append(branch)
+            container = open_actions.get(record.level[:-2]) if len(record.level) > 1 else None
+        (container.children if container is not None else roots).append(branch)
     return roots
 
 
-def _drawn(branches: list[_Branch], indent: str, begun: float) -> Iterator[str]:
+def _render(branches: list[_Branch], indent: str, start_s: float) -> Iterator[str]:
     for branch in branches:
         is_last = branch is branches[-1]
-        yield f"{indent}{LAST_BRANCH if is_last else BRANCH}{_told(branch, begun)}"
-        yield from _drawn(branch.inner, indent + (NOTHING if is_last else TRUNK), begun)
+        yield f"{indent}{LAST_BRANCH if is_last else BRANCH}{_describe(branch, start_s)}"
+        yield from _render(branch.children, indent + (BLANK if is_last else VERTICAL_LINE), start_s)
 
 
-def _told(branch: _Branch, begun: float) -> str:
-    first, last = branch.first, branch.last
-    parts = [f"{first.name}", f"+{1000 * (first.timestamp - begun):.1f} ms", first.details]
-    if last is not None:
-        parts.append(f"-> {last.status} after {1000 * (last.timestamp - first.timestamp):.1f} ms")
-        parts.append(last.details)
-    elif first.status == "started":
+def _describe(branch: _Branch, start_s: float) -> str:
+    start, end = branch.start, branch.end
+    parts = [f"{start.name}", f"+{1000 * (start.timestamp - start_s):.1f} ms", start.details]
+    if end is not None:
+        parts.append(f"-> {end.status} after {1000 * (end.timestamp - start.timestamp):.1f} ms")
+        parts.append(end.details)
+    elif start.status == "started":
         parts.append("-> no end in these files")
     return "  ".join(part for part in parts if part)
 
 
 def line(record: Record) -> str:
-    """A record as one text line."""
+    """Renders a record as one line of text."""
     parts = [_time_of_day(record.timestamp), record.node, record.name, record.status, record.details]
     return "  ".join(part for part in parts if part)
 
--- a/cloverrouter/cli/main.py
+++ b/cloverrouter/cli/main.py
@@ -1,7 +1,8 @@
-"""All commands. Each is imported when it is called: none pays for what another needs.
+"""Entry point of the command line. A command's module is imported only when that command is called, so that
+no command needs the dependencies of another.
 
-Exit codes, for all of them: 0 done, and nothing found amiss; 1 something was found; 2 the command, or a file
-that it names, is wrong, or an extra that it needs is not installed.
+Exit codes of all commands: 0 done, no findings; 1 findings or a failure; 2 an invalid command line or file,
+or a missing optional dependency.
 """
 
 from __future__ import annotations
@@ -20,7 +21,7 @@
 
 @attrs.frozen(slots=True)
 class Command:
-    """Where a command is, which extra of the package it needs, and its line in the overview."""
+    """A command: its module, the extra of the package that it needs, and its line in the overview."""
 
     module: str
     extra: str
@@ -29,18 +30,24 @@
 
 COMMANDS = {
     "check": Command("cloverrouter.cli.check", "lab", "Check configuration files of any kind."),
-    "config": Command("cloverrouter.cli.config", "system", "The configuration in force: show, diff, apply."),
-    "demo": Command("cloverrouter.cli.demo", "demo", "Play a small fleet on this machine."),
-    "explore": Command("cloverrouter.cli.explore", "explore", "Play every ordering of events."),
-    "fuzz": Command("cloverrouter.cli.fuzz", "fuzz", "Mutated inputs for all that reads bytes from outside."),
-    "history": Command("cloverrouter.cli.fleet", "system", "The latest changes of the configuration."),
-    "lab": Command("cloverrouter.cli.lab", "lab", "Emulated servers and clients: try a configuration."),
-    "logs": Command("cloverrouter.cli.logs", "cli", "What nodes have written; one request as a tree."),
-    "servers": Command("cloverrouter.cli.fleet", "system", "The list of servers, as a node knows it."),
-    "soak": Command("cloverrouter.cli.soak", "demo", "Strike fleets on this machine again and again."),
-    "status": Command("cloverrouter.cli.fleet", "system", "What a node tells of itself."),
-    "trace": Command("cloverrouter.cli.fleet", "system", "What a node remembers of a request."),
-    "view": Command("cloverrouter.cli.fleet", "system", "The chain of replicas, as a node knows it."),
+    "config": Command(
+        "cloverrouter.cli.config", "system", "Show, compare and apply the fleet's configuration."
+    ),
+    "demo": Command("cloverrouter.cli.demo", "demo", "Run a small fleet on this machine."),
+    "explore": Command("cloverrouter.cli.explore", "explore", "Check every ordering of events in a model."),
+    "fuzz": Command(
+        "cloverrouter.cli.fuzz", "fuzz", "Feed mutated inputs to code that parses untrusted bytes."
+    ),
+    "history": Command("cloverrouter.cli.fleet", "system", "Show the latest changes of the configuration."),
+    "lab": Command("cloverrouter.cli.lab", "lab", "Try a configuration with simulated servers and clients."),
+    "logs": Command("cloverrouter.cli.logs", "cli", "Print logs of nodes; show one request as a tree."),
+    "servers": Command("cloverrouter.cli.fleet", "system", "Show the list of servers, as a node knows it."),
+    "soak": Command("cloverrouter.cli.soak", "demo", "Run fleets on this machine under repeated faults."),
+    "status": Command(
+        "cloverrouter.cli.fleet", "system", "Show a node's readiness, configuration and metrics."
+    ),
+    "trace": Command("cloverrouter.cli.fleet", "system", "Show a node's trace of a request."),
+    "view": Command("cloverrouter.cli.fleet", "system", "Show the replica chain, as a node knows it."),
 }
 
 HELP = """Tools of the router fleet and of the client proxy.
@@ -50,7 +57,10 @@
 
 
 def _load(name: str) -> Any:
-    """The command: a function or an app, in its module under its own name."""
+    """Returns the command, a function or an app that its module defines under the command's name.
+
+    Raises UsageError if an optional dependency is not installed.
+    """
     command = COMMANDS[name]
     try:
         return getattr(importlib.import_module(command.module), name)
@@ -62,8 +72,8 @@
         ) from error
 
 
-def _application(called: str | None) -> App:
-    """The command line in which one command is there, and the others only by name."""
+def _build_app(requested: str | None) -> App:
+    """Builds the command line with only the requested command loaded; the others get their name and help."""
     app = App(
         name="cypresswinch",
         help=HELP,
@@ -73,7 +83,7 @@
         result_action="return_none",
     )
     for name, command in COMMANDS.items():
-        loaded = _load(name) if name == called else App(name=name, help=command.help)
+        loaded = _load(name) if name == requested else App(name=name, help=command.help)
         if isinstance(loaded, App):
             app.command(loaded)
         else:
@@ -82,14 +92,14 @@
 
 
 def main(tokens: Sequence[str] | None = None) -> NoReturn:
-    """Carries out one command line, without the program's name; default: the process's own. Always exits."""
-    words = list(sys.argv[1:] if tokens is None else tokens)
+    """Runs one command line, given without the program's name; default `sys.argv`. Always exits."""
+    arguments = list(sys.argv[1:] if tokens is None else tokens)
     try:
-        _application(words[0] if words and words[0] in COMMANDS else None)(words)
+        _build_app(arguments[0] if arguments and arguments[0] in COMMANDS else None)(arguments)
     except (CycloptsError, usage.UsageError) as error:
-        usage.error_line(f"Error: {error}")
-        sys.exit(usage.WRONG)
+        usage.print_error(f"Error: {error}")
+        sys.exit(usage.EXIT_INVALID)
     except usage.CommandFailed as error:
-        usage.error_line(f"Error: {error}")
-        sys.exit(usage.FOUND)
-    sys.exit(usage.DONE)
+        usage.print_error(f"Error: {error}")
+        sys.exit(usage.EXIT_FINDINGS)
+    sys.exit(usage.EXIT_OK)
--- a/cloverrouter/cli/node_calls.py
+++ b/cloverrouter/cli/node_calls.py
@@ -1,4 +1,4 @@
-"""Calls to a running node's control-plane address."""
+"""HTTP calls to the control-plane address of a running node."""
 
 from __future__ import annotations
 
@@ -15,54 +15,55 @@
 Node = Annotated[str, Parameter(name="--node", env_var=NODE_VARIABLE)]
 Json = Annotated[bool, Parameter(name="--json", negative="")]
 
-REDIRECTS = 2
+MAX_REDIRECTS = 2
 TIMEOUT_S = 10.0
 
 
 @attrs.frozen(slots=True)
 class Reply:
-    """A node's answer; `body` as its JSON says, or its text if it is none."""
+    """A node's answer; `body` is its decoded JSON, its text if it is not JSON, or None if it is empty."""
 
     status: int
     body: Any
 
 
 def call(node: str, method: str, path: str, body: bytes | None = None, if_match: int | None = None) -> Reply:
-    """One call. Raises UsageError for an address that is none, CommandFailed if no answer comes."""
+    """Makes one call, without retries. Raises UsageError for a malformed address, CommandFailed if no answer
+    comes."""
     headers = {"Accept": "application/json"}
     if body is not None:
         headers["Content-Type"] = "application/json"
     if if_match is not None:
         headers["If-Match"] = str(if_match)
-    retries = urllib3.Retry(total=REDIRECTS, connect=0, read=0, redirect=REDIRECTS, status=0, other=0)
+    retries = urllib3.Retry(total=MAX_REDIRECTS, connect=0, read=0, redirect=MAX_REDIRECTS, status=0, other=0)
     try:
         with urllib3.PoolManager(timeout=TIMEOUT_S) as pool:
             answer = pool.request(
                 method, f"http://{_address(node)}{path}", body=body, headers=headers, retries=retries
             )
     except urllib3.exceptions.HTTPError as error:
-        raise usage.CommandFailed(f"{node}: {_cause(error)}") from error
-    return Reply(answer.status, _decoded(answer.data))
+        raise usage.CommandFailed(f"{node}: {_failure_reason(error)}") from error
+    return Reply(answer.status, _decode_body(answer.data))
 
 
 def _address(node: str) -> str:
-    host, colon, port = node.rpartition(":")
-    if not (host and colon and port.isdecimal()):
+    host, separator, port = node.rpartition(":")
+    if not (host and separator and port.isdecimal()):
         raise usage.UsageError(f"--node: found {node!r}, allowed is HOST:PORT of a control-plane address")
     return node
 
 
-def _cause(error: Exception) -> str:
-    """Why no answer came, without the library's wrapping."""
+def _failure_reason(error: Exception) -> str:
+    """Returns why no answer came, without the text that urllib3 wraps around the cause."""
     reason = getattr(error, "reason", None) or error
     if isinstance(reason, urllib3.exceptions.NewConnectionError):
-        return "nothing listens there" if "refused" in str(reason) else "no connection"
+        return "connection refused" if "refused" in str(reason) else "connection failed"
     if isinstance(reason, urllib3.exceptions.TimeoutError):
         return f"no answer within {TIMEOUT_S:g} s"
     return str(reason)
 
 
-def _decoded(data: bytes) -> Any:
+def _decode_body(data: bytes) -> Any:
     try:
         return json.loads(data) if data else None
     except ValueError:
@@ -70,15 +71,15 @@
 
 
 def read(node: str, path: str) -> Any:
-    """What a GET tells. Raises CommandFailed for any status but 200."""
+    """Returns the body of a GET. Raises CommandFailed for any status but 200."""
     reply = call(node, "GET", path)
     if reply.status != 200:
-        raise usage.CommandFailed(f"{node}: {refusal(reply)}")
+        raise usage.CommandFailed(f"{node}: {error_text(reply)}")
     return reply.body
 
 
-def refusal(reply: Reply) -> str:
-    """A failed answer in words, with all findings that it lists."""
+def error_text(reply: Reply) -> str:
+    """Returns the status and message of an error answer, with all findings that it lists."""
     body = reply.body
     if not isinstance(body, dict):
         return f"status {reply.status}: {body or 'no body'}"
--- a/cloverrouter/cli/proxy_demo.py
+++ b/cloverrouter/cli/proxy_demo.py
@@ -1,4 +1,4 @@
-"""`demo --proxy`: the real client proxies, stand-in servers and a load on one machine, with live figures."""
+"""The `demo --proxy` command: runs real client proxies against simulated servers, with live figures."""
 
 from __future__ import annotations
 
@@ -36,56 +36,56 @@
 
 
 def scenario(seconds: float) -> Scenario:
-    """A usual load; then some servers fail fast, and later some are restarted."""
-    third = seconds / 3
+    """Returns the demo's scenario: normal load, then servers that fail fast, then a rolling drain."""
+    third_s = seconds / 3
     faults = (
-        Fault(kind="fast-errors", at_s=third, len_s=third / 2, part=0.2, size=0.8),
-        Fault(kind="drain", at_s=2 * third, len_s=1.0, part=0.3, gap_s=1.0),
+        Fault(kind="fast-errors", at_s=third_s, len_s=third_s / 2, part=0.2, size=0.8),
+        Fault(kind="drain", at_s=2 * third_s, len_s=1.0, part=0.3, gap_s=1.0),
     )
-    told = {name: getattr(SCENARIO, name) for name in SCENARIO.__struct_fields__}
-    return Scenario(**{**told, "seconds": seconds, "faults": faults})
+    fields = {name: getattr(SCENARIO, name) for name in SCENARIO.__struct_fields__}
+    return Scenario(**{**fields, "seconds": seconds, "faults": faults})
 
 
-def play_proxy(seconds: float) -> NoReturn:
-    """4 proxies, 10 stand-in servers, two classes, and some trouble.
+def run_proxy_demo(seconds: float) -> NoReturn:
+    """Runs 4 proxies and 10 simulated servers with two request classes and injected faults.
 
-    Exits 0 if no rule was broken, 1 otherwise, or if the machine was too busy to tell.
+    Exits 0 if no rule was broken; 1 if one was, a proxy died, or the machine was too busy for a valid run.
     """
-    told = scenario(seconds)
-    log.configure(told.log)
-    before: Counter[str] = Counter()
-    seen = 0
+    demo_scenario = scenario(seconds)
+    log.configure(demo_scenario.log)
+    previous: Counter[str] = Counter()
+    printed_events = 0
 
-    def watch(world: RealWorld) -> None:
-        nonlocal before, seen
+    def print_progress(world: RealWorld) -> None:
+        nonlocal previous, printed_events
         judge = world.judge
-        now = Counter(one.answers[0][0] for one in judge.tries.values() if one.answers)
-        new = now - before
-        before = now
-        busy = " ".join(f"{s.bridge.held:3}" for s in world.servers.values())
+        current = Counter(request.answers[0][0] for request in judge.tries.values() if request.answers)
+        added = current - previous
+        previous = current
+        held_per_server = " ".join(f"{s.bridge.held:3}" for s in world.servers.values())
         at_s = max(0.0, world.clock.now_ms / 1000 - 1)
-        usage.say(
-            f"{at_s:5.1f} s  served {new['served']:4}  refused {new['refused']:3}"
-            f"  failed {new['failed']:3}  held by each server {busy}"
+        usage.print_line(
+            f"{at_s:5.1f} s  served {added['served']:4}  refused {added['refused']:3}"
+            f"  failed {added['failed']:3}  in flight at each server {held_per_server}"
         )
-        for when_s, text in world.log[seen:]:
-            usage.say(f"{when_s:5.1f} s  {text}")
-        seen = len(world.log)
+        for when_s, text in world.log[printed_events:]:
+            usage.print_line(f"{when_s:5.1f} s  {text}")
+        printed_events = len(world.log)
 
     try:
-        played = asyncio.run(play(told, 1, watch))
+        result = asyncio.run(play(demo_scenario, 1, print_progress))
     except RuntimeError as error:
         raise usage.CommandFailed(str(error)) from error
-    verdict = played.verdict
-    usage.say(
+    verdict = result.verdict
+    usage.print_line(
         f"\nasked {verdict.asked}, answers {verdict.answers}\n"
         f"worth answered in time {verdict.worth:.3f} (worst ten seconds {verdict.worst:.3f}); "
         + ", ".join(
             f"{name} {share:.3f}" for name, share in {**verdict.by_class, **verdict.by_member}.items()
         )
         + f"\nlatency {', '.join(f'p{q} {ms:.0f} ms' for q, ms in verdict.latency_ms.items())}"
-        f"\nrules broken: {len(verdict.broken)}; the proxies took {played.decided_us:.0f} us a request"
+        f"\nrules broken: {len(verdict.broken)}; the proxies took {result.decided_us:.0f} us a request"
     )
-    for text in played.amiss(5):
-        usage.say(text)
-    sys.exit(1 if verdict.broken or played.died or played.void else 0)
+    for text in result.amiss(5):
+        usage.print_line(text)
+    sys.exit(1 if verdict.broken or result.died or result.void else 0)
--- a/cloverrouter/cli/soak.py
+++ b/cloverrouter/cli/soak.py
@@ -1,4 +1,4 @@
-"""`soak`: fleets of real processes under signals, restarts and changes in series, one run for each seed."""
+"""The `soak` command: runs fleets of real processes under series of faults, one run for each seed."""
 
 from __future__ import annotations
 
@@ -24,40 +24,43 @@
     machines: Annotated[int | None, Parameter(validator=Number(gte=3, lte=240))] = None,
     keep: Path | None = None,
 ) -> None:
-    """Play runs of a fleet on this machine, with real processes that are struck again and again.
+    """Run fleets of real processes on this machine under repeated faults.
 
-    SIGHUP, SIGTERM, SIGKILL, freezes, lost disks and changes of the configuration come in series that
-    overlap, while clients go on using their connections until the process is gone. Exits 0 if no rule was
-    broken, 1 otherwise.
+    SIGHUP, SIGTERM, SIGKILL, freezes, lost disks and configuration changes come in overlapping series, while
+    clients keep using their connections until the process has exited. Exits 0 if no rule was broken, 1
+    otherwise.
 
     Parameters
     ----------
     seed
-        Of the first run; each further run has the next one.
+        Random seed of the first run; each further run uses the next one.
     runs
-        How many, one after the other.
+        Number of runs, one after the other.
     seconds
-        For how long each fleet is struck; a run takes about 25 s more.
+        Duration of the faults in each run; a run takes about 25 s more.
     machines
-        So many in each run, instead of a few that the seed draws.
+        Number of machines in each run; default a small number drawn from the seed.
     keep
-        Keep the settings, disks and logs of runs that found something in this folder.
+        Keep the settings, disks and logs of runs with findings in this folder.
     """
-    failed = []
-    for number in range(seed, seed + runs):
-        report = _played(number, seconds, machines, keep)
-        _tell(report)
+    failed_seeds = []
+    for run_seed in range(seed, seed + runs):
+        report = _run_one(run_seed, seconds, machines, keep)
+        _print_report(report)
         if not report.passed:
-            failed.append(number)
-    usage.say(f"{runs} runs, {len(failed)} of them found something" + (f": seeds {failed}" if failed else ""))
-    if failed:
-        raise SystemExit(usage.FOUND)
+            failed_seeds.append(run_seed)
+    usage.print_line(
+        f"{runs} runs, {len(failed_seeds)} of them with findings"
+        + (f": seeds {failed_seeds}" if failed_seeds else "")
+    )
+    if failed_seeds:
+        raise SystemExit(usage.EXIT_FINDINGS)
 
 
-def _played(seed: int, seconds: float, machines: int | None, keep: Path | None) -> Report:
+def _run_one(seed: int, seconds: float, machines: int | None, keep: Path | None) -> Report:
     folder = Path(tempfile.mkdtemp(prefix=f"cypresswinch-soak-{seed}-"))
     try:
-        report = asyncio.run(Soak(plan(seed, seconds, machines), folder, usage.say).play())
+        report = asyncio.run(Soak(plan(seed, seconds, machines), folder, usage.print_line).play())
         if keep is not None and not report.passed:
             shutil.copytree(folder, keep / f"seed-{seed}", dirs_exist_ok=True)
     finally:
@@ -65,14 +68,16 @@
     return report
 
 
-def _tell(report: Report) -> None:
-    usage.say(
+def _print_report(report: Report) -> None:
+    usage.print_line(
         f"seed {report.seed}: {report.machines} machines, {report.lives} processes, "
-        f"{report.too_soon} signals before the program's first line, "
+        f"{report.too_soon} signals before program start, "
         f"{report.confirmed} of {report.orders} orders confirmed, "
-        f"{report.served} of {report.requests} requests served, own lag {report.lag_s:.2f} s: "
-        f"{'nothing found' if report.passed else f'{len(report.findings)} findings'}"
+        f"{report.served} of {report.requests} requests served, harness lag {report.lag_s:.2f} s: "
+        f"{'no findings' if report.passed else f'{len(report.findings)} findings'}"
+    )
+    usage.print_line(
+        "  answers: " + ", ".join(f"{word} x {count}" for word, count in report.statuses.items())
     )
-    usage.say("  answers: " + ", ".join(f"{word} x {count}" for word, count in report.statuses.items()))
     for finding in report.findings[:MOST_NAMED]:
-        usage.say(f"  {finding.rule}: {finding.text}")
+        usage.print_line(f"  {finding.rule}: {finding.text}")
--- a/cloverrouter/cli/tables.py
+++ b/cloverrouter/cli/tables.py
@@ -1,4 +1,4 @@
-"""JSON values as text for people."""
+"""Formats JSON values as text for terminal output."""
 
 from __future__ import annotations
 
@@ -7,7 +7,8 @@
 
 
 def text_of(value: Any) -> str:
-    """Objects as NAME  VALUE lines, lists of objects as tables, anything else as JSON."""
+    """Returns objects as NAME  VALUE lines, lists of objects as tables, an empty list as (none), and other
+    values as JSON."""
     if isinstance(value, dict):
         return "\n".join(_object_lines(value))
     if isinstance(value, list) and value and all(isinstance(item, dict) for item in value):
@@ -20,16 +21,16 @@
 def _object_lines(value: dict[str, Any]) -> list[str]:
     width = max((len(str(key)) for key in value), default=0)
     lines = []
-    for key, inner in value.items():
-        if _is_deep(inner):
+    for key, item in value.items():
+        if _is_nested(item):
             lines.append(f"{key}:")
-            lines.extend("  " + line for line in text_of(inner).splitlines())
+            lines.extend("  " + line for line in text_of(item).splitlines())
         else:
-            lines.append(f"{key!s:{width}}  {_cell(inner)}")
+            lines.append(f"{key!s:{width}}  {_cell(item)}")
     return lines
 
 
-def _is_deep(value: Any) -> bool:
+def _is_nested(value: Any) -> bool:
     if isinstance(value, dict):
         return bool(value)
     return isinstance(value, list) and any(isinstance(item, dict) for item in value)
@@ -38,7 +39,7 @@
 def _table_lines(rows: list[dict[str, Any]]) -> list[str]:
     names = list(dict.fromkeys(name for row in rows for name in row))
     cells = [[_cell(row.get(name, "")) for name in names] for row in rows]
-    widths = [max(len(name), *(len(row[at]) for row in cells)) for at, name in enumerate(names)]
+    widths = [max(len(name), *(len(row[column]) for row in cells)) for column, name in enumerate(names)]
     lines = [names, *cells]
     return ["  ".join(f"{cell:{width}}" for cell, width in zip(line, widths, strict=True)).rstrip()
             for line in lines]  # fmt: skip
@@ -47,6 +48,6 @@
 def _cell(value: Any) -> str:
     if isinstance(value, str):
         return value
-    if isinstance(value, list) and not _is_deep(value):
+    if isinstance(value, list) and not _is_nested(value):
         return ", ".join(_cell(item) for item in value) or "-"
     return json.dumps(value)
--- a/cloverrouter/cli/usage.py
+++ b/cloverrouter/cli/usage.py
@@ -1,4 +1,4 @@
-"""What all commands share: how a wrong call is told, and the checks of arguments."""
+"""Shared by all commands: exit codes, errors, output and argument validators."""
 
 from __future__ import annotations
 
@@ -8,29 +8,30 @@
 
 from cloverrouter.errors import CypresswinchError
 
-DONE, FOUND, WRONG = 0, 1, 2  # the exit codes: all is well, something is amiss, the call or a file is wrong
+# Exit codes: success; findings or a failure; an invalid command line or file, or a missing dependency.
+EXIT_OK, EXIT_FINDINGS, EXIT_INVALID = 0, 1, 2
 
 
 class UsageError(CypresswinchError):
-    """The command, or a file that it names, is wrong, or something that it needs is not there."""
+    """The command line or a file that it names is invalid, or a dependency is missing. Exits 2."""
 
 
 class CommandFailed(CypresswinchError):
-    """The command was right and was carried out, and did not reach its end."""
+    """The command was valid but could not be completed. Exits 1."""
 
 
-def say(text: str) -> None:
-    """One line to standard output, at once: a reader at a pipe sees it when it is said."""
+def print_line(text: str) -> None:
+    """Prints one line to standard output and flushes, so that a reader of a pipe sees it at once."""
     print(text, flush=True)
 
 
-def error_line(text: str) -> None:
-    """One line to standard error."""
+def print_error(text: str) -> None:
+    """Prints one line to standard error."""
     print(text, file=sys.stderr)
 
 
 def one_of(names: Iterable[str]) -> Callable[[Any, Any], None]:
-    """A validator: the value is one of these names."""
+    """Returns a cyclopts validator that accepts these names, alone or in a sequence."""
     allowed = tuple(names)
 
     def check(_type: Any, value: Any) -> None:
--- a/tests/command_line.py
+++ b/tests/command_line.py
@@ -1,4 +1,4 @@
-"""Runs a command line inside the tests' process."""
+"""Runs the command line inside the test process."""
 
 from __future__ import annotations
 
@@ -9,14 +9,14 @@
 
 
 def run(*words: str) -> tuple[int, str]:
-    """The exit code, and all that was written to standard output and standard error, in order.
+    """Returns the exit code and the combined output to standard output and standard error.
 
-    An exception that the command line doesn't turn into an exit code itself is the test's failure.
+    An exception that the command line does not turn into an exit code fails the test.
     """
-    written = io.StringIO()
-    with contextlib.redirect_stdout(written), contextlib.redirect_stderr(written):
+    output = io.StringIO()
+    with contextlib.redirect_stdout(output), contextlib.redirect_stderr(output):
         try:
             main(words)
-        except SystemExit as end:
-            assert isinstance(end.code, int)
-            return end.code, written.getvalue()
+        except SystemExit as exit_request:
+            assert isinstance(exit_request.code, int)
+            return exit_request.code, output.getvalue()
--- a/tests/system/test_demo.py
+++ b/tests/system/test_demo.py
@@ -1,4 +1,5 @@
-"""The fleet's demo: real nodes, a load, a kill, a change. On a busy machine it may be slow, never wrong."""
+"""The fleet demo: real nodes under load, one killed, and a configuration change. A busy machine may slow it
+down, but must not cause a broken rule."""
 
 from __future__ import annotations
 
@@ -7,7 +8,7 @@
 from tests.command_line import run
 
 
-def test_a_short_demo_keeps_every_rule(tmp_path: Path) -> None:
+def test_a_short_demo_breaks_no_rule(tmp_path: Path) -> None:
     _, text = run("demo", "--seconds", "5", "--keep", str(tmp_path / "kept"), "--log", "requests")
     assert "broken" not in text and "ended with" not in text, text
     assert "edge-lalitpur-1 is killed" in text and "edge-lalitpur-1 is started again" in text
@@ -22,6 +23,6 @@
     assert code == 0 and text.count("good: settings of the node edge-") == 5
 
 
-def test_a_folder_that_is_there_is_left_alone(tmp_path: Path) -> None:
+def test_an_existing_folder_is_rejected(tmp_path: Path) -> None:
     code, text = run("demo", "--keep", str(tmp_path))
-    assert code == 2 and "is there already" in text
+    assert code == 2 and "already exists" in text
--- a/tests/system/test_demo_nodes.py
+++ b/tests/system/test_demo_nodes.py
@@ -1,4 +1,4 @@
-"""The demo's nodes: their settings files are what the daemon reads, and their processes come and go."""
+"""The demo's nodes: the daemon reads their settings files, and their processes start, stop and restart."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 SPECS = deployment.nodes("127.31.250")
 FLEET = deployment.fleet_settings(SPECS)
-ENDS_WHEN_TOLD = """
+EXITS_ON_SIGTERM = """
 import signal
 signal.pthread_sigmask(signal.SIG_BLOCK, {signal.SIGTERM})
 print("up", flush=True)
@@ -24,31 +24,36 @@
 """
 
 
-def test_settings_are_what_the_daemon_reads(tmp_path: Path) -> None:
+def test_the_daemon_reads_the_settings_as_written(tmp_path: Path) -> None:
     for spec in SPECS:
         path = tmp_path / f"{spec.name}.toml"
         path.write_text(nodes.toml(nodes.settings(spec, FLEET, tmp_path, bootstrap=True)))
-        told = read(str(path))
-        assert (told.name, told.ip, told.zone, told.bootstrap) == (spec.name, spec.ip, spec.zone, True)
-        assert told.is_replica is spec.has_disk
-        assert told.frontend == (spec.ip, nodes.FRONTEND_PORT)
-        assert told.bounds.drain_timeout_s == deployment.DRAIN_TIMEOUT_MS / 1000
-        assert len(told.seeds) == 3 and told.tolerated_machines == 1
+        loaded = read(str(path))
+        assert (loaded.name, loaded.ip, loaded.zone, loaded.bootstrap) == (
+            spec.name,
+            spec.ip,
+            spec.zone,
+            True,
+        )
+        assert loaded.is_replica is spec.has_disk
+        assert loaded.frontend == (spec.ip, nodes.FRONTEND_PORT)
+        assert loaded.bounds.drain_timeout_s == deployment.DRAIN_TIMEOUT_MS / 1000
+        assert len(loaded.seeds) == 3 and loaded.tolerated_machines == 1
     assert sum(spec.has_disk for spec in SPECS) == 3 and len({spec.ip for spec in SPECS}) == 5
 
 
 @pytest.fixture
 def node(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> nodes.Node:
-    monkeypatch.setattr(nodes, "DAEMON", ("-c", ENDS_WHEN_TOLD))
+    monkeypatch.setattr(nodes, "DAEMON", ("-c", EXITS_ON_SIGTERM))
     return nodes.Node(SPECS[0], FLEET, tmp_path)
 
 
-def _wait_until_up(node: nodes.Node, times: int) -> None:
-    while node.log_path.read_text().count("up") < times:
+def _wait_until_up(node: nodes.Node, starts: int) -> None:
+    while node.log_path.read_text().count("up") < starts:
         node.check()
 
 
-def test_a_node_is_killed_started_again_and_told_to_end(node: nodes.Node) -> None:
+def test_a_node_is_killed_restarted_and_stopped(node: nodes.Node) -> None:
     node.start(bootstrap=True)
     assert node.is_running and read(str(node.settings_path)).bootstrap
     _wait_until_up(node, 1)
@@ -60,7 +65,7 @@
     assert nodes.stop_all([node]) == {SPECS[0].name: 0}
 
 
-def test_a_node_that_ends_by_itself_is_told_with_its_last_words(
+def test_a_node_that_exits_is_reported_with_its_last_output(
     node: nodes.Node, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(nodes, "DAEMON", ("-c", "raise SystemExit('no such thing')"))
@@ -71,7 +76,9 @@
     node.close()
 
 
-def test_a_node_gets_no_variables_but_a_few(node: nodes.Node, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_node_gets_only_a_few_environment_variables(
+    node: nodes.Node, monkeypatch: pytest.MonkeyPatch
+) -> None:
     monkeypatch.setenv("SECRET", "x")
     monkeypatch.setattr(nodes, "DAEMON", ("-c", "import os; print(sorted(os.environ))"))
     node.start()
@@ -80,7 +87,7 @@
     node.close()
 
 
-def test_the_configurations_are_valid_and_patched_alike() -> None:
+def test_the_configurations_are_valid_and_a_patch_gives_the_daemons_result() -> None:
     first, change = deployment.first_configuration(), deployment.added_route(8)
     _, state = review_document(json.dumps(first).encode(), ConfigurationState())
     assert differences(state.document(), first) == []
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -1,4 +1,4 @@
-"""The command line: every configuration file is checked, and commands say what they lack."""
+"""The command line: `check` on every kind of configuration file, and commands with missing dependencies."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
 
 
 @pytest.mark.parametrize(
-    ("name", "text", "said"),
+    ("name", "text", "expected"),
     [
         ("a.toml", "load = 3", "wrong: Expected `object`, got `int` - at `$.load`"),
         ("a.toml", "policy = 3", "wrong: Expected `array`, got `int` - at `$.policy`"),
@@ -56,12 +56,12 @@
             'b = {run = "x", on = "edge", share = 1.0, serves = ["edge"]}',
             "roles: edge on edge: found a, b, allowed is one",
         ),
-        ("a.toml", "x = ", "wrong: no TOML"),
+        ("a.toml", "x = ", "wrong: not valid TOML"),
         ("a.toml", "x = 1", "found keys x; allowed is a file with one of policy, roles, family, day, load"),
         ("a.toml", 'family = "mesh"', "wrong: Object missing required field `name`"),
         ("a.toml", "[[day]]\nseed = 1\nfaults = [{at = 1.0}]", "missing required field `kind`"),
         ("a.toml", '[[day]]\nseed = 1\nplan = [{at = 1.0, kind = "x"}]', "good: 1 days, 1 troubles"),
-        ("a.json", "{", "wrong: no JSON"),
+        ("a.json", "{", "wrong: not valid JSON"),
         ("a.json", '{"steps": 1}', "wrong: no counterexample"),
         ("a.json", json.dumps({**CONFIG, "settings": {}}), "settings.bounds: found nothing, allowed is an"),
         ("a.json", json.dumps({**CONFIG, "listen": "nowhere"}), "listen: found 'nowhere', allowed is an"),
@@ -76,34 +76,34 @@
         ("a.toml", NODE_SETTINGS, "good: settings of the node edge-baneshwor-1"),
     ],
 )
-def test_each_kind_of_file(tmp_path: Path, name: str, text: str, said: str) -> None:
+def test_each_kind_of_file(tmp_path: Path, name: str, text: str, expected: str) -> None:
     path = tmp_path / name
     path.write_text(text)
     code, printed = run("check", str(path))
-    assert said in printed and "a." in printed
-    assert code == (0 if "good" in said else 2)
+    assert expected in printed and "a." in printed
+    assert code == (0 if "good" in expected else 2)
     code, printed = run("check", "--json", str(path))
-    assert list(json.loads(printed)[str(path)]) == ["good" if "good" in said else "wrong"]
+    assert list(json.loads(printed)[str(path)]) == ["good" if "good" in expected else "wrong"]
 
 
-def test_history_is_checked(tmp_path: Path) -> None:
+def test_saved_trace_is_checked(tmp_path: Path) -> None:
     path = tmp_path / "found.json"
     trace.write(trace.Counterexample(1, "join", None, "cut: x", (trace.Step("arrive 0"),)), path)
     assert "good: history of 1 events" in run("check", str(path))[1]
 
 
-def test_policy_over_its_lines_is_told(tmp_path: Path) -> None:
+def test_policy_over_its_line_limit_is_reported(tmp_path: Path) -> None:
     (tmp_path / "deploy").mkdir()
     (tmp_path / "rules.py").write_text("x = 1\n" * 1201 + "\n" * 50)
     path = tmp_path / "deploy" / "balancer.toml"
-    told = 'build = ""\nrun = ""\nsim = ""\npolicy = ["{}"]\nnode = []\npackages = []\n'
-    path.write_text(told.format("rules.py"))
+    deployment = 'build = ""\nrun = ""\nsim = ""\npolicy = ["{}"]\nnode = []\npackages = []\n'
+    path.write_text(deployment.format("rules.py"))
     assert "found 1201 lines that are not blank, allowed 1200" in run("check", str(path))[1]
-    path.write_text(told.format("none.py"))
+    path.write_text(deployment.format("none.py"))
     assert "policy: found none.py, which is not in" in run("check", str(path))[1]
 
 
-def test_a_missing_extra_is_named(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_missing_extra_is_reported(monkeypatch: pytest.MonkeyPatch) -> None:
     def missing(name: str) -> None:
         raise ModuleNotFoundError("no xxhash", name="xxhash")
 
@@ -113,7 +113,9 @@
 
 
 def test_as_a_module() -> None:
-    done = subprocess.run([sys.executable, "-m", "cloverrouter", "--help"], capture_output=True, text=True)
-    assert done.returncode == 0
-    assert all(name in done.stdout for name in commands.COMMANDS)
+    completed = subprocess.run(
+        [sys.executable, "-m", "cloverrouter", "--help"], capture_output=True, text=True
+    )
+    assert completed.returncode == 0
+    assert all(name in completed.stdout for name in commands.COMMANDS)
     assert subprocess.run([sys.executable, "-m", "cloverrouter", "nope"], capture_output=True).returncode == 2
--- a/tests/test_control_commands.py
+++ b/tests/test_control_commands.py
@@ -1,4 +1,4 @@
-"""Commands against a node's control-plane address: what they send, what they show, how they fail."""
+"""Commands that call a node's control-plane address: their requests, output and errors."""
 
 from __future__ import annotations
 
@@ -21,38 +21,41 @@
 }
 
 
-HANGS_UP = 0  # as a status: the connection ends without an answer
+HANG_UP = 0  # scripted as a status: close the connection without an answer
 
 
 class ScriptedNode:
-    """Answers each call with the next of its script, or with what stands under the path."""
+    """An HTTP server. Calls other than GET get the next answer of the script, if one is left; all others get
+    the document at the path, or 404."""
 
     def __init__(self) -> None:
         self.calls: list[tuple[str, str, str | None, Any]] = []
         self.script: list[tuple[int, Any]] = []
-        self.told: dict[str, Any] = {"/-/configuration": CURRENT}
+        self.documents: dict[str, Any] = {"/-/configuration": CURRENT}
         node = self
 
         class Handler(BaseHTTPRequestHandler):
             def answer(self) -> None:
                 body = self.rfile.read(int(self.headers.get("Content-Length", 0)))
-                read = json.loads(body) if body else None
-                node.calls.append((self.command, self.path, self.headers.get("If-Match"), read))
+                received = json.loads(body) if body else None
+                node.calls.append((self.command, self.path, self.headers.get("If-Match"), received))
                 if self.command != "GET" and node.script:
-                    status, told = node.script.pop(0)
+                    status, document = node.script.pop(0)
                 else:
-                    known = self.path in node.told
-                    status, told = (200, node.told[self.path]) if known else (404, {"error-message": "no"})
-                if status == HANGS_UP:
+                    is_known = self.path in node.documents
+                    status, document = (
+                        (200, node.documents[self.path]) if is_known else (404, {"error-message": "no"})
+                    )
+                if status == HANG_UP:
                     self.close_connection = True
                     return
-                raw = json.dumps(told).encode()
+                encoded = json.dumps(document).encode()
                 self.send_response(status)
                 if status == 307:
-                    self.send_header("Location", told)
-                self.send_header("Content-Length", str(len(raw)))
+                    self.send_header("Location", document)
+                self.send_header("Content-Length", str(len(encoded)))
                 self.end_headers()
-                self.wfile.write(raw)
+                self.wfile.write(encoded)
 
             do_GET = do_PUT = do_PATCH = answer
 
@@ -72,7 +75,7 @@
 
 @pytest.fixture
 def node(monkeypatch: pytest.MonkeyPatch) -> Iterator[ScriptedNode]:
-    monkeypatch.setattr(config, "PAUSE_S", 0.0)
+    monkeypatch.setattr(config, "BACKOFF_STEP_S", 0.0)
     scripted = ScriptedNode()
     yield scripted
     scripted.close()
@@ -84,7 +87,7 @@
 
 
 def test_status_and_view_are_shown(node: ScriptedNode) -> None:
-    node.told["/-/status"] = {"name": "edge-1", "ready": True, "figures": {"requests": 3}}
+    node.documents["/-/status"] = {"name": "edge-1", "ready": True, "figures": {"requests": 3}}
     code, text = run("status", "--node", node.address)
     assert code == 0 and text.splitlines() == [
         "name     edge-1",
@@ -93,15 +96,15 @@
         "  requests  3",
     ]
     code, text = run("status", "--node", node.address, "--json")
-    assert json.loads(text) == node.told["/-/status"]
-    node.told["/-/view"] = {"epoch": [3, "a"], "chain": ["a", "b"]}
+    assert json.loads(text) == node.documents["/-/status"]
+    node.documents["/-/view"] = {"epoch": [3, "a"], "chain": ["a", "b"]}
     assert "chain  a, b" in run("view", "--node", node.address)[1]
 
 
 def test_the_address_may_come_from_the_environment(
     node: ScriptedNode, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    node.told["/-/history"] = [{"version": 3, "at": 1796187846.5}, {"version": 5, "at": "then"}]
+    node.documents["/-/history"] = [{"version": 3, "at": 1796187846.5}, {"version": 5, "at": "then"}]
     monkeypatch.setenv("CYPRESSWINCH_NODE", node.address)
     code, text = run("history")
     assert code == 0 and text.splitlines() == ["version  at", "3        2026-12-02 05:04:06", "5        then"]
@@ -111,13 +114,13 @@
 
 
 def test_servers_are_a_table(node: ScriptedNode) -> None:
-    node.told["/-/instances"] = {"i-1": {"backend": "b", "state": "ready"}}
+    node.documents["/-/instances"] = {"i-1": {"backend": "b", "state": "ready"}}
     code, text = run("servers", "--node", node.address)
     assert code == 0 and text.splitlines()[1].split() == ["i-1", "b", "ready"]
 
 
-def test_a_request_is_traced_or_not_known(node: ScriptedNode) -> None:
-    node.told["/-/trace/a%2F1"] = {"request": "a/1", "attempts": [{"instance": "i-1", "status": 200}]}
+def test_a_request_is_traced_or_unknown(node: ScriptedNode) -> None:
+    node.documents["/-/trace/a%2F1"] = {"request": "a/1", "attempts": [{"instance": "i-1", "status": 200}]}
     code, text = run("trace", "a/1", "--node", node.address)
     assert code == 0 and "i-1" in text
     code, text = run("trace", "other", "--node", node.address)
@@ -139,7 +142,7 @@
     ]
 
 
-def test_a_whole_file_is_put_and_a_change_is_patched(node: ScriptedNode, tmp_path: Path) -> None:
+def test_a_whole_configuration_uses_put_and_a_change_uses_patch(node: ScriptedNode, tmp_path: Path) -> None:
     whole, change = {**CURRENT, "version": 7}, {"version": 8, "delete": {"route-table": ["r1"]}}
     node.script = [(200, None), (200, None)]
     code, text = run("config", "apply", write(tmp_path / "w.json", whole), "--node", node.address)
@@ -150,15 +153,15 @@
     assert node.calls[-1] == ("PATCH", "/-/configuration", "7", change)
 
 
-def test_the_first_configuration_builds_on_nothing(node: ScriptedNode, tmp_path: Path) -> None:
-    node.told.clear()
+def test_the_first_configuration_is_based_on_version_0(node: ScriptedNode, tmp_path: Path) -> None:
+    node.documents.clear()
     node.script = [(200, None)]
     assert run("config", "apply", write(tmp_path / "w.json", CURRENT), "--node", node.address)[0] == 0
     assert node.calls[-1][2] == "0"
 
 
 @pytest.mark.parametrize(
-    ("script", "code", "said"),
+    ("script", "code", "expected"),
     [
         ([(412, {"error-message": "5 is current"})], 1, "another version than 5 is in force"),
         (
@@ -170,41 +173,41 @@
         ([(503, {"error-message": "no head"})] * 4, 1, "may or may not be in force"),
     ],
 )
-def test_orders_that_fail_are_told(
-    node: ScriptedNode, tmp_path: Path, script: list[tuple[int, Any]], code: int, said: str
+def test_failed_changes_are_reported(
+    node: ScriptedNode, tmp_path: Path, script: list[tuple[int, Any]], code: int, expected: str
 ) -> None:
     node.script = list(script)
-    found, text = run("config", "apply", write(tmp_path / "w.json", CURRENT), "--node", node.address)
-    assert found == code and said in text
+    exit_code, text = run("config", "apply", write(tmp_path / "w.json", CURRENT), "--node", node.address)
+    assert exit_code == code and expected in text
     assert node.script == []
 
 
-def test_an_order_without_an_answer_is_repeated_by_the_command_alone(
+def test_a_change_without_an_answer_is_retried_only_by_the_command(
     node: ScriptedNode, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Not by the library beneath it, of whose repeats nobody would know."""
-    monkeypatch.setattr(config, "TRIES", 2)
-    node.script = [(HANGS_UP, None)] * 9
+    """urllib3 must not retry by itself: its retries would be unreported and exceed the command's limit."""
+    monkeypatch.setattr(config, "MAX_ATTEMPTS", 2)
+    node.script = [(HANG_UP, None)] * 9
     code, _ = run("config", "apply", write(tmp_path / "new.json", {"version": 7}), "--node", node.address)
     assert code == 1
-    orders = [call for call in node.calls if call[0] == "PUT"]
-    assert orders == [("PUT", "/-/configuration", "5", {"version": 7})] * 2
+    requests = [call for call in node.calls if call[0] == "PUT"]
+    assert requests == [("PUT", "/-/configuration", "5", {"version": 7})] * 2
 
 
-def test_redirects_are_followed_with_the_same_order(node: ScriptedNode, tmp_path: Path) -> None:
+def test_redirects_are_followed_with_the_same_request(node: ScriptedNode, tmp_path: Path) -> None:
     node.script = [(307, f"http://{node.address}/-/configuration"), (200, None)]
     assert run("config", "apply", write(tmp_path / "w.json", CURRENT), "--node", node.address)[0] == 0
     assert node.calls[-1] == node.calls[-2] == ("PUT", "/-/configuration", "5", CURRENT)
 
 
-def test_what_can_not_be_reached_or_read_is_told(node: ScriptedNode, tmp_path: Path) -> None:
+def test_unreachable_nodes_and_unreadable_files_are_reported(node: ScriptedNode, tmp_path: Path) -> None:
     node.close()
     code, text = run("status", "--node", node.address)
-    assert code == 1 and f"{node.address}: nothing listens there" in text
+    assert code == 1 and f"{node.address}: connection refused" in text
     code, text = run("status", "--node", "nowhere")
     assert code == 2 and "found 'nowhere', allowed is HOST:PORT" in text
     code, text = run("config", "diff", str(tmp_path / "none.json"), "--node", node.address)
     assert code in (1, 2)
     (tmp_path / "bad.json").write_text("{")
     code, text = run("config", "apply", str(tmp_path / "bad.json"), "--node", node.address)
-    assert code == 2 and "no JSON" in text
+    assert code == 2 and "not valid JSON" in text
