--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -62,7 +62,7 @@
         ("a.toml", "[[day]]\nseed = 1\nfaults = [{at = 1.0}]", "missing required field `kind`"),
         ("a.toml", '[[day]]\nseed = 1\nplan = [{at = 1.0, kind = "x"}]', "good: 1 days, 1 troubles"),
         ("a.json", "{", "wrong: not valid JSON"),
-        ("a.json", '{"steps": 1}', "wrong: no counterexample"),
+        ("a.json", '{"steps": 1}', "wrong: not a counterexample"),
         ("a.json", json.dumps({**CONFIG, "settings": {}}), "settings.bounds: found nothing, allowed is an"),
         ("a.json", json.dumps({**CONFIG, "listen": "nowhere"}), "listen: found 'nowhere', allowed is an"),
         ("a.json", json.dumps(CONFIG), "good: proxy configuration of n0, 3 classes"),
